--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -16,14 +16,14 @@
 constexpr std::size_t kMaxBody = 64 * 1024;
 constexpr std::size_t kMaxFinals = 2000;
 constexpr std::size_t kMaxReads = 300;
-constexpr std::size_t kMostUnanswered = 2000;
-constexpr Span kNearlyForgotten{45'000};
+constexpr std::size_t kMaxUnanswered = 2000;
+constexpr Duration kNearlyForgotten{45'000};
 constexpr int kTries = 3;
 constexpr int kComeBackSeconds = 2;
 // Users wait 2 s for the answer to a question and 5 s for the others: what isn't known by then is
 // said so, while they still listen.
-constexpr Span kQuestionTime{1'700};
-constexpr Span kRequestTime{4'500};
+constexpr Duration kQuestionTime{1'700};
+constexpr Duration kRequestTime{4'500};
 
 UserAnswer error(int status, const std::string& what, int retry_after_s = 0) {
   json::Writer out;
@@ -33,9 +33,9 @@
 
 UserAnswer undecided() { return error(503, "the state service does not answer", kComeBackSeconds); }
 
-UserAnswer state(const Uid& uid, const char* status) {
+UserAnswer state(const JobId& job_id, const char* status) {
   json::Writer out;
-  out.open().put("uid", uid.get()).put("status", status).close();
+  out.open().put("uid", job_id.get()).put("status", status).close();
   return {200, out.str(), 0};
 }
 
@@ -50,7 +50,7 @@
 /// An answer that is given once.
 class OpenAnswer {
  public:
-  OpenAnswer(Loop& loop, Span limit, Answer answer)
+  OpenAnswer(Loop& loop, Duration limit, Answer answer)
       : answer_(std::move(answer)), timer_(loop, [this] { give(undecided()); }) {
     timer_.start(limit);
   }
@@ -66,7 +66,7 @@
 };
 
 /// The answer, or a 503 when none has come within the limit; what comes later is dropped.
-Answer in_time(Loop& loop, Span limit, Answer answer) {
+Answer in_time(Loop& loop, Duration limit, Answer answer) {
   return [open = std::make_shared<OpenAnswer>(loop, limit, std::move(answer))](
              const UserAnswer& a) { open->give(a); };
 }
@@ -74,34 +74,34 @@
 }  // namespace
 
 Admission::Admission(Loop& loop, const Clock& clock, const Settings& settings, Store& store,
-                     Mirror& mirror, Cancellations& cancellations)
+                     WatchCache& cache, Cancellations& cancellations)
     : loop_(loop),
       clock_(clock),
       settings_(settings),
       store_(store),
-      mirror_(mirror),
+      cache_(cache),
       cancellations_(cancellations) {}
 
 void Admission::remember(const FinalRecord& job) {
-  if (!finals_.emplace(job.uid, job).second) return;
-  finals_order_.push_back(job.uid);
+  if (!finals_.emplace(job.job_id, job).second) return;
+  finals_order_.push_back(job.job_id);
   if (finals_order_.size() > kMaxFinals) {
     finals_.erase(finals_order_.front());
     finals_order_.pop_front();
   }
 }
 
-const FinalRecord* Admission::remembered(const Uid& uid) const {
-  const auto it = finals_.find(uid);
+const FinalRecord* Admission::remembered(const JobId& job_id) const {
+  const auto it = finals_.find(job_id);
   return it == finals_.end() ? nullptr : &it->second;
 }
 
 UserAnswer Admission::state_of(const FinalRecord& job) {
   json::Writer out;
   out.open()
-      .put("uid", job.uid.get())
+      .put("uid", job.job_id.get())
       .put("status", job.state == FinalState::done ? "done" : "cancelled")
-      .put("done", static_cast<std::uint64_t>(job.state == FinalState::done ? job.parts : 0))
+      .put("done", static_cast<std::uint64_t>(job.state == FinalState::done ? job.task_count : 0))
       .put("running", 0)
       .close();
   return {200, out.str(), 0};
@@ -111,9 +111,9 @@
   // The counts are for display and may lag; the state itself was just read.
   std::uint64_t done = 0;
   std::uint64_t running = 0;
-  const auto& slices = mirror_.records().slices;
-  for (auto it = slices.lower_bound({job.spec.uid, 0});
-       it != slices.end() && it->first.first == job.spec.uid; ++it) {
+  const auto& slices = cache_.records().slices;
+  for (auto it = slices.lower_bound({job.spec.job_id, 0});
+       it != slices.end() && it->first.first == job.spec.job_id; ++it) {
     for (const TaskRecord& task : it->second.record.tasks) {
       done += task.state == TaskState::done ? 1 : 0;
       running += task.state == TaskState::bound ? 1 : 0;
@@ -121,7 +121,7 @@
   }
   json::Writer out;
   out.open()
-      .put("uid", job.spec.uid.get())
+      .put("uid", job.spec.job_id.get())
       .put("status", job.cancelled ? "cancelled"
                      : running > 0 ? "running"
                                    : "queued")
@@ -134,59 +134,59 @@
 void Admission::note_cancellation(const Found& f) {
   // Of a job that is over nothing is left: there is nothing to tell the other controllers.
   if (f.job && f.job->record.cancelled) {
-    cancellations_.tell(f.job->record.spec.uid, *f.job->record.cancelled);
+    cancellations_.tell(f.job->record.spec.job_id, *f.job->record.cancelled);
   }
 }
 
-void Admission::note_silence(const Uid& uid, bool answered) {
+void Admission::note_silence(const JobId& job_id, bool answered) {
   if (answered) {
-    unanswered_.erase(uid);
+    unanswered_.erase(job_id);
     return;
   }
-  const Steady now = clock_.steady();
-  if (unanswered_.size() >= kMostUnanswered) unanswered_.clear();  // all of them: an outage
-  const auto since = unanswered_.try_emplace(uid, now).first;
+  const SteadyTime now = clock_.steady();
+  if (unanswered_.size() >= kMaxUnanswered) unanswered_.clear();  // all of them: an outage
+  const auto since = unanswered_.try_emplace(job_id, now).first;
   if (now - since->second < kNearlyForgotten) return;
   // A user who is told nothing for longer takes the job for forgotten.
-  spdlog::warn("admission: no request about {} could be answered for {} s", uid.get(),
+  spdlog::warn("admission: no request about {} could be answered for {} s", job_id.get(),
                (now - since->second).ms / 1000);
   since->second = now;
 }
 
-void Admission::look_up(const Uid& uid, std::function<void(const Found&)> tell_on) {
+void Admission::look_up(const JobId& job_id, std::function<void(const Found&)> tell_on) {
   // All that users are told of a job passes here, so a cancellation is noted before it is told.
-  const auto then = [this, uid, tell_on = std::move(tell_on)](const Found& f) {
+  const auto then = [this, job_id, tell_on = std::move(tell_on)](const Found& f) {
     note_cancellation(f);
-    note_silence(uid, f.ok);
+    note_silence(job_id, f.ok);
     tell_on(f);
   };
-  if (const FinalRecord* known = remembered(uid)) {
+  if (const FinalRecord* known = remembered(job_id)) {
     then({true, std::nullopt, *known});
     return;
   }
-  if (mirror_.records().jobs.contains(uid)) {
+  if (cache_.records().jobs.contains(job_id)) {
     // An unfinished job: all such questions share the watch, whose next word is newer than they
     // are.
-    mirror_.when_fresh([this, uid, then](bool fresh) {
-      const auto& jobs = mirror_.records().jobs;
-      const auto job = jobs.find(uid);
+    cache_.when_fresh([this, job_id, then](bool fresh) {
+      const auto& jobs = cache_.records().jobs;
+      const auto job = jobs.find(job_id);
       if (!fresh) {
         then({});
       } else if (job != jobs.end()) {
         then({true, job->second, std::nullopt});
       } else {
-        ask_store(uid, then);  // it has ended, or its record can't be read
+        ask_store(job_id, then);  // it has ended, or its record can't be read
       }
     });
     return;
   }
-  ask_store(uid, then);
+  ask_store(job_id, then);
 }
 
-void Admission::ask_store(const Uid& uid, std::function<void(const Found&)> then) {
+void Admission::ask_store(const JobId& job_id, std::function<void(const Found&)> then) {
   // Equal questions share a read, but never one that was sent before the question came: its answer
   // may be older than what another controller has told the user meanwhile.
-  const auto it = reading_.find(uid);
+  const auto it = reading_.find(job_id);
   if (it != reading_.end()) {
     it->second.next.push_back(std::move(then));
     return;
@@ -195,33 +195,33 @@
     then({});
     return;
   }
-  reading_[uid].current.push_back(std::move(then));
-  read(uid);
+  reading_[job_id].current.push_back(std::move(then));
+  read(job_id);
 }
 
-void Admission::read(const Uid& uid) {
-  store_.read(keys::job(uid), [this, uid](const ReadResult& r) {
+void Admission::read(const JobId& job_id) {
+  store_.read(keys::job(job_id), [this, job_id](const ReadResult& r) {
     if (!r.ok) {
-      found(uid, {});
+      found(job_id, {});
       return;
     }
     if (!r.entry) {
       // Jobs move to their final record in one commit, never back: what is in neither was not
       // accepted before the first read.
-      look_up_final(uid);
+      look_up_final(job_id);
       return;
     }
     Found result;
     if (auto record = decode_entry<JobRecord>(*r.entry)) {
       result.ok = true;
-      result.job = Stored<JobRecord>{std::move(*record), r.entry->stamp};
+      result.job = Versioned<JobRecord>{std::move(*record), r.entry->mod_revision};
     }
-    found(uid, result);
+    found(job_id, result);
   });
 }
 
-void Admission::look_up_final(const Uid& uid) {
-  store_.read(keys::final_job(uid), [this, uid](const ReadResult& r) {
+void Admission::look_up_final(const JobId& job_id) {
+  store_.read(keys::final_job(job_id), [this, job_id](const ReadResult& r) {
     Found result;
     result.ok = r.ok;
     if (r.ok && r.entry) {
@@ -229,12 +229,12 @@
       result.ok = result.final_job.has_value();
       if (result.final_job) remember(*result.final_job);
     }
-    found(uid, result);
+    found(job_id, result);
   });
 }
 
-void Admission::found(const Uid& uid, const Found& result) {
-  const auto it = reading_.find(uid);
+void Admission::found(const JobId& job_id, const Found& result) {
+  const auto it = reading_.find(job_id);
   if (it == reading_.end()) return;
   const auto answered = std::move(it->second.current);
   if (it->second.next.empty()) {
@@ -242,7 +242,7 @@
   } else {
     it->second.current = std::move(it->second.next);
     it->second.next.clear();
-    read(uid);
+    read(job_id);
   }
   for (const auto& then : answered) then(result);
 }
@@ -258,17 +258,17 @@
 }
 
 std::optional<std::string> Admission::impossible(const JobSpec& job) const {
-  const Team* team = settings_.team(job.crew);
-  if (team == nullptr) return "unknown team " + job.crew.get();
+  const Team* team = settings_.team(job.team);
+  if (team == nullptr) return "unknown team " + job.team.get();
   // A service's tasks all hold room at once, like a gang's.
-  const Room wanted =
-      job.gang() || job.endless() ? job.need * static_cast<double>(job.parts) : job.need;
+  const Resources wanted =
+      job.gang() || job.endless() ? job.need * static_cast<double>(job.task_count) : job.need;
   if (!fits(wanted, team->limit())) return "needs more than the team's limit";
   std::set<ZoneId> zones;  // in which a task fits
-  for (const MachineType& type : mirror_.records().types->record) {
+  for (const MachineType& type : cache_.records().types->record) {
     PlanMachine machine;
-    machine.build = type.name;
-    machine.room = type.room;
+    machine.machine_type = type.name;
+    machine.resources = type.resources;
     for (const ZoneId& zone : type.zones) {
       machine.zone = zone;
       if (Profile::allowed(job, machine)) zones.insert(zone);
@@ -277,7 +277,7 @@
   if (zones.empty()) return "a task fits no allowed machine type";
   // Tasks that run at the same time, at most half of them in one zone, need a second one. Those of
   // an array may run one half after the other.
-  const bool several = job.parts > 1 && (job.gang() || job.endless());
+  const bool several = job.task_count > 1 && (job.gang() || job.endless());
   if (several && job.spread && (job.together || zones.size() < 2)) {
     return "tasks that must be spread can be in one zone only";
   }
@@ -295,30 +295,30 @@
     answer(error(400, "not a JSON object"));
     return;
   }
-  const auto uid = json::text(doc, "uid");
-  if (!uid || !valid_uid(*uid)) {
+  const auto job_id = json::text(doc, "uid");
+  if (!job_id || !valid_job_id(*job_id)) {
     answer(error(400, "uid: missing or invalid"));
     return;
   }
-  const auto& records = mirror_.records();
+  const auto& records = cache_.records();
   std::string why;
   auto job = parse_job(doc, why);
   std::optional<UserAnswer> refusal;
   if (!job) {
     refusal = error(400, why + ": missing or invalid");
-  } else if (!mirror_.ready() || !records.types || records.types->record.empty()) {
+  } else if (!cache_.ready() || !records.types || records.types->record.empty()) {
     refusal = error(503, "the machine types are not known yet", 1);
   } else if (const auto reason = impossible(*job)) {
     refusal = error(422, *reason);
   } else if (records.jobs.size() >= settings_.tuning.max_open_jobs) {
     refusal = error(503, "too many unfinished jobs", kComeBackSeconds * 5);
-  } else if (remembered(job->uid) != nullptr || records.jobs.contains(job->uid)) {
+  } else if (remembered(job->job_id) != nullptr || records.jobs.contains(job->job_id)) {
     refusal = undecided();  // it is known: a commit would be in vain
   }
   if (refusal) {
     // A job that was accepted gets 200 whatever the repetition looks like, and whatever keeps a new
     // one out.
-    look_up(Uid(*uid), [this, refusal, answer](const Found& f) { tell(f, *refusal, answer); });
+    look_up(JobId(*job_id), [this, refusal, answer](const Found& f) { tell(f, *refusal, answer); });
     return;
   }
   create(std::make_shared<JobSpec>(std::move(*job)), kTries, answer);
@@ -327,65 +327,68 @@
 void Admission::create(std::shared_ptr<JobSpec> job, int tries, Answer answer) {
   JobRecord record{*job, clock_.wall(), std::nullopt};
   Txn txn;
-  txn.guard(keys::job(job->uid), Stamp{}).guard(keys::final_job(job->uid), Stamp{});
-  txn.put(keys::job(job->uid), encode(record));
-  mirror_.commit(
-      Rank::submission, std::move(txn), [this, job, tries, answer](const CommitResult& r) {
-        switch (r.fate) {
-          case Fate::done: {
-            spdlog::debug("admission: {} accepted: {} of {}, {} tasks", job->uid.get(),
-                          job->workclass, job->crew.get(), job->parts);
-            UserAnswer accepted = state(job->uid, "queued");
-            accepted.status = 201;
-            answer(accepted);
-            return;
-          }
-          case Fate::conflict:
-            look_up(job->uid, [this, answer](const Found& f) { tell(f, undecided(), answer); });
-            return;
-          case Fate::unknown:
-            // The same commit again settles it: it passes, or finds that the first one
-            // did.
-            if (tries > 1) {
-              create(job, tries - 1, answer);
-              return;
-            }
-            answer(undecided());
-            return;
-          case Fate::refused:
-          case Fate::no_permit:
-            answer(undecided());
-            return;
-        }
-      });
+  txn.guard(keys::job(job->job_id), ModRevision{})
+      .guard(keys::final_job(job->job_id), ModRevision{});
+  txn.put(keys::job(job->job_id), encode(record));
+  cache_.commit(RequestPriority::submission, std::move(txn),
+                [this, job, tries, answer](const CommitResult& r) {
+                  switch (r.outcome) {
+                    case Outcome::done: {
+                      spdlog::debug("admission: {} accepted: {} of {}, {} tasks", job->job_id.get(),
+                                    job->job_class, job->team.get(), job->task_count);
+                      UserAnswer accepted = state(job->job_id, "queued");
+                      accepted.status = 201;
+                      answer(accepted);
+                      return;
+                    }
+                    case Outcome::conflict:
+                      look_up(job->job_id,
+                              [this, answer](const Found& f) { tell(f, undecided(), answer); });
+                      return;
+                    case Outcome::unknown:
+                      // The same commit again settles it: it passes, or finds that the first one
+                      // did.
+                      if (tries > 1) {
+                        create(job, tries - 1, answer);
+                        return;
+                      }
+                      answer(undecided());
+                      return;
+                    case Outcome::refused:
+                    case Outcome::lease_expired:
+                      answer(undecided());
+                      return;
+                  }
+                });
 }
 
-void Admission::query(const std::string& uid, Answer on_answer) {
+void Admission::query(const std::string& job_id, Answer on_answer) {
   const Answer answer = in_time(loop_, kQuestionTime, std::move(on_answer));
-  if (!valid_uid(uid)) {
+  if (!valid_job_id(job_id)) {
     answer(error(404, "no such job"));
     return;
   }
-  look_up(Uid(uid), [this, answer](const Found& f) { tell(f, error(404, "no such job"), answer); });
+  look_up(JobId(job_id),
+          [this, answer](const Found& f) { tell(f, error(404, "no such job"), answer); });
 }
 
-void Admission::abort(const std::string& uid, Answer on_answer) {
+void Admission::abort(const std::string& job_id, Answer on_answer) {
   const Answer answer = in_time(loop_, kRequestTime, std::move(on_answer));
-  if (!valid_uid(uid)) {
+  if (!valid_job_id(job_id)) {
     answer(error(404, "no such job"));
     return;
   }
-  cancel(Uid(uid), kTries, answer);
+  cancel(JobId(job_id), kTries, answer);
 }
 
-void Admission::cancel(const Uid& uid, int tries, Answer answer) {
-  look_up(uid, [this, uid, tries, answer](const Found& f) {
+void Admission::cancel(const JobId& job_id, int tries, Answer answer) {
+  look_up(job_id, [this, job_id, tries, answer](const Found& f) {
     if (!f.ok) {
       answer(undecided());
       return;
     }
     if (f.final_job) {
-      answer(state(uid, f.final_job->state == FinalState::done ? "done" : "cancelled"));
+      answer(state(job_id, f.final_job->state == FinalState::done ? "done" : "cancelled"));
       return;
     }
     if (!f.job) {
@@ -393,7 +396,7 @@
       return;
     }
     if (f.job->record.cancelled) {
-      answer(state(uid, "cancelled"));
+      answer(state(job_id, "cancelled"));
       return;
     }
     if (tries == 0) {
@@ -403,32 +406,32 @@
     JobRecord record = f.job->record;
     record.cancelled = clock_.wall();
     Txn txn;
-    txn.guard(keys::job(uid), f.job->stamp).put(keys::job(uid), encode(record));
-    mirror_.commit(Rank::binding, std::move(txn),
-                   [this, uid, tries, answer, at = *record.cancelled](const CommitResult& r) {
-                     if (r.fate == Fate::done) {
-                       cancellations_.tell(uid, at);  // before the user: a peer may ask meanwhile
-                       answer(state(uid, "cancelled"));
-                     } else if (r.fate == Fate::refused) {
-                       answer(undecided());
-                     } else {
-                       cancel(uid, tries - 1, answer);  // read back what became of it
-                     }
-                   });
+    txn.guard(keys::job(job_id), f.job->mod_revision).put(keys::job(job_id), encode(record));
+    cache_.commit(RequestPriority::binding, std::move(txn),
+                  [this, job_id, tries, answer, at = *record.cancelled](const CommitResult& r) {
+                    if (r.outcome == Outcome::done) {
+                      cancellations_.tell(job_id, at);  // before the user: a peer may ask meanwhile
+                      answer(state(job_id, "cancelled"));
+                    } else if (r.outcome == Outcome::refused) {
+                      answer(undecided());
+                    } else {
+                      cancel(job_id, tries - 1, answer);  // read back what became of it
+                    }
+                  });
   });
 }
 
-void Admission::why(const std::string& uid, Answer on_answer) {
+void Admission::why(const std::string& job_id, Answer on_answer) {
   const Answer answer = in_time(loop_, kQuestionTime, std::move(on_answer));
-  if (!valid_uid(uid)) {
+  if (!valid_job_id(job_id)) {
     answer(error(404, "no such job"));
     return;
   }
-  look_up(Uid(uid), [this, answer](const Found& f) {
+  look_up(JobId(job_id), [this, answer](const Found& f) {
     if (!f.ok) {
       answer(undecided());
     } else if (f.job) {
-      answer({200, explain(mirror_.records(), f.job->record, clock_.wall()), 0});
+      answer({200, explain(cache_.records(), f.job->record, clock_.wall()), 0});
     } else {
       answer(f.final_job ? UserAnswer{200, explain(*f.final_job), 0} : error(404, "no such job"));
     }
--- a/src/admission/admission.hpp
+++ b/src/admission/admission.hpp
@@ -11,7 +11,7 @@
 
 #include "app/settings.hpp"
 #include "cancellations/cancellations.hpp"
-#include "store/mirror.hpp"
+#include "store/watch_cache.hpp"
 
 namespace marblevale {
 
@@ -25,35 +25,35 @@
 
 class Admission {
  public:
-  Admission(Loop& loop, const Clock& clock, const Settings& settings, Store& store, Mirror& mirror,
-            Cancellations& cancellations);
+  Admission(Loop& loop, const Clock& clock, const Settings& settings, Store& store,
+            WatchCache& cache, Cancellations& cancellations);
 
   void submit(const std::string& body, Answer answer);
-  void query(const std::string& uid, Answer answer);
-  void abort(const std::string& uid, Answer answer);
-  void why(const std::string& uid, Answer answer);
+  void query(const std::string& job_id, Answer answer);
+  void abort(const std::string& job_id, Answer answer);
+  void why(const std::string& job_id, Answer answer);
 
  private:
   /// What is known of a job after a successful read.
   struct Found {
     bool ok = false;  // false: the state service did not tell
-    std::optional<Stored<JobRecord>> job;
+    std::optional<Versioned<JobRecord>> job;
     std::optional<FinalRecord> final_job;
   };
 
-  void look_up(const Uid& uid, std::function<void(const Found&)> tell_on);
+  void look_up(const JobId& job_id, std::function<void(const Found&)> tell_on);
   void note_cancellation(const Found& f);
-  void note_silence(const Uid& uid, bool answered);
-  void ask_store(const Uid& uid, std::function<void(const Found&)> then);
-  void read(const Uid& uid);
-  void look_up_final(const Uid& uid);
-  void found(const Uid& uid, const Found& result);
+  void note_silence(const JobId& job_id, bool answered);
+  void ask_store(const JobId& job_id, std::function<void(const Found&)> then);
+  void read(const JobId& job_id);
+  void look_up_final(const JobId& job_id);
+  void found(const JobId& job_id, const Found& result);
   void create(std::shared_ptr<JobSpec> job, int tries, Answer answer);
-  void cancel(const Uid& uid, int tries, Answer answer);
+  void cancel(const JobId& job_id, int tries, Answer answer);
   /// The job's state, or `if_unknown` when it was never accepted.
   void tell(const Found& f, const UserAnswer& if_unknown, const Answer& answer) const;
   void remember(const FinalRecord& job);
-  [[nodiscard]] const FinalRecord* remembered(const Uid& uid) const;
+  [[nodiscard]] const FinalRecord* remembered(const JobId& job_id) const;
   [[nodiscard]] UserAnswer state_of(const JobRecord& job) const;
   [[nodiscard]] static UserAnswer state_of(const FinalRecord& job);
   [[nodiscard]] std::optional<std::string> impossible(const JobSpec& job) const;
@@ -62,7 +62,7 @@
   const Clock& clock_;
   const Settings& settings_;
   Store& store_;
-  Mirror& mirror_;
+  WatchCache& cache_;
   Cancellations& cancellations_;
   /// Questions about one job: those that the read on its way answers, and those that came after it
   /// was sent, which need another.
@@ -70,10 +70,11 @@
     std::vector<std::function<void(const Found&)>> current;
     std::vector<std::function<void(const Found&)>> next;
   };
-  std::unordered_map<Uid, Reading> reading_;
-  std::unordered_map<Uid, Steady> unanswered_;   // since when, or since it was last logged; bounded
-  std::unordered_map<Uid, FinalRecord> finals_;  // never change; bounded
-  std::list<Uid> finals_order_;
+  std::unordered_map<JobId, Reading> reading_;
+  std::unordered_map<JobId, SteadyTime>
+      unanswered_;  // since when, or since it was last logged; bounded
+  std::unordered_map<JobId, FinalRecord> finals_;  // never change; bounded
+  std::list<JobId> finals_order_;
 };
 
 }  // namespace marblevale
--- a/src/admission/why.cpp
+++ b/src/admission/why.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Notes with their time as seconds after acceptance.
-void write_history(json::Writer& out, const std::vector<Note>& notes, Wall accepted) {
+void write_history(json::Writer& out, const std::vector<Note>& notes, WallTime accepted) {
   out.key("history").open_list();
   for (const Note& note : notes) {
     out.open().put("after_s", (note.at - accepted).seconds()).put("what", note.what).close();
@@ -19,14 +19,14 @@
 
 }  // namespace
 
-std::string explain(const Records& records, const JobRecord& job, Wall now) {
+std::string explain(const Records& records, const JobRecord& job, WallTime now) {
   const JobSpec& spec = job.spec;
   std::uint64_t done = 0;
   std::uint64_t bound = 0;
   std::uint64_t stopping = 0;
   std::uint64_t faults = 0;
-  for (auto it = records.slices.lower_bound({spec.uid, 0});
-       it != records.slices.end() && it->first.first == spec.uid; ++it) {
+  for (auto it = records.slices.lower_bound({spec.job_id, 0});
+       it != records.slices.end() && it->first.first == spec.job_id; ++it) {
     for (const TaskRecord& task : it->second.record.tasks) {
       done += task.state == TaskState::done ? 1 : 0;
       bound += task.placed() ? 1 : 0;
@@ -36,19 +36,19 @@
   }
   json::Writer out;
   out.open()
-      .put("uid", spec.uid.get())
+      .put("uid", spec.job_id.get())
       .put("status", job.cancelled ? "cancelled"
                      : bound > 0   ? "running"
                                    : "queued")
-      .put("crew", spec.crew.get())
+      .put("crew", spec.team.get())
       .put("urgency", name_of(spec.urgency))
       .put("waited_s", (now - job.accepted).seconds())
-      .put("parts", static_cast<std::uint64_t>(spec.parts))
+      .put("parts", static_cast<std::uint64_t>(spec.task_count))
       .put("done", done)
       .put("placed", bound)
       .put("stopping", stopping)
       .put("faults", faults);
-  const auto grant = records.grants.find(spec.uid);
+  const auto grant = records.grants.find(spec.job_id);
   if (grant != records.grants.end()) {
     if (!grant->second.record.guarantees.empty()) {
       const Guarantee& g = grant->second.record.guarantees.back();
@@ -67,9 +67,9 @@
 std::string explain(const FinalRecord& job) {
   json::Writer out;
   out.open()
-      .put("uid", job.uid.get())
+      .put("uid", job.job_id.get())
       .put("status", job.state == FinalState::done ? "done" : "cancelled")
-      .put("parts", static_cast<std::uint64_t>(job.parts))
+      .put("parts", static_cast<std::uint64_t>(job.task_count))
       .put("took_s", (job.ended - job.accepted).seconds());
   write_history(out, job.notes, job.accepted);
   out.close();
@@ -86,8 +86,8 @@
   if (const auto waited = json::number(doc, "waited_s"))
     out << ", accepted " << *waited << " s ago";
   out << "\n";
-  if (const auto parts = json::count(doc, "parts"); parts && json::count(doc, "done")) {
-    out << "tasks: " << *parts << " in all, " << *json::count(doc, "done") << " done, "
+  if (const auto task_count = json::count(doc, "parts"); task_count && json::count(doc, "done")) {
+    out << "tasks: " << *task_count << " in all, " << *json::count(doc, "done") << " done, "
         << json::count(doc, "placed").value_or(0) << " placed, "
         << json::count(doc, "stopping").value_or(0) << " being stopped, "
         << json::count(doc, "faults").value_or(0) << " failures\n";
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -51,24 +51,25 @@
   return 0;
 }
 
-int ask_why(const std::string& uid, const std::string& at) {
+int ask_why(const std::string& job_id, const std::string& at) {
   Loop loop;
   HttpClient client(loop, parse_address(at, "--at"), 1, 1);
   int status = 1;
-  client.send({EVHTTP_REQ_GET, "/api/jobs/" + uid + "/why", {}, "application/json", Span{5000}},
-              [&](const HttpReply& reply) {
-                if (reply.status == 200) {
-                  std::cout << in_words(reply.body);
-                  status = 0;
-                } else if (reply.status == 404) {
-                  std::cerr << "no job " << uid << "\n";
-                } else if (reply.status == 0) {
-                  std::cerr << "no answer from " << at << "\n";
-                } else {
-                  std::cerr << at << " can't tell now (" << reply.status << "); ask again\n";
-                }
-                event_base_loopbreak(loop.base());
-              });
+  client.send(
+      {EVHTTP_REQ_GET, "/api/jobs/" + job_id + "/why", {}, "application/json", Duration{5000}},
+      [&](const HttpReply& reply) {
+        if (reply.status == 200) {
+          std::cout << in_words(reply.body);
+          status = 0;
+        } else if (reply.status == 404) {
+          std::cerr << "no job " << job_id << "\n";
+        } else if (reply.status == 0) {
+          std::cerr << "no answer from " << at << "\n";
+        } else {
+          std::cerr << at << " can't tell now (" << reply.status << "); ask again\n";
+        }
+        event_base_loopbreak(loop.base());
+      });
   loop.run();
   return status;
 }
@@ -99,10 +100,10 @@
   app.add_option("--max-open-jobs", tuning.max_open_jobs, "unfinished jobs that are admitted")
       ->envname("MARBLEVALE_MAX_OPEN_JOBS")
       ->check(CLI::Range(1, 1'000'000));
-  std::string uid;
+  std::string job_id;
   std::string at = "127.0.0.1:8080";
   auto* why = app.add_subcommand("why", "tell why a job waits, waited or was moved");
-  why->add_option("id", uid, "the job")->required();
+  why->add_option("id", job_id, "the job")->required();
   why->add_option("--at", at, "a controller's users' address")->envname("MARBLEVALE_AT");
   try {
     app.parse(argc, argv);
@@ -112,7 +113,7 @@
 
   try {
     if (!set_up_logging()) return kBadSettings;
-    if (why->parsed()) return ask_why(uid, at);
+    if (why->parsed()) return ask_why(job_id, at);
     if (config.empty()) throw SettingsError("--config: missing");
     Settings settings = load_settings(config);
     settings.tuning = tuning;
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -8,8 +8,8 @@
 #include "cancellations/cancellations.hpp"
 #include "election/election.hpp"
 #include "fleet/fleet.hpp"
+#include "peers/heartbeat.hpp"
 #include "peers/offers.hpp"
-#include "peers/pulse.hpp"
 #include "planner/granting.hpp"
 
 namespace marblevale {
@@ -22,17 +22,17 @@
  private:
   void serve(const HttpRequest& request, ResponderPtr responder);
   bool healthy();
-  [[nodiscard]] bool state_answers(Span within) const;
-  Pulse compose();
-  void heard(const Pulse& pulse, bool newer);
+  [[nodiscard]] bool state_answers(Duration within) const;
+  Heartbeat compose();
+  void heard(const Heartbeat& heartbeat, bool newer);
 
   void summarize();
 
-  Meter& meter_;
+  Metrics& metrics_;
   const Clock& clock_;
   const Settings& settings_;
   StoreClient store_;
-  Mirror mirror_;
+  WatchCache cache_;
   Cancellations cancellations_;
   Vouching vouching_;
   Election election_;
@@ -41,10 +41,10 @@
   Granting granting_;
   BlockGrants grants_;
   HttpOrderSender order_sender_;
-  Holder holder_;
+  BlockHolder holder_;
   Offers offers_;
   Admission admission_;
-  Pulses pulses_;
+  HeartbeatExchange heartbeats_;
   HttpServer peers_;
   bool healthy_ = false;
   HttpServer users_;
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -104,7 +104,7 @@
     } else {
       continue;  // kinds of later versions
     }
-    if (item->contains("class")) objective.workclass = text(*item, at, "class");
+    if (item->contains("class")) objective.job_class = text(*item, at, "class");
     if (objective.kind != Objective::Kind::deadline) {
       objective.within = from_seconds(positive(*item, at, "within_s"));
     }
@@ -127,11 +127,11 @@
 
 }  // namespace
 
-Room Team::limit() const {
+Resources Team::limit() const {
   return {cpus_max > 0 ? cpus_max : kUnlimited, gpus_max > 0 ? gpus_max : kUnlimited, kUnlimited};
 }
 
-Room Team::guarantee() const {
+Resources Team::guarantee() const {
   if (cpus <= 0 && gpus <= 0) return {0, 0, kUnlimited};
   return {cpus > 0 ? cpus : kUnlimited, gpus > 0 ? gpus : kUnlimited, kUnlimited};
 }
--- a/src/app/settings.hpp
+++ b/src/app/settings.hpp
@@ -29,32 +29,32 @@
   double gpus_max = 0;
 
   /// What the team's tasks may take at most.
-  [[nodiscard]] Room limit() const;
-  [[nodiscard]] Room guarantee() const;
+  [[nodiscard]] Resources limit() const;
+  [[nodiscard]] Resources guarantee() const;
 };
 
 /// What is expected of a class of jobs.
 struct Objective {
   enum class Kind { wait, finished, deadline, guarantee };
   Kind kind = Kind::wait;
-  std::string workclass;  // empty: any
-  Span within;            // not of a deadline
+  std::string job_class;  // empty: any
+  Duration within;        // not of a deadline
 };
 
 struct WorkerTimes {
-  Span report;
-  Span lease;
-  Span gang_wait;
-  Span gang_peer;
-  Span cancel;
+  Duration report;
+  Duration lease;
+  Duration gang_wait;
+  Duration gang_peer;
+  Duration cancel;
 };
 
 /// Operators' own settings: flags and variables only.
 struct Tuning {
-  Span round_budget{120};  // time of one round of decisions
-  Span block_lease{30'000};
-  Span session_lease{4'000};
-  Span idle_return{90'000};  // a machine idle for this long goes back
+  Duration round_budget{120};  // time of one round of decisions
+  Duration block_lease{30'000};
+  Duration session_lease{4'000};
+  Duration idle_return{90'000};  // a machine idle for this long goes back
   std::uint32_t max_open_jobs = 5000;
 };
 
@@ -67,13 +67,13 @@
   Address cloud;
   Address state;
   std::vector<ZoneId> zones;
-  Span clock_error;
+  Duration clock_error;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
   WorkerTimes workers;
   StoreLimits store;
   double cloud_rps = 1;
-  Span list_lag;
+  Duration list_lag;
   double ram_mb = 0;
   int max_sockets = 0;
   Tuning tuning;
--- a/src/blocks/grants.cpp
+++ b/src/blocks/grants.cpp
@@ -5,38 +5,37 @@
 namespace marblevale {
 
 namespace {
-constexpr Span kTick{500};
-constexpr Span kHomeAfter{6'000};  // a controller must have been back for this long
+constexpr Duration kTick{500};
+constexpr Duration kHomeAfter{6'000};  // a controller must have been back for this long
 // A leader hands its own block to another of its zone when its term lasts: where leaders change
 // again and again, blocks would move with each.
-constexpr Span kLeaderKeeps{20'000};
-constexpr Span kAwayAfterMove{45'000};  // against flapping, after a move for cause
-constexpr Span kComplaintLife{3'000};
+constexpr Duration kLeaderKeeps{20'000};
+constexpr Duration kAwayAfterMove{45'000};  // against flapping, after a move for cause
+constexpr Duration kMisdirectionMaxAge{3'000};
 }  // namespace
 
-BlockGrants::BlockGrants(Loop& loop, const Clock& clock, const Settings& settings, Mirror& mirror,
-                         Election& election)
-    : clock_(clock),
-      settings_(settings),
-      mirror_(mirror),
-      election_(election),
-      timer_(loop, [this] { tick(); }) {
-  mirror_.listen([this](Topic topic, const std::string&) {
-    if (topic == Topic::node || topic == Topic::block || topic == Topic::leader) timer_.start({0});
+BlockGrants::BlockGrants(Loop& loop, const Clock& clock, const Settings& settings,
+                         WatchCache& cache, Election& election)
+    : clock_(clock), settings_(settings), cache_(cache), election_(election), timer_(loop, [this] {
+        tick();
+      }) {
+  cache_.listen([this](RecordKind topic, const std::string&) {
+    if (topic == RecordKind::node || topic == RecordKind::block || topic == RecordKind::leader)
+      timer_.start({0});
   });
 }
 
 void BlockGrants::begin() { timer_.start(kTick); }
 
-void BlockGrants::complaint(const ZoneId& zone, const NodeId& witness) {
-  complaints_[zone] = {witness, clock_.steady()};
+void BlockGrants::misdirection(const ZoneId& zone, const NodeId& witness) {
+  misdirections_[zone] = {witness, clock_.steady()};
   timer_.start({0});
 }
 
 std::optional<NodeId> BlockGrants::home(const ZoneId& zone, const BlockRecord* held) const {
   // A living controller of the zone, so that a zone that is cut off has its holder inside. The
   // leader has work enough: it holds a block only where it is the zone's only one.
-  const auto& nodes = mirror_.records().nodes;
+  const auto& nodes = cache_.records().nodes;
   std::vector<NodeId> there;
   if (settings_.zone == zone) there.push_back(settings_.node);
   for (const Peer& peer : settings_.peers) {
@@ -54,15 +53,16 @@
 }
 
 std::optional<NodeId> BlockGrants::choose(const ZoneId& zone, const BlockRecord* held) {
-  const auto& records = mirror_.records();
-  const Steady now = clock_.steady();
+  const auto& records = cache_.records();
+  const SteadyTime now = clock_.steady();
   const auto alive = [&](const NodeId& node) { return records.nodes.contains(node); };
   const bool holder_lives = held != nullptr && records.alive(held->holder, held->nonce);
 
-  const auto complaint = complaints_.find(zone);
-  if (complaint != complaints_.end() && now - complaint->second.second < kComplaintLife) {
-    const NodeId witness = complaint->second.first;
-    complaints_.erase(complaint);
+  const auto misdirection = misdirections_.find(zone);
+  if (misdirection != misdirections_.end() &&
+      now - misdirection->second.second < kMisdirectionMaxAge) {
+    const NodeId witness = misdirection->second.first;
+    misdirections_.erase(misdirection);
     if (alive(witness) && held != nullptr && held->holder != witness) {
       moved_[zone] = now;
       return witness;
@@ -104,7 +104,7 @@
     charge_since_ = clock_.steady();
     alive_since_.clear();  // nobody looked between two terms
   }
-  const auto& records = mirror_.records();
+  const auto& records = cache_.records();
   // One that was cut off and is back has to stay for a while, too, though its life is the same.
   std::erase_if(alive_since_,
                 [&](const auto& entry) { return !records.nodes.contains(entry.first); });
@@ -123,14 +123,15 @@
     spdlog::info("blocks: {} goes to {}", zone.get(), wanted->get());
     Txn txn;
     election_.guard(txn);
-    txn.guard(keys::block(zone), it == records.blocks.end() ? Stamp{} : it->second.stamp);
+    txn.guard(keys::block(zone),
+              it == records.blocks.end() ? ModRevision{} : it->second.mod_revision);
     txn.put(keys::block(zone),
             encode(BlockRecord{zone, *wanted, holder.nonce,
                                held == nullptr ? 1 : held->generation + 1}),
-            holder.block_permit);
+            holder.block_lease_id);
     busy_.insert(zone);
-    mirror_.commit(Rank::lease, std::move(txn),
-                   [this, zone](const CommitResult&) { busy_.erase(zone); });
+    cache_.commit(RequestPriority::lease, std::move(txn),
+                  [this, zone](const CommitResult&) { busy_.erase(zone); });
   }
 }
 
--- a/src/blocks/grants.hpp
+++ b/src/blocks/grants.hpp
@@ -6,18 +6,18 @@
 
 #include "app/settings.hpp"
 #include "election/election.hpp"
-#include "store/mirror.hpp"
+#include "store/watch_cache.hpp"
 
 namespace marblevale {
 
 class BlockGrants {
  public:
-  BlockGrants(Loop& loop, const Clock& clock, const Settings& settings, Mirror& mirror,
+  BlockGrants(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
               Election& election);
 
   void begin();
   /// `witness` keeps getting reports from workers of the zone that can't reach the holder.
-  void complaint(const ZoneId& zone, const NodeId& witness);
+  void misdirection(const ZoneId& zone, const NodeId& witness);
 
  private:
   void tick();
@@ -26,13 +26,13 @@
 
   const Clock& clock_;
   const Settings& settings_;
-  Mirror& mirror_;
+  WatchCache& cache_;
   Election& election_;
-  Stamp term_;  // that the following is of
-  Steady charge_since_{};
-  std::map<NodeId, std::pair<Nonce, Steady>> alive_since_;
-  std::map<ZoneId, std::pair<NodeId, Steady>> complaints_;
-  std::map<ZoneId, Steady> moved_;  // forced moves: not home again for a while
+  ModRevision term_;  // that the following is of
+  SteadyTime charge_since_{};
+  std::map<NodeId, std::pair<Nonce, SteadyTime>> alive_since_;
+  std::map<ZoneId, std::pair<NodeId, SteadyTime>> misdirections_;
+  std::map<ZoneId, SteadyTime> moved_;  // forced moves: not home again for a while
   std::set<ZoneId> busy_;
   Timer timer_;
 };
--- a/src/blocks/holder.cpp
+++ b/src/blocks/holder.cpp
@@ -8,75 +8,79 @@
 
 namespace {
 
-constexpr Span kCoalesce{2};
-constexpr Span kSweep{500};
-constexpr Span kKillEvery{1500};
-constexpr Span kRenewEvery{8'000};
-constexpr Span kCancelMargin{4'000};
-constexpr double kOverdue = 0.5;  // of `cancel_s`: later than deletion in the ordinary way
-constexpr Span kBlind{2'500};     // without word of cancellations: nothing is started
-constexpr Span kStrayWindow{20'000};
-constexpr Span kStrayTime{6'000};
-constexpr Span kStrayRecent{5'000};
-constexpr std::size_t kMostOrders = 60;  // in one answer, so that it stays far below 64 KiB
-constexpr std::size_t kMostWoken = 64;   // machines that get orders in one round
-constexpr Span kPause{3'000};            // between two sweeps: this process stood still
-constexpr Span kOfferLife{2'500};
-constexpr std::size_t kMostOffers = 200;
-constexpr double kMuchSlack = 0.5;  // of the budget for writes
-constexpr Span kGatherBriefly{30};  // changes of machines that come together, with budget to spare
-constexpr Span kGather{1'000};      // and without
+constexpr Duration kCoalesce{2};
+constexpr Duration kSweep{500};
+constexpr Duration kKillEvery{1500};
+constexpr Duration kRenewEvery{8'000};
+constexpr Duration kCancelMargin{4'000};
+constexpr double kUnrecordedDeletionShare =
+    0.5;  // of `cancel_s`: later than deletion in the ordinary way
+constexpr Duration kMaxFreshnessAgeForStart{
+    2'500};  // without word of cancellations: nothing is started
+constexpr Duration kMisdirectionWindow{20'000};
+constexpr Duration kMinMisdirectionTime{6'000};
+constexpr Duration kMaxMisdirectionAge{5'000};
+constexpr std::size_t kMaxOrders = 60;       // in one answer, so that it stays far below 64 KiB
+constexpr std::size_t kMaxWoken = 64;        // machines that get orders in one round
+constexpr Duration kMinProcessPause{3'000};  // between two sweeps: this process stood still
+constexpr Duration kOfferLife{2'500};
+constexpr std::size_t kMaxOffers = 200;
+constexpr double kAmpleWriteSlack = 0.5;  // of the budget for writes
+constexpr Duration kShortMachineBatchDelay{
+    30};  // changes of machines that come together, with budget to spare
+constexpr Duration kMachineBatchDelay{1'000};  // and without
 // Changes of a slice that can wait for others of its slice when there is no budget to spare.
-constexpr Span kEndsWait{8'000};
-constexpr Span kRunningWait{60'000};
+constexpr Duration kTaskEndBatchDelay{8'000};
+constexpr Duration kRunningBatchDelay{60'000};
 
 }  // namespace
 
-Holder::Holder(Loop& loop, const Clock& clock, const Settings& settings, Mirror& mirror,
-               Election& election, OrderSender& orders, Cancellations& cancellations)
-    : meter_(loop.meter()),
+BlockHolder::BlockHolder(Loop& loop, const Clock& clock, const Settings& settings,
+                         WatchCache& cache, Election& election, OrderSender& orders,
+                         Cancellations& cancellations)
+    : metrics_(loop.metrics()),
       clock_(clock),
       settings_(settings),
-      mirror_(mirror),
+      cache_(cache),
       election_(election),
       orders_(orders),
       cancellations_(cancellations),
-      machines_(mirror, Rank::binding,
+      machines_(cache, RequestPriority::binding,
                 [this](Txn& txn, const ZoneId& zone) {
                   if (holding(zone) != Holding::held) return false;
-                  txn.guard(keys::block(zone), Stamp(warrant_of(zone).get()));
+                  txn.guard(keys::block(zone), ModRevision(token_of(zone).get()));
                   return true;
                 }),
       flush_timer_(loop, [this] { machines_.flush(); }),
       round_timer_(loop, [this] { round(); }),
       sweep_timer_(loop, [this] { sweep(); }) {
-  mirror_.listen([this](Topic topic, const std::string& key) {
+  cache_.listen([this](RecordKind topic, const std::string& key) {
     switch (topic) {
-      case Topic::slice: {
+      case RecordKind::slice: {
         const auto slash = key.find('/');
-        const Uid uid(key.substr(0, slash));
+        const JobId job_id(key.substr(0, slash));
         const auto number = static_cast<std::uint32_t>(std::stoul(key.substr(slash + 1)));
-        dirty_.insert({uid, number});
-        if (const auto* slice = mirror_.records().slice(uid, number)) {
+        dirty_.insert({job_id, number});
+        if (const auto* slice = cache_.records().slice(job_id, number)) {
           for (const TaskRecord& task : slice->record.tasks) {
-            if (task.placed()) wake_.insert(task.host);
+            if (task.placed()) machines_to_command_.insert(task.machine_id);
           }
         }
         break;
       }
-      case Topic::job:
-        look_at(Uid(key));
+      case RecordKind::job:
+        mark_job_dirty(JobId(key));
         break;
-      case Topic::machine: {
-        const auto placed = mirror_.records().placed.find(HostId(key));
-        if (placed == mirror_.records().placed.end()) return;
+      case RecordKind::machine: {
+        const auto placed = cache_.records().placed.find(MachineId(key));
+        if (placed == cache_.records().placed.end()) return;
         for (const auto& [id, attempt] : placed->second) {
-          dirty_.insert({id.uid, id.part / kSliceTasks});
+          dirty_.insert({id.job_id, id.task_index / kSliceTasks});
         }
         break;
       }
-      case Topic::block:
-      case Topic::node:
+      case RecordKind::block:
+      case RecordKind::node:
         break;
       default:
         return;
@@ -85,7 +89,7 @@
   });
 }
 
-void Holder::begin() {
+void BlockHolder::begin() {
   const WorkerTimes& times = settings_.workers;
   if (times.cancel - times.lease - kCancelMargin < times.report) {
     spdlog::warn(
@@ -96,179 +100,183 @@
   sweep_timer_.start(kSweep);
 }
 
-void Holder::look_at(const Uid& uid) {
-  for (auto it = mirror_.records().slices.lower_bound({uid, 0});
-       it != mirror_.records().slices.end() && it->first.first == uid; ++it) {
+void BlockHolder::mark_job_dirty(const JobId& job_id) {
+  for (auto it = cache_.records().slices.lower_bound({job_id, 0});
+       it != cache_.records().slices.end() && it->first.first == job_id; ++it) {
     dirty_.insert(it->first);
     for (const TaskRecord& task : it->second.record.tasks) {
-      if (task.placed()) wake_.insert(task.host);
+      if (task.placed()) machines_to_command_.insert(task.machine_id);
     }
   }
 }
 
-void Holder::cancelled(const Uid& uid) {
-  look_at(uid);
+void BlockHolder::cancelled(const JobId& job_id) {
+  mark_job_dirty(job_id);
   if (!round_timer_.pending()) round_timer_.start(kCoalesce);
 }
 
-Warrant Holder::warrant_of(const ZoneId& zone) const {
-  const auto it = mirror_.records().blocks.find(zone);
-  return it == mirror_.records().blocks.end() ? Warrant{} : Warrant(it->second.stamp.get());
+FencingToken BlockHolder::token_of(const ZoneId& zone) const {
+  const auto it = cache_.records().blocks.find(zone);
+  return it == cache_.records().blocks.end() ? FencingToken{}
+                                             : FencingToken(it->second.mod_revision.get());
 }
 
-Holder::Holding Holder::holding(const ZoneId& zone) const {
-  const auto it = mirror_.records().blocks.find(zone);
-  if (it == mirror_.records().blocks.end()) return Holding::none;
+BlockHolder::Holding BlockHolder::holding(const ZoneId& zone) const {
+  const auto it = cache_.records().blocks.find(zone);
+  if (it == cache_.records().blocks.end()) return Holding::none;
   const BlockRecord& block = it->second.record;
   if (block.holder != settings_.node || block.nonce != election_.nonce()) return Holding::none;
-  // What the holder before us committed must be in the mirror before we act on reports.
-  return mirror_.revision().get() >= it->second.stamp.get() ? Holding::held : Holding::settling;
+  // What the holder before us committed must be in the cache before we act on reports.
+  return cache_.revision().get() >= it->second.mod_revision.get() ? Holding::held
+                                                                  : Holding::settling;
 }
 
-void Holder::take_blocks() {
-  for (const auto& [zone, stored] : mirror_.records().blocks) {
+void BlockHolder::take_blocks() {
+  for (const auto& [zone, stored] : cache_.records().blocks) {
     const BlockRecord& block = stored.record;
     const bool earlier_life = block.holder == settings_.node && block.nonce != election_.nonce();
-    if (earlier_life && election_.block_permit() != Permit{}) renew_warrant(zone);
-    const Warrant now(stored.stamp.get());
+    if (earlier_life && election_.block_lease_id() != LeaseId{}) renew_token(zone);
+    const FencingToken now(stored.mod_revision.get());
     if (holders_[zone] != block.holder) {
       holders_[zone] = block.holder;
-      strays_.erase(zone);
+      misdirected_reports_.erase(zone);
     }
     if (holding(zone) == Holding::none) {
-      if (warrants_.erase(zone) > 0) {
+      if (tokens_.erase(zone) > 0) {
         std::erase_if(workers_, [&](const auto& entry) { return entry.second.zone == zone; });
         machines_.forget(zone);
         spdlog::info("holder: block {} is held elsewhere", zone.get());
       }
-    } else if (holding(zone) == Holding::held && warrants_[zone] != now) {
-      const bool fresh = warrants_[zone] == Warrant{};
-      warrants_[zone] = now;
+    } else if (holding(zone) == Holding::held && tokens_[zone] != now) {
+      const bool fresh = tokens_[zone] == FencingToken{};
+      tokens_[zone] = now;
       if (!fresh) continue;
-      first_warrant_[zone] = now;
+      first_token_[zone] = now;
       // What an earlier holding wanted to say of its machines is no longer known to be so: a holder
       // that had been cut off called all of them silent, as soon as it was back.
       machines_.forget(zone);
-      spdlog::info("holder: block {} is ours, warrant {}", zone.get(), now.get());
+      spdlog::info("holder: block {} is ours, token {}", zone.get(), now.get());
       // Workers of a holder that is gone are told at once who speaks for the block now.
-      for (const auto& [host, machine] : mirror_.records().machines) {
+      for (const auto& [machine_id, machine] : cache_.records().machines) {
         if (machine.record.zone != zone || machine.record.state >= MachineState::deleting) continue;
-        Worker& worker = workers_[host];
+        Worker& worker = workers_[machine_id];
         worker.zone = zone;
-        may_report(host, worker, clock_.steady());
+        may_report(machine_id, worker, clock_.steady());
         worker.view.address = machine.record.address;
-        wake_.insert(host);
+        machines_to_command_.insert(machine_id);
       }
-      for (const auto& [key, slice] : mirror_.records().slices) dirty_.insert(key);
+      for (const auto& [key, slice] : cache_.records().slices) dirty_.insert(key);
     }
   }
 }
 
-void Holder::renew_warrant(const ZoneId& zone) {
+void BlockHolder::renew_token(const ZoneId& zone) {
   const std::string key = keys::block(zone);
-  const auto it = mirror_.records().blocks.find(zone);
-  if (it == mirror_.records().blocks.end() || taking_.contains(key)) return;
+  const auto it = cache_.records().blocks.find(zone);
+  if (it == cache_.records().blocks.end() || taking_.contains(key)) return;
   taking_.insert(key);
   Txn txn;
-  txn.guard(key, it->second.stamp);
+  txn.guard(key, it->second.mod_revision);
   txn.put(key,
           encode(BlockRecord{zone, settings_.node, election_.nonce(),
                              it->second.record.generation + 1}),
-          election_.block_permit());
-  mirror_.commit(Rank::lease, std::move(txn), [this, key](const CommitResult&) {
+          election_.block_lease_id());
+  cache_.commit(RequestPriority::lease, std::move(txn), [this, key](const CommitResult&) {
     taking_.erase(key);
     if (!round_timer_.pending()) round_timer_.start(kCoalesce);
   });
 }
 
-Span Holder::silence_limit() const { return settings_.workers.report * 2.5; }
+Duration BlockHolder::silence_limit() const { return settings_.workers.report * 2.5; }
 
-Span Holder::answer_limit() const {
+Duration BlockHolder::answer_limit() const {
   // The worker's lease runs from the sending of the last report that was answered: one that was
   // answered by then is over a margin before the task must be gone. The margin is for the drift of
   // steady clocks (0.05% of cancel_s), for clocks that are off, and for the worker's own time.
-  const Span left = settings_.workers.cancel - settings_.workers.lease - kCancelMargin;
-  return std::max(left, kBlind);
+  const Duration left = settings_.workers.cancel - settings_.workers.lease - kCancelMargin;
+  return std::max(left, kMaxFreshnessAgeForStart);
 }
 
-Steady Holder::fresh() const { return std::max(mirror_.fresh_until(), extended_fresh_); }
+SteadyTime BlockHolder::fresh() const { return std::max(cache_.fresh_until(), extended_fresh_); }
 
-void Holder::extend_freshness(Steady until) {
+void BlockHolder::extend_freshness(SteadyTime until) {
   // Where there is no time for it to be of use, nobody's word is taken for the state service's.
   const WorkerTimes& times = settings_.workers;
   if (times.cancel - times.lease - kCancelMargin < times.report) return;
   extended_fresh_ = std::max(extended_fresh_, until);
 }
 
-bool Holder::keeps_cancelled(const HostId& host, const Worker& worker, Span since) const {
+bool BlockHolder::keeps_cancelled(const MachineId& machine_id, const Worker& worker,
+                                  Duration since) const {
   // It still has a task, or may still start one, that was cancelled so long ago.
-  const auto placed = mirror_.records().placed.find(host);
-  if (placed == mirror_.records().placed.end()) return false;
-  const Wall now = clock_.wall() + settings_.clock_error * 2.0;
+  const auto placed = cache_.records().placed.find(machine_id);
+  if (placed == cache_.records().placed.end()) return false;
+  const WallTime now = clock_.wall() + settings_.clock_error * 2.0;
   return std::any_of(placed->second.begin(), placed->second.end(), [&](const auto& entry) {
-    const auto at = cancellations_.cancelled_at(entry.first.uid);
+    const auto at = cancellations_.cancelled_at(entry.first.job_id);
     if (!at || now - *at < since) return false;
-    const TaskRecord* task = mirror_.records().task(entry.first);
+    const TaskRecord* task = cache_.records().task(entry.first);
     if (task == nullptr || task->state != TaskState::bound) return false;
-    const Finding found = examine(entry.first, *task, worker.view, warrant_of(worker.zone));
+    const Finding found = examine(entry.first, *task, worker.view, token_of(worker.zone));
     return found == Finding::present || found == Finding::absent;
   });
 }
 
-std::vector<HostId> Holder::overdue() const {
-  std::vector<HostId> out;
-  for (const auto& [host, worker] : workers_) {
+std::vector<MachineId> BlockHolder::overdue() const {
+  std::vector<MachineId> out;
+  for (const auto& [machine_id, worker] : workers_) {
     if (holding(worker.zone) != Holding::held) continue;
-    if (keeps_cancelled(host, worker, settings_.workers.cancel * kOverdue)) out.push_back(host);
+    if (keeps_cancelled(machine_id, worker, settings_.workers.cancel * kUnrecordedDeletionShare))
+      out.push_back(machine_id);
   }
   return out;
 }
 
-std::vector<ZoneId> Holder::complaints() {
+std::vector<ZoneId> BlockHolder::misdirected_zones() {
   std::vector<ZoneId> out;
-  const Steady now = clock_.steady();
-  for (auto& [zone, hosts] : strays_) {
+  const SteadyTime now = clock_.steady();
+  for (auto& [zone, machine_ids] : misdirected_reports_) {
     std::size_t again = 0;
-    for (auto& [host, times] : hosts) {
-      std::erase_if(times, [&](Steady t) { return now - t > kStrayWindow; });
+    for (auto& [machine_id, times] : machine_ids) {
+      std::erase_if(times, [&](SteadyTime t) { return now - t > kMisdirectionWindow; });
       // Sent on to the holder, and back again for longer than a holder's crash takes to be noticed.
-      if (times.size() >= 2 && times.back() - times.front() >= kStrayTime &&
-          now - times.back() < kStrayRecent) {
+      if (times.size() >= 2 && times.back() - times.front() >= kMinMisdirectionTime &&
+          now - times.back() < kMaxMisdirectionAge) {
         ++again;
       }
     }
-    std::erase_if(hosts, [](const auto& entry) { return entry.second.empty(); });
+    std::erase_if(machine_ids, [](const auto& entry) { return entry.second.empty(); });
     if (again >= 2 && holding(zone) == Holding::none) out.push_back(zone);
   }
   return out;
 }
 
-std::set<ZoneId> Holder::dark() const {
+std::set<ZoneId> BlockHolder::unreachable_zones() const {
   std::set<ZoneId> out;
-  for (const auto& [zone, warrant] : warrants_) {
+  for (const auto& [zone, token] : tokens_) {
     if (holding(zone) == Holding::held) out.insert(zone);
   }
-  const Steady now = clock_.steady();
-  for (const auto& [host, worker] : workers_) {
+  const SteadyTime now = clock_.steady();
+  for (const auto& [machine_id, worker] : workers_) {
     if (out.empty()) break;
-    if (worker.hearing.introduced() && now - worker.heard < silence_limit()) {
+    if (worker.reachability.introduced() && now - worker.last_report_at < silence_limit()) {
       out.erase(worker.zone);
     }
   }
   return out;
 }
 
-HelloAnswer Holder::hello(std::string_view body) {
-  const auto timed = meter_.time(Duty::report);
+ReportAnswer BlockHolder::handle_report(std::string_view body) {
+  const auto timed = metrics_.time(Duty::report);
   const auto report = parse_report(body);
   if (!report) return {400, R"({"error":"malformed report"})"};
-  const Steady now = clock_.steady();
-  const auto redirect = [&]() -> HelloAnswer {
-    const auto it = mirror_.records().blocks.find(report->district);
-    const bool known = mirror_.ready() && it != mirror_.records().blocks.end() &&
+  const SteadyTime now = clock_.steady();
+  const auto redirect = [&]() -> ReportAnswer {
+    const auto it = cache_.records().blocks.find(report->zone);
+    const bool known = cache_.ready() && it != cache_.records().blocks.end() &&
                        it->second.record.holder != settings_.node;
     if (!known) return {421, "{}"};
-    auto& seen = strays_[report->district][report->host];
+    auto& seen = misdirected_reports_[report->zone][report->machine_id];
     if (seen.size() >= 8) seen.erase(seen.begin());
     seen.push_back(now);
     json::Writer out;
@@ -277,81 +285,82 @@
   };
   // Without contact to the state service a cancellation may have been accepted that we can't see;
   // answering would keep the worker's lease, and the cancelled task, alive for too long.
-  const bool current = mirror_.ready() && now - fresh() < answer_limit();
-  if (!current || holding(report->district) != Holding::held) return redirect();
+  const bool current = cache_.ready() && now - fresh() < answer_limit();
+  if (!current || holding(report->zone) != Holding::held) return redirect();
   take_blocks();
-  const Warrant warrant = warrant_of(report->district);
-  if (report->warrant > warrant) return {421, "{}"};  // another holds the block by now
+  const FencingToken token = token_of(report->zone);
+  if (report->token > token) return {421, "{}"};  // another holds the block by now
 
-  const auto [entry, unheard_of] = workers_.try_emplace(report->host);
+  const auto [entry, unheard_of] = workers_.try_emplace(report->machine_id);
   Worker& worker = entry->second;
-  if (unheard_of) worker.heard = now;
-  worker.zone = report->district;
+  if (unheard_of) worker.last_report_at = now;
+  worker.zone = report->zone;
   // A copy of an old report may come as late as it likes: what is not newer than what is known of
   // the worker changes nothing. A holder that has just begun knows nothing yet; then only a report
-  // that has seen a warrant of ours shows that it was sent since. (Warrants are renewed while a
-  // block is held: the first of them counts.)
-  const bool newer = absorb(worker, *report);
+  // that has seen a fencing token of ours shows that it was sent since. (Fencing tokens are renewed
+  // while a block is held: the first of them counts.)
+  const bool newer = apply_report(worker, *report);
   // A lease renewed now would outlast `cancel_s`. Neither the state service nor the cloud is needed
   // to end the task: its machine's lease is left to lapse, whatever else runs there.
-  const bool refused = keeps_cancelled(report->host, worker, answer_limit());
+  const bool refused = keeps_cancelled(report->machine_id, worker, answer_limit());
   if (refused && !worker.refused) {
-    spdlog::warn("holder: {} gets no answers: it still has a cancelled task", report->host.get());
-    meter_.count("leases left to lapse");
+    spdlog::warn("holder: {} gets no answers: it still has a cancelled task",
+                 report->machine_id.get());
+    metrics_.count("leases left to lapse");
   }
   worker.refused = refused;
   // Not sent on to anybody who would answer.
   if (refused) return {503, R"({"error":"its lease must lapse"})"};
-  if (!newer) return {200, write_answer(warrant, {})};
-  if (report->warrant >= first_warrant_[report->district]) {
-    worker.hearing.answered(now, settings_.workers.lease);
-    worker.heard = now;
-    worker.hearing.heard(warrant);
+  if (!newer) return {200, write_answer(token, {})};
+  if (report->token >= first_token_[report->zone]) {
+    worker.reachability.answered(now, settings_.workers.lease);
+    worker.last_report_at = now;
+    worker.reachability.heard(token);
     note_machine(*report, worker);
-  } else if (!worker.hearing.introduced_under(warrant)) {
-    wake_.insert(report->host);  // the introduction tells whether it hears
+  } else if (!worker.reachability.introduced_under(token)) {
+    machines_to_command_.insert(report->machine_id);  // the introduction tells whether it hears
     if (!round_timer_.pending()) round_timer_.start(kCoalesce);
   }
-  auto orders = orders_for(report->host, worker, true);
+  auto orders = orders_for(report->machine_id, worker, true);
   for (const Order& order : orders) {
     if (order.verb == Verb::start) {
-      worker.view.answered_starts[{order.id, order.attempt}] = report->tally;
-      worker.hearing.start_sent(order.id, order.attempt, now, true);
+      worker.view.answered_starts[{order.id, order.attempt}] = report->sequence;
+      worker.reachability.start_sent(order.id, order.attempt, now, true);
     }
   }
-  return {200, write_answer(warrant, orders)};
+  return {200, write_answer(token, orders)};
 }
 
-bool Holder::absorb(Worker& worker, const Report& report, WorkerView::Source source) {
-  const Tenure before = worker.view.tenure;
+bool BlockHolder::apply_report(Worker& worker, const Report& report, WorkerView::Source source) {
+  const SessionId before = worker.view.session;
   if (!worker.view.take(report, source)) return false;
-  if (report.tenure > before &&
-      worker.hearing.session_changed(clock_.steady(), settings_.workers.lease) &&
-      before != Tenure{}) {
-    mark_deaf(report.host, worker, "its lease lapsed though it was answered");
+  if (report.session > before &&
+      worker.reachability.session_changed(clock_.steady(), settings_.workers.lease) &&
+      before != SessionId{}) {
+    mark_commands_unreachable(report.machine_id, worker, "its lease lapsed though it was answered");
   }
   worker.view.prune();
-  worker.recall.reset();
-  if (report.recall) worker.recall = clock_.wall() + *report.recall;
+  worker.reclaim_at.reset();
+  if (report.reclaim_in) worker.reclaim_at = clock_.wall() + *report.reclaim_in;
   bool news = false;
   for (const auto& [key, task] : worker.view.tasks) {
-    const TaskRecord* record = mirror_.records().task(key.first);
+    const TaskRecord* record = cache_.records().task(key.first);
     if (record == nullptr || record->state != TaskState::bound || record->attempt != key.second ||
-        record->host != report.host) {
+        record->machine_id != report.machine_id) {
       continue;
     }
     const bool started = task.status == TaskStatus::running && record->running.ms == 0;
     if (task.status == TaskStatus::ended || started) {
-      dirty_.insert({key.first.uid, key.first.part / kSliceTasks});
+      dirty_.insert({key.first.job_id, key.first.task_index / kSliceTasks});
       news = true;
     }
   }
   // Bound tasks that the report lacks are looked at as well.
-  const auto placed = mirror_.records().placed.find(report.host);
-  if (placed != mirror_.records().placed.end()) {
+  const auto placed = cache_.records().placed.find(report.machine_id);
+  if (placed != cache_.records().placed.end()) {
     for (const auto& [id, attempt] : placed->second) {
       if (reported(worker.view, id, attempt) != nullptr) continue;
-      dirty_.insert({id.uid, id.part / kSliceTasks});
+      dirty_.insert({id.job_id, id.task_index / kSliceTasks});
       news = true;
     }
   }
@@ -359,146 +368,158 @@
   return true;
 }
 
-void Holder::mark_deaf(const HostId& host, Worker& worker, const char* why) {
-  if (!worker.hearing.deaf()) spdlog::info("holder: {} does not hear: {}", host.get(), why);
-  worker.hearing.mark_deaf();
+void BlockHolder::mark_commands_unreachable(const MachineId& machine_id, Worker& worker,
+                                            const char* why) {
+  if (!worker.reachability.commands_unreachable())
+    spdlog::info("holder: {} does not hear: {}", machine_id.get(), why);
+  worker.reachability.mark_commands_unreachable();
 }
 
-void Holder::may_report(const HostId& host, Worker& worker, Steady now) const {
+void BlockHolder::may_report(const MachineId& machine_id, Worker& worker, SteadyTime now) const {
   // One that an earlier holder found silent has to report first.
-  const auto machine = mirror_.records().machines.find(host);
-  if (machine != mirror_.records().machines.end() &&
+  const auto machine = cache_.records().machines.find(machine_id);
+  if (machine != cache_.records().machines.end() &&
       machine->second.record.state == MachineState::silent) {
     return;
   }
-  worker.heard = now;
+  worker.last_report_at = now;
 }
 
-void Holder::look_for_mute(const HostId& host, Worker& worker) {
+void BlockHolder::check_reports_reachable(const MachineId& machine_id, Worker& worker) {
   // It may reach no controller and hear orders all the same. What becomes of its tasks, and that
   // its lease has lapsed, is then told by its answers only.
-  worker.hearing.inspect(silent(host) && mirror_.records().placed.contains(host));
-  if (worker.hearing.introduction_due(clock_.steady())) wake_.insert(host);
+  worker.reachability.inspect(silent(machine_id) && cache_.records().placed.contains(machine_id));
+  if (worker.reachability.introduction_due(clock_.steady()))
+    machines_to_command_.insert(machine_id);
 }
 
-void Holder::look_for_deaf(const HostId& host, Worker& worker) {
-  const Steady now = clock_.steady();
-  const Span report = settings_.workers.report;
-  if (now - worker.heard < report * 2.0 && worker.hearing.misses_starts(worker.view, now, report)) {
-    mark_deaf(host, worker, "its starts do not show");
+void BlockHolder::check_commands_reachable(const MachineId& machine_id, Worker& worker) {
+  const SteadyTime now = clock_.steady();
+  const Duration report = settings_.workers.report;
+  if (now - worker.last_report_at < report * 2.0 &&
+      worker.reachability.misses_starts(worker.view, now, report)) {
+    mark_commands_unreachable(machine_id, worker, "its starts do not show");
   }
-  worker.hearing.forget([&](const auto& start) {
-    const TaskRecord* task = mirror_.records().task(start.first);
-    return task == nullptr || task->state != TaskState::bound || task->host != host ||
+  worker.reachability.forget([&](const auto& start) {
+    const TaskRecord* task = cache_.records().task(start.first);
+    return task == nullptr || task->state != TaskState::bound || task->machine_id != machine_id ||
            task->attempt != start.second || worker.view.tasks.contains(start);
   });
-  if (worker.hearing.deaf()) put_machine(host, MachineState::silent, "reports, but does not hear");
+  if (worker.reachability.commands_unreachable())
+    put_machine(machine_id, MachineState::silent, "reports, but does not hear");
 }
 
-void Holder::note_machine(const Report& report, Worker& worker) {
-  const auto it = mirror_.records().machines.find(report.host);
-  if (it == mirror_.records().machines.end()) {
-    if (machines_.waits(report.host)) return;
+void BlockHolder::note_machine(const Report& report, Worker& worker) {
+  const auto it = cache_.records().machines.find(report.machine_id);
+  if (it == cache_.records().machines.end()) {
+    if (machines_.waits(report.machine_id)) return;
     MachineRecord record;
-    record.host = report.host;
+    record.machine_id = report.machine_id;
     record.address = report.address;
-    record.build = report.build;
-    record.zone = report.district;
-    record.spot = report.loaners;
+    record.machine_type = report.machine_type;
+    record.zone = report.zone;
+    record.spot = report.spot;
     record.since = clock_.wall();
-    record.recall = worker.recall;
-    if (worker.recall) record.state = MachineState::draining;
-    machines_.edit(report.host, report.district, [record](MachineRecord& now) {
-      if (now.host != HostId{}) return MachineWriter::Outcome::none;  // it is known by now
+    record.reclaim_at = worker.reclaim_at;
+    if (worker.reclaim_at) record.state = MachineState::draining;
+    machines_.edit(report.machine_id, report.zone, [record](MachineRecord& now) {
+      if (now.machine_id != MachineId{})
+        return MachineWriter::EditAction::none;  // it is known by now
       now = record;
-      return MachineWriter::Outcome::put;
+      return MachineWriter::EditAction::put;
     });
     flush_soon();
     return;
   }
   const MachineRecord& record = it->second.record;
-  if (worker.recall && (record.state == MachineState::up || record.state == MachineState::silent)) {
-    put_machine(report.host, MachineState::draining, "the cloud takes it back");
-  } else if (record.state == MachineState::silent && !silent(report.host)) {
-    put_machine(report.host, MachineState::up, "reports again");
+  if (worker.reclaim_at &&
+      (record.state == MachineState::up || record.state == MachineState::silent)) {
+    put_machine(report.machine_id, MachineState::draining, "the cloud takes it back");
+  } else if (record.state == MachineState::silent && !silent(report.machine_id)) {
+    put_machine(report.machine_id, MachineState::up, "reports again");
   }
 }
 
-void Holder::flush_soon() {
+void BlockHolder::flush_soon() {
   // Machines come up in crowds: those of one page are written together.
   if (!flush_timer_.pending()) {
-    flush_timer_.start(mirror_.write_slack() > kMuchSlack ? kGatherBriefly : kGather);
+    flush_timer_.start(cache_.write_slack() > kAmpleWriteSlack ? kShortMachineBatchDelay
+                                                               : kMachineBatchDelay);
   }
 }
 
-void Holder::put_machine(const HostId& host, MachineState state, const char* why, Uid blamed) {
-  const auto it = mirror_.records().machines.find(host);
-  if (it == mirror_.records().machines.end() || it->second.record.state == state ||
-      it->second.record.state >= MachineState::deleting || machines_.waits(host)) {
+void BlockHolder::put_machine(const MachineId& machine_id, MachineState state, const char* why,
+                              JobId blamed) {
+  const auto it = cache_.records().machines.find(machine_id);
+  if (it == cache_.records().machines.end() || it->second.record.state == state ||
+      it->second.record.state >= MachineState::deleting || machines_.waits(machine_id)) {
     return;
   }
-  const auto worker = workers_.find(host);
-  const auto recall = worker == workers_.end() ? std::nullopt : worker->second.recall;
-  const Wall now = clock_.wall();
+  const auto worker = workers_.find(machine_id);
+  const auto reclaim_at = worker == workers_.end() ? std::nullopt : worker->second.reclaim_at;
+  const WallTime now = clock_.wall();
   machines_.edit(
-      host, it->second.record.zone,
-      [this, host, state, blamed = std::move(blamed), recall, now](MachineRecord& record) {
-        if (record.host == HostId{} || record.state == state ||
+      machine_id, it->second.record.zone,
+      [this, machine_id, state, blamed = std::move(blamed), reclaim_at,
+       now](MachineRecord& record) {
+        if (record.machine_id == MachineId{} || record.state == state ||
             record.state >= MachineState::deleting) {
-          return MachineWriter::Outcome::none;
+          return MachineWriter::EditAction::none;
         }
         // Decided some time ago, perhaps: it has been heard of since.
-        if (state == MachineState::silent && !silent(host)) return MachineWriter::Outcome::none;
+        if (state == MachineState::silent && !silent(machine_id))
+          return MachineWriter::EditAction::none;
         record.state = state;
         record.since = now;
         record.blamed = blamed;
-        if (recall) record.recall = recall;
-        return MachineWriter::Outcome::put;
+        if (reclaim_at) record.reclaim_at = reclaim_at;
+        return MachineWriter::EditAction::put;
       },
       // Told once it is so: a holder that is cut off tries this at every sweep.
-      [host, state, why] {
-        spdlog::info("holder: {} is {}: {}", host.get(), name_of(state), why);
+      [machine_id, state, why] {
+        spdlog::info("holder: {} is {}: {}", machine_id.get(), name_of(state), why);
       });
   flush_soon();
 }
 
-bool Holder::silent(const HostId& host) const {
-  const auto worker = workers_.find(host);
+bool BlockHolder::silent(const MachineId& machine_id) const {
+  const auto worker = workers_.find(machine_id);
   if (worker == workers_.end()) return false;
-  return worker->second.hearing.deaf() || clock_.steady() - worker->second.heard >= silence_limit();
+  return worker->second.reachability.commands_unreachable() ||
+         clock_.steady() - worker->second.last_report_at >= silence_limit();
 }
 
-void Holder::keep_images() {
+void BlockHolder::keep_images() {
   // Only quality depends on them: written while there is budget to spare.
-  for (auto& [host, worker] : workers_) {
-    if (mirror_.write_slack() < kMuchSlack) return;
-    if (!worker.images_changed || machines_.waits(host)) continue;
+  for (auto& [machine_id, worker] : workers_) {
+    if (cache_.write_slack() < kAmpleWriteSlack) return;
+    if (!worker.images_changed || machines_.waits(machine_id)) continue;
     if (holding(worker.zone) != Holding::held) continue;
     worker.images_changed = false;
-    machines_.edit(host, worker.zone, [images = worker.images](MachineRecord& record) {
-      if (record.host == HostId{} || record.state >= MachineState::deleting) {
-        return MachineWriter::Outcome::none;
+    machines_.edit(machine_id, worker.zone, [images = worker.images](MachineRecord& record) {
+      if (record.machine_id == MachineId{} || record.state >= MachineState::deleting) {
+        return MachineWriter::EditAction::none;
       }
       record.images = images;
-      return MachineWriter::Outcome::put;
+      return MachineWriter::EditAction::put;
     });
     flush_soon();
   }
 }
 
-void Holder::round() {
-  if (!mirror_.ready()) return;
-  const auto timed = meter_.time(Duty::holder);
+void BlockHolder::round() {
+  if (!cache_.ready()) return;
+  const auto timed = metrics_.time(Duty::holder);
   take_blocks();
-  if (warrants_.empty()) {
+  if (tokens_.empty()) {
     // Nothing here is ours to decide; a block that comes brings all its slices.
     dirty_.clear();
-    wake_.clear();
+    machines_to_command_.clear();
     offers_.clear();
     return;
   }
   retry_offers();
-  const Steady until = clock_.steady() + settings_.tuning.round_budget;
+  const SteadyTime until = clock_.steady() + settings_.tuning.round_budget;
   // Slices are taken one by one; what the budget leaves stays in the set for the next round.
   // What a decision adds to the set waits for the next round, too: a commit that is refused at once
   // must not be tried again and again within one round.
@@ -513,128 +534,130 @@
   const bool more = !batch.empty();
   dirty_.merge(batch);
   give_orders();
-  if ((more || !wake_.empty()) && !round_timer_.pending()) round_timer_.start(kCoalesce);
+  if ((more || !machines_to_command_.empty()) && !round_timer_.pending())
+    round_timer_.start(kCoalesce);
 }
 
-void Holder::give_orders() {
+void BlockHolder::give_orders() {
   // A block that comes brings hundreds of machines that must be told at once: first those with
   // work, and not all in one round, or everything else would wait for their connections.
-  std::set<HostId> wake;
-  wake.swap(wake_);
-  const auto& placed = mirror_.records().placed;
-  std::size_t left = kMostWoken;
+  std::set<MachineId> to_command;
+  to_command.swap(machines_to_command_);
+  const auto& placed = cache_.records().placed;
+  std::size_t left = kMaxWoken;
   for (const bool working : {true, false}) {
-    for (const HostId& host : wake) {
-      if (placed.contains(host) != working) continue;
+    for (const MachineId& machine_id : to_command) {
+      if (placed.contains(machine_id) != working) continue;
       if (left == 0) {
-        wake_.insert(host);
+        machines_to_command_.insert(machine_id);
         continue;
       }
-      if (direct(host)) --left;
+      if (direct(machine_id)) --left;
     }
   }
 }
 
-bool Holder::takes(const HostId& host, const JobSpec& job,
-                   const std::unordered_map<HostId, Room>& promised) const {
-  const auto& records = mirror_.records();
-  const auto machine = records.machines.find(host);
-  const auto worker = workers_.find(host);
+bool BlockHolder::takes(const MachineId& machine_id, const JobSpec& job,
+                        const std::unordered_map<MachineId, Resources>& promised) const {
+  const auto& records = cache_.records();
+  const auto machine = records.machines.find(machine_id);
+  const auto worker = workers_.find(machine_id);
   if (machine == records.machines.end() || worker == workers_.end()) return false;
-  if (machine->second.record.state != MachineState::up || worker->second.recall) return false;
-  // Nothing is bound to a machine that has not shown, under this warrant, that it hears us, nor to
-  // one that does not report: its lease lapses.
-  if (worker->second.view.tenure == Tenure{} || silent(host) ||
-      !worker->second.hearing.introduced()) {
+  if (machine->second.record.state != MachineState::up || worker->second.reclaim_at) return false;
+  // Nothing is bound to a machine that has not shown, under this fencing token, that it hears us,
+  // nor to one that does not report: its lease lapses.
+  if (worker->second.view.session == SessionId{} || silent(machine_id) ||
+      !worker->second.reachability.introduced()) {
     return false;
   }
-  const MachineType* type = records.type(machine->second.record.build);
+  const MachineType* type = records.type(machine->second.record.machine_type);
   if (type == nullptr) return false;
   PlanMachine rules;
-  rules.build = machine->second.record.build;
+  rules.machine_type = machine->second.record.machine_type;
   rules.zone = machine->second.record.zone;
   rules.spot = machine->second.record.spot;
-  rules.room = type->room;
+  rules.resources = type->resources;
   if (!Profile::allowed(job, rules)) return false;
-  Room left = type->room;
-  if (const auto placed = records.placed.find(host); placed != records.placed.end()) {
+  Resources left = type->resources;
+  if (const auto placed = records.placed.find(machine_id); placed != records.placed.end()) {
     for (const auto& [id, attempt] : placed->second) {
       const TaskRecord* task = records.task(id);
-      const JobRecord* other = records.job(id.uid);
+      const JobRecord* other = records.job(id.job_id);
       if (task == nullptr || other == nullptr || task->state != TaskState::bound) continue;
       left -= other->spec.need;
     }
   }
-  if (const auto more = promised.find(host); more != promised.end()) left -= more->second;
+  if (const auto more = promised.find(machine_id); more != promised.end()) left -= more->second;
   return fits(job.need, left);
 }
 
-std::optional<HostId> Holder::choose_host(const TaskRecord& task, const JobSpec& job,
-                                          const std::unordered_map<HostId, Room>& promised) {
-  if (takes(task.host, job, promised)) return task.host;
+std::optional<MachineId> BlockHolder::choose_machine(
+    const TaskRecord& task, const JobSpec& job,
+    const std::unordered_map<MachineId, Resources>& promised) {
+  if (takes(task.machine_id, job, promised)) return task.machine_id;
   // Room that the leader promised to others must stay: only a machine with nothing released on it
   // may stand in for one that has become unfit.
-  for (const auto& [host, machine] : mirror_.records().machines) {
-    if (machine.record.zone != task.zone || mirror_.records().placed.contains(host)) continue;
-    if (takes(host, job, promised)) return host;
+  for (const auto& [machine_id, machine] : cache_.records().machines) {
+    if (machine.record.zone != task.zone || cache_.records().placed.contains(machine_id)) continue;
+    if (takes(machine_id, job, promised)) return machine_id;
   }
   return std::nullopt;
 }
 
-void Holder::bind(const SliceRecord& slice, std::size_t index, TaskRecord& task, const JobSpec& job,
-                  std::unordered_map<HostId, Room>& promised) {
-  const auto host = choose_host(task, job, promised);
-  const Wall now = clock_.wall();
-  if (!host) {
+void BlockHolder::bind(const SliceRecord& slice, std::size_t index, TaskRecord& task,
+                       const JobSpec& job, std::unordered_map<MachineId, Resources>& promised) {
+  const auto machine_id = choose_machine(task, job, promised);
+  const WallTime now = clock_.wall();
+  if (!machine_id) {
     // The machine that the leader meant may be about to report; its room may be about to show.
-    if (now - task.since < Span{3000}) return;
-    spdlog::info("holder: no room for {}/{} on {}: given back", slice.uid.get(),
-                 slice.first_part() + index, task.host.get());
+    if (now - task.since < Duration{3000}) return;
+    spdlog::info("holder: no room for {}/{} on {}: given back", slice.job_id.get(),
+                 slice.first_task_index() + index, task.machine_id.get());
     task.state = TaskState::idle;
     task.zone = ZoneId{};
-    task.host = HostId{};
+    task.machine_id = MachineId{};
     task.since = now;
     return;
   }
-  promised[*host] += job.need;
+  promised[*machine_id] += job.need;
   task.state = TaskState::bound;
-  task.host = *host;
-  task.tenure = workers_.at(*host).view.tenure;
+  task.machine_id = *machine_id;
+  task.session = workers_.at(*machine_id).view.session;
   task.since = now;
 }
 
-void Holder::finish(const TaskId& id, TaskRecord& task, const JobSpec& job,
-                    const std::string& cause, bool saved) {
+void BlockHolder::finish(const TaskId& id, TaskRecord& task, const JobSpec& job,
+                         const std::string& cause, bool saved) {
   if (cause == "error" && task.faults == 0) {
     // Mostly the machine is faulty, yet a job with a mistake fails everywhere: the machine takes
     // nothing new until the task's next try elsewhere has told whose fault it was.
-    const auto machine = mirror_.records().machines.find(task.host);
-    const bool again = machine != mirror_.records().machines.end() &&
+    const auto machine = cache_.records().machines.find(task.machine_id);
+    const bool again = machine != cache_.records().machines.end() &&
                        machine->second.record.state == MachineState::suspect &&
-                       machine->second.record.blamed != id.uid;
+                       machine->second.record.blamed != id.job_id;
     if (again) {
-      put_machine(task.host, MachineState::quarantined, "tasks of two jobs failed on it");
+      put_machine(task.machine_id, MachineState::quarantined, "tasks of two jobs failed on it");
     } else {
-      put_machine(task.host, MachineState::suspect, "a task failed on it", id.uid);
+      put_machine(task.machine_id, MachineState::suspect, "a task failed on it", id.job_id);
     }
   }
   spdlog::debug("holder: {} try {} on {} ended: {}{}", id.str(), task.attempt.get(),
-                task.host.get(), cause, saved ? ", saved" : "");
+                task.machine_id.get(), cause, saved ? ", saved" : "");
   apply_end(task, job, cause, saved, clock_.wall());
 }
 
-void Holder::judge(const TaskId& id, TaskRecord& task, const JobSpec& job) {
-  const auto& records = mirror_.records();
-  const auto machine = records.machines.find(task.host);
+void BlockHolder::judge(const TaskId& id, TaskRecord& task, const JobSpec& job) {
+  const auto& records = cache_.records();
+  const auto machine = records.machines.find(task.machine_id);
   if (machine != records.machines.end() && machine->second.record.state == MachineState::gone) {
     finish(id, task, job, "machine gone", false);
     return;
   }
-  const auto worker = workers_.find(task.host);
+  const auto worker = workers_.find(task.machine_id);
   if (worker == workers_.end()) return;
   const WorkerView& view = worker->second.view;
-  const bool unwanted = task.stop || cancellations_.cancelled_at(id.uid);
-  switch (examine(id, task, view, warrant_of(task.zone))) {
+  const bool unwanted = task.stop || cancellations_.cancelled_at(id.job_id);
+  switch (examine(id, task, view, token_of(task.zone))) {
     case Finding::ended: {
       const ReportedTask* there = reported(view, id, task.attempt);
       finish(id, task, job, there->cause, there->saved);
@@ -651,44 +674,44 @@
         task.running = clock_.wall();
         const MachineType* type = machine == records.machines.end()
                                       ? nullptr
-                                      : records.type(machine->second.record.build);
+                                      : records.type(machine->second.record.machine_type);
         if (type != nullptr) {
           Worker& there = worker->second;
           if (there.images.empty()) there.images = machine->second.record.images;
           there.images_changed =
-              note_image(there.images, job.bundle, job.image_gb, type->cache_gb) ||
+              note_image(there.images, job.image, job.image_gb, type->cache_gb) ||
               there.images_changed;
         }
         spdlog::debug("holder: {} try {} runs on {}", id.str(), task.attempt.get(),
-                      task.host.get());
+                      task.machine_id.get());
       }
       break;
     case Finding::absent: {
-      // A start sent to /orders may still arrive: only a higher warrant ends that.
+      // A start sent to /orders may still arrive: only a higher fencing token ends that.
       const bool direct = view.direct_starts.contains({id, task.attempt});
-      if (unwanted && direct) wants_renewal_.insert(task.zone);
+      if (unwanted && direct) wants_token_renewal_.insert(task.zone);
       break;
     }
   }
 }
 
-bool Holder::take(const ReleaseOffer& offer) {
-  if (!mirror_.ready()) return false;
-  const Steady now = clock_.steady();
-  if (mirror_.revision().get() >= offer.revision) return bind_offer(offer, now);
-  if (offers_.size() >= kMostOffers) return false;
+bool BlockHolder::accept_offer(const ReleaseOffer& offer) {
+  if (!cache_.ready()) return false;
+  const SteadyTime now = clock_.steady();
+  if (cache_.revision().get() >= offer.revision) return bind_offer(offer, now);
+  if (offers_.size() >= kMaxOffers) return false;
   offers_.push_back({offer, now});
   return true;
 }
 
-void Holder::retry_offers() {
+void BlockHolder::retry_offers() {
   std::vector<Kept> kept;
   kept.swap(offers_);
-  const Steady now = clock_.steady();
+  const SteadyTime now = clock_.steady();
   for (Kept& k : kept) {
     // The leader turns to the ordinary way when this has lasted too long.
     if (now - k.since > kOfferLife) continue;
-    if (mirror_.revision().get() >= k.offer.revision) {
+    if (cache_.revision().get() >= k.offer.revision) {
       bind_offer(k.offer, k.since);
     } else {
       offers_.push_back(std::move(k));
@@ -696,16 +719,16 @@
   }
 }
 
-bool Holder::bind_offer(const ReleaseOffer& offer, Steady since) {
-  const auto& records = mirror_.records();
-  const SliceKey key{Uid(offer.uid), offer.slice};
+bool BlockHolder::bind_offer(const ReleaseOffer& offer, SteadyTime since) {
+  const auto& records = cache_.records();
+  const SliceKey key{JobId(offer.job_id), offer.slice};
   const auto job = records.jobs.find(key.first);
   const auto* stored = records.slice(key.first, key.second);
-  const Stamp over = stored == nullptr ? Stamp{} : stored->stamp;
+  const ModRevision over = stored == nullptr ? ModRevision{} : stored->mod_revision;
   // Whatever this copy lacks or has beyond the leader's, the guards would refuse as well.
-  if (!records.leader || records.leader->stamp.get() != offer.term || job == records.jobs.end() ||
-      cancellations_.cancelled_at(key.first) || over.get() != offer.over ||
-      committing_.contains(key) || offer.tasks.empty()) {
+  if (!records.leader || records.leader->mod_revision.get() != offer.term ||
+      job == records.jobs.end() || cancellations_.cancelled_at(key.first) ||
+      over.get() != offer.over || committing_.contains(key) || offer.tasks.empty()) {
     return false;
   }
   const JobSpec& spec = job->second.record.spec;
@@ -714,12 +737,12 @@
   if (stored != nullptr) {
     slice = stored->record;
   } else {
-    slice.uid = key.first;
+    slice.job_id = key.first;
     slice.number = key.second;
     slice.tasks.resize(slice_size(spec, key.second));
   }
   std::set<ZoneId> zones;
-  std::unordered_map<HostId, Room> promised;
+  std::unordered_map<MachineId, Resources> promised;
   for (const ReleaseOffer::Task& offered : offer.tasks) {
     const ZoneId zone(offered.zone);
     if (offered.index >= slice.tasks.size() || holding(zone) != Holding::held) return false;
@@ -728,35 +751,37 @@
     task.state = TaskState::released;
     task.attempt = Attempt(offered.attempt);
     task.zone = zone;
-    task.host = HostId(offered.host);
+    task.machine_id = MachineId(offered.machine_id);
     task.since = clock_.wall();
-    task.running = Wall{};
+    task.running = WallTime{};
     bind(slice, offered.index, task, spec, promised);
     if (task.state != TaskState::bound) return false;
     zones.insert(zone);
   }
   Txn txn;
-  txn.guard(keys::kLeader, records.leader->stamp);
+  txn.guard(keys::kLeader, records.leader->mod_revision);
   for (const ZoneId& zone : zones) {
-    txn.guard(keys::block(zone), Stamp(warrant_of(zone).get()));
+    txn.guard(keys::block(zone), ModRevision(token_of(zone).get()));
   }
-  txn.guard(keys::job(key.first), job->second.stamp);
+  txn.guard(keys::job(key.first), job->second.mod_revision);
   txn.guard(keys::slice(key.first, key.second), over);
   txn.put(keys::slice(key.first, key.second), encode(slice));
   commit_slice(key, std::move(txn), Kept{offer, since});
   return true;
 }
 
-void Holder::commit_slice(const SliceKey& key, Txn txn, std::optional<Kept> offered) {
+void BlockHolder::commit_slice(const SliceKey& key, Txn txn, std::optional<Kept> offered) {
   committing_.insert(key);
-  mirror_.commit(Rank::binding, std::move(txn), [this, key, offered](const CommitResult& r) {
-    committing_.erase(key);
-    if (offered && r.fate == Fate::refused) offers_.push_back(*offered);
-    // Whatever became of it is decided anew from the records; an unknown commit can't pass twice,
-    // since each is guarded by the slice's own stamp.
-    dirty_.insert(key);
-    if (!round_timer_.pending()) round_timer_.start(r.fate == Fate::done ? kCoalesce : Span{150});
-  });
+  cache_.commit(RequestPriority::binding, std::move(txn),
+                [this, key, offered](const CommitResult& r) {
+                  committing_.erase(key);
+                  if (offered && r.outcome == Outcome::refused) offers_.push_back(*offered);
+                  // Whatever became of it is decided anew from the records; an unknown commit can't
+                  // pass twice, since each is guarded by the slice's own revision.
+                  dirty_.insert(key);
+                  if (!round_timer_.pending())
+                    round_timer_.start(r.outcome == Outcome::done ? kCoalesce : Duration{150});
+                });
 }
 
 bool stop_broken_gang(SliceRecord& slice) {
@@ -765,14 +790,14 @@
   bool changed = false;
   for (TaskRecord& task : slice.tasks) {
     if (!broken || !task.placed() || task.stop) continue;
-    task.stop = StopOrder{Span{0}, "its gang lost a task"};
+    task.stop = StopOrder{Duration{0}, "its gang lost a task"};
     changed = true;
   }
   return changed;
 }
 
-bool Holder::decide_slice(const SliceKey& key) {
-  const auto& records = mirror_.records();
+bool BlockHolder::decide_slice(const SliceKey& key) {
+  const auto& records = cache_.records();
   const auto* stored = records.slice(key.first, key.second);
   const auto job_entry = records.jobs.find(key.first);
   if (stored == nullptr || job_entry == records.jobs.end()) return false;
@@ -780,14 +805,14 @@
   const bool cancelled = job.cancelled || cancellations_.cancelled_at(key.first);
   SliceRecord slice = stored->record;
   std::set<ZoneId> zones;
-  std::unordered_map<HostId, Room> promised;
+  std::unordered_map<MachineId, Resources> promised;
   bool changed = false;
-  Span patience = kRunningWait;  // how long the change may wait for others of its slice
+  Duration patience = kRunningBatchDelay;  // how long the change may wait for others of its slice
 
   for (std::size_t i = 0; i < slice.tasks.size(); ++i) {
     TaskRecord& task = slice.tasks[i];
     if (!task.placed() || holding(task.zone) != Holding::held) continue;
-    const TaskId id{slice.uid, slice.first_part() + static_cast<std::uint32_t>(i)};
+    const TaskId id{slice.job_id, slice.first_task_index() + static_cast<std::uint32_t>(i)};
     const TaskRecord before = task;
     const ZoneId zone = task.zone;
     const bool stopped = task.stop.has_value();
@@ -801,7 +826,8 @@
     } else {
       judge(id, task, job.spec);
     }
-    if (task.state != before.state || task.running != before.running || task.host != before.host) {
+    if (task.state != before.state || task.running != before.running ||
+        task.machine_id != before.machine_id) {
       changed = true;
       zones.insert(zone);
       // A task of an array that ends gives room back, and one that runs tells when it will: both
@@ -809,11 +835,11 @@
       const bool ended = before.state == TaskState::bound && task.state == TaskState::done;
       const bool runs = before.state == TaskState::bound && task.state == TaskState::bound;
       if (runs) {
-        patience = std::min(patience, kRunningWait);
+        patience = std::min(patience, kRunningBatchDelay);
       } else if (ended && !job.spec.gang() && !stopped) {
-        patience = std::min(patience, kEndsWait);
+        patience = std::min(patience, kTaskEndBatchDelay);
       } else {
-        patience = Span{0};
+        patience = Duration{0};
       }
     }
   }
@@ -826,11 +852,11 @@
       // those keep their places until proof.
       const bool ran = std::any_of(stored->record.tasks.begin(), stored->record.tasks.end(),
                                    [](const TaskRecord& t) { return t.running.ms != 0; });
-      patience = Span{0};
+      patience = Duration{0};
       for (TaskRecord& task : slice.tasks) {
         if (is_done(task)) continue;
         if (task.state == TaskState::bound && !ran) {
-          patience = kGather;  // the others' reports are likely on their way
+          patience = kMachineBatchDelay;  // the others' reports are likely on their way
           continue;
         }
         apply_end(task, job.spec, "done", false, clock_.wall());
@@ -838,32 +864,33 @@
       }
     } else if (stop_broken_gang(slice)) {
       changed = true;
-      patience = Span{0};
+      patience = Duration{0};
     }
   }
   if (!changed) {
-    soft_.erase(key);
+    deferred_commits_.erase(key);
     return false;
   }
-  if (slice.all_done() || mirror_.write_slack() > kMuchSlack) patience = Span{0};
-  const auto since = soft_.try_emplace(key, clock_.steady()).first->second;
+  if (slice.all_done() || cache_.write_slack() > kAmpleWriteSlack) patience = Duration{0};
+  const auto since = deferred_commits_.try_emplace(key, clock_.steady()).first->second;
   if (clock_.steady() - since < patience) return false;  // the sweep looks again
-  soft_.erase(key);
-  meter_.count(patience == Span{0} ? "slices at once" : "slices gathered");
+  deferred_commits_.erase(key);
+  metrics_.count(patience == Duration{0} ? "slices at once" : "slices gathered");
 
   Txn txn;
   // A binding of a holder that was replaced, or for a job cancelled meanwhile, must fail.
   for (const ZoneId& zone : zones) {
-    txn.guard(keys::block(zone), Stamp(warrant_of(zone).get()));
+    txn.guard(keys::block(zone), ModRevision(token_of(zone).get()));
   }
-  txn.guard(keys::job(key.first), job_entry->second.stamp);
-  txn.guard(keys::slice(key.first, key.second), stored->stamp);
+  txn.guard(keys::job(key.first), job_entry->second.mod_revision);
+  txn.guard(keys::slice(key.first, key.second), stored->mod_revision);
   const bool whole = slice_count(job.spec) == 1 && slice.all_done();
   if (whole) {
     // A user who was told that the job is cancelled must not hear that it is done, though its tasks
     // ended before they could be stopped.
     const FinalState state = job.cancelled ? FinalState::cancelled : FinalState::done;
-    FinalRecord final_record{key.first, state, job.spec.parts, job.accepted, clock_.wall(), {}};
+    FinalRecord final_record{key.first,    state,         job.spec.task_count,
+                             job.accepted, clock_.wall(), {}};
     if (const auto grant = records.grants.find(key.first); grant != records.grants.end()) {
       final_record.notes = grant->second.record.notes;
     }
@@ -876,33 +903,34 @@
   return true;
 }
 
-std::vector<Order> Holder::orders_for(const HostId& host, Worker& worker, bool in_answer) {
+std::vector<Order> BlockHolder::orders_for(const MachineId& machine_id, Worker& worker,
+                                           bool in_answer) {
   std::vector<Order> out;
-  const auto& records = mirror_.records();
-  const Steady now = clock_.steady();
-  const Warrant current = warrant_of(worker.zone);
+  const auto& records = cache_.records();
+  const SteadyTime now = clock_.steady();
+  const FencingToken current = token_of(worker.zone);
   const WorkerView& view = worker.view;
   // A job may have been cancelled without our knowledge: what runs may go on for a while, but
   // nothing of it may start.
-  const bool blind = now - fresh() >= kBlind;
-  if (const auto placed = records.placed.find(host); placed != records.placed.end()) {
+  const bool stale = now - fresh() >= kMaxFreshnessAgeForStart;
+  if (const auto placed = records.placed.find(machine_id); placed != records.placed.end()) {
     for (const auto& [id, attempt] : placed->second) {
       const TaskRecord* task = records.task(id);
-      const JobRecord* job = records.job(id.uid);
+      const JobRecord* job = records.job(id.job_id);
       if (task == nullptr || job == nullptr || task->state != TaskState::bound) continue;
-      const bool cancelled = cancellations_.cancelled_at(id.uid).has_value();
-      if (task->tenure != view.tenure || out.size() >= kMostOrders) continue;
+      const bool cancelled = cancellations_.cancelled_at(id.job_id).has_value();
+      if (task->session != view.session || out.size() >= kMaxOrders) continue;
       const ReportedTask* there = reported(view, id, attempt);
       if (cancelled || task->stop) {
         if (there == nullptr || there->status == TaskStatus::ended) continue;
-        const Span leeway = cancelled ? Span{0} : task->stop->leeway;
-        if (there->status == TaskStatus::flushing && leeway > Span{0}) continue;
+        const Duration grace_period = cancelled ? Duration{0} : task->stop->grace_period;
+        if (there->status == TaskStatus::flushing && grace_period > Duration{0}) continue;
         auto& last = worker.kills[{id, attempt}];
         if (!in_answer && now - last < kKillEvery) continue;
         last = now;
-        out.push_back({Verb::kill, id, attempt, leeway});
-      } else if (there == nullptr && !blind &&
-                 !committing_.contains({id.uid, id.part / kSliceTasks})) {
+        out.push_back({Verb::kill, id, attempt, grace_period});
+      } else if (there == nullptr && !stale &&
+                 !committing_.contains({id.job_id, id.task_index / kSliceTasks})) {
         const auto direct = view.direct_starts.find({id, attempt});
         if (!in_answer && direct != view.direct_starts.end()) continue;  // once, then by answers
         out.push_back({Verb::start, id, attempt, {}});
@@ -910,13 +938,13 @@
     }
   }
   for (const auto& [key, task] : view.tasks) {
-    if (out.size() >= kMostOrders) break;
+    if (out.size() >= kMaxOrders) break;
     const auto& [id, attempt] = key;
     const TaskRecord* record = records.task(id);
     const bool wanted =
-        records.jobs.contains(id.uid) || records.unreadable.contains(keys::job(id.uid));
+        records.jobs.contains(id.job_id) || records.unreadable.contains(keys::job(id.job_id));
     const bool bound_here = wanted && record != nullptr && record->placed() &&
-                            record->host == host && record->attempt == attempt;
+                            record->machine_id == machine_id && record->attempt == attempt;
     if (bound_here) continue;
     if (task.status != TaskStatus::ended) {
       // Nothing is meant to run here under this attempt: a gang's peer after its end, or a start
@@ -930,154 +958,160 @@
       if (view.start_settled(id, attempt, current)) {
         out.push_back({Verb::clear, id, attempt, {}});
       } else if (view.direct_starts.contains(key)) {
-        wants_renewal_.insert(worker.zone);
+        wants_token_renewal_.insert(worker.zone);
       }
     }
   }
-  std::erase_if(worker.kills, [&](const auto& entry) { return now - entry.second > Span{60'000}; });
+  std::erase_if(worker.kills,
+                [&](const auto& entry) { return now - entry.second > Duration{60'000}; });
   return out;
 }
 
-bool Holder::direct(const HostId& host) {
-  const auto it = workers_.find(host);
+bool BlockHolder::direct(const MachineId& machine_id) {
+  const auto it = workers_.find(machine_id);
   if (it == workers_.end()) return false;
   Worker& worker = it->second;
   if (holding(worker.zone) != Holding::held || worker.direct_busy) return false;
-  auto orders = orders_for(host, worker, false);
-  const Steady now = clock_.steady();
+  auto orders = orders_for(machine_id, worker, false);
+  const SteadyTime now = clock_.steady();
   // A `kill` is right however old our word of the state service is: a start is not sent then.
-  const bool introduce = worker.hearing.introduction_due(now) && now - fresh() < answer_limit();
+  const bool introduce =
+      worker.reachability.introduction_due(now) && now - fresh() < answer_limit();
   if (orders.empty() && !introduce) return false;
-  worker.hearing.introducing(now);
-  send_direct(host, worker, std::move(orders));
+  worker.reachability.introducing(now);
+  send_direct(machine_id, worker, std::move(orders));
   return true;
 }
 
-void Holder::send_direct(const HostId& host, Worker& worker, std::vector<Order> orders) {
-  const Warrant warrant = warrant_of(worker.zone);
+void BlockHolder::send_direct(const MachineId& machine_id, Worker& worker,
+                              std::vector<Order> orders) {
+  const FencingToken token = token_of(worker.zone);
   for (const Order& order : orders) {
     if (order.verb == Verb::start) {
-      worker.view.direct_starts[{order.id, order.attempt}] = warrant;
-      worker.hearing.start_sent(order.id, order.attempt, clock_.steady(), false);
+      worker.view.direct_starts[{order.id, order.attempt}] = token;
+      worker.reachability.start_sent(order.id, order.attempt, clock_.steady(), false);
     }
   }
   worker.direct_busy = true;
-  orders_.send(worker.view.address, write_direct(warrant, worker.view.tenure, orders),
-               [this, host, warrant](const HttpReply& reply) {
-                 const auto it = workers_.find(host);
+  orders_.send(worker.view.address, write_direct(token, worker.view.session, orders),
+               [this, machine_id, token](const HttpReply& reply) {
+                 const auto it = workers_.find(machine_id);
                  if (it == workers_.end()) return;
                  it->second.direct_busy = false;
-                 if (reply.status == 200) it->second.hearing.confirmed(warrant);
+                 if (reply.status == 200) it->second.reachability.confirmed(token);
                  if (reply.status == 200 || reply.status == 409) {
                    const auto report = parse_report(reply.body);
                    if (report && holding(it->second.zone) == Holding::held) {
                      // The answer of 409 tells the session; then the order can be given.
-                     if (it->second.view.tenure == Tenure{}) wake_.insert(host);
-                     it->second.hearing.introduce_again();
-                     absorb(it->second, *report, WorkerView::Source::order);
+                     if (it->second.view.session == SessionId{})
+                       machines_to_command_.insert(machine_id);
+                     it->second.reachability.introduce_again();
+                     apply_report(it->second, *report, WorkerView::Source::order);
                      note_machine(*report, it->second);
                    }
                  }
-                 if (reply.status == 200) wake_.insert(host);
+                 if (reply.status == 200) machines_to_command_.insert(machine_id);
                  if (reply.status != 0 && !round_timer_.pending()) round_timer_.start(kCoalesce);
                });
 }
 
-void Holder::discount_pause(Steady now) {
+void BlockHolder::discount_pause(SteadyTime now) {
   // A process that stood still while the clocks ran on has heard nobody meanwhile, through no fault
   // of the machines: that time does not count as their silence, nor as starts that don't show. The
   // same goes for time without word of the state service: the block may have another holder by
   // then, to which they report.
-  Span pause = now - last_sweep_ - kSweep;
+  Duration pause = now - last_sweep_ - kSweep;
   const bool first = last_sweep_.ms < 0;
   last_sweep_ = now;
   if (first) return;
   // A zone that comes into reach is met machine by machine: the first must not make the rest
   // silent.
-  std::set<ZoneId> still_dark = dark();
-  for (auto& [host, worker] : workers_) {
-    if (dark_.contains(worker.zone) && !still_dark.contains(worker.zone)) {
-      may_report(host, worker, now);
+  std::set<ZoneId> still_unreachable = unreachable_zones();
+  for (auto& [machine_id, worker] : workers_) {
+    if (unreachable_zones_.contains(worker.zone) && !still_unreachable.contains(worker.zone)) {
+      may_report(machine_id, worker, now);
     }
   }
-  dark_ = std::move(still_dark);
-  if (now - mirror_.fresh_until() >= silence_limit()) {
+  unreachable_zones_ = std::move(still_unreachable);
+  if (now - cache_.fresh_until() >= silence_limit()) {
     pause = silence_limit();
-  } else if (pause < kPause) {
+  } else if (pause < kMinProcessPause) {
     return;
   } else {
     spdlog::info("holder: stood still for {} ms", pause.ms);
   }
-  for (auto& [host, worker] : workers_) {
-    worker.heard = std::min(now, worker.heard + pause);
-    worker.hearing.discount(now, pause);
+  for (auto& [machine_id, worker] : workers_) {
+    worker.last_report_at = std::min(now, worker.last_report_at + pause);
+    worker.reachability.discount(now, pause);
   }
 }
 
-void Holder::sweep() {
+void BlockHolder::sweep() {
   sweep_timer_.start(kSweep);
-  if (!mirror_.ready()) return;
-  const auto timed = meter_.time(Duty::holder);
-  const auto& records = mirror_.records();
-  const Steady now = clock_.steady();
+  if (!cache_.ready()) return;
+  const auto timed = metrics_.time(Duty::holder);
+  const auto& records = cache_.records();
+  const SteadyTime now = clock_.steady();
   discount_pause(now);
-  for (const ZoneId& zone : wants_renewal_) {
+  for (const ZoneId& zone : wants_token_renewal_) {
     if (holding(zone) != Holding::held) continue;
-    auto& last = warrant_renewed_[zone];
+    auto& last = token_renewed_[zone];
     if (now - last < kRenewEvery) continue;
     last = now;
-    renew_warrant(zone);
+    renew_token(zone);
   }
-  std::erase_if(wants_renewal_, [&](const ZoneId& zone) {
-    return warrant_renewed_.contains(zone) && warrant_renewed_[zone] == now;
+  std::erase_if(wants_token_renewal_, [&](const ZoneId& zone) {
+    return token_renewed_.contains(zone) && token_renewed_[zone] == now;
   });
 
-  if (warrants_.empty()) return;
+  if (tokens_.empty()) return;
 
   // Machines that have stopped reporting. When none of a block reports, the fault may be ours.
-  const Span silence = silence_limit();
+  const Duration silence = silence_limit();
   std::map<ZoneId, std::pair<int, int>> heard;  // of all, how many lately
-  for (const auto& [host, machine] : records.machines) {
-    const auto worker = workers_.find(host);
+  for (const auto& [machine_id, machine] : records.machines) {
+    const auto worker = workers_.find(machine_id);
     if (worker == workers_.end() || holding(machine.record.zone) != Holding::held) continue;
     auto& [all, lately] = heard[machine.record.zone];
     ++all;
-    if (now - worker->second.heard < silence) ++lately;
+    if (now - worker->second.last_report_at < silence) ++lately;
   }
-  for (const auto& [host, machine] : records.machines) {
+  for (const auto& [machine_id, machine] : records.machines) {
     if (machine.record.state != MachineState::up &&
         machine.record.state != MachineState::draining) {
       continue;
     }
-    const auto worker = workers_.find(host);
+    const auto worker = workers_.find(machine_id);
     if (worker == workers_.end() || holding(machine.record.zone) != Holding::held) continue;
-    if (now - worker->second.heard < silence || heard[machine.record.zone].second == 0) continue;
-    put_machine(host, MachineState::silent, "does not report");
+    if (now - worker->second.last_report_at < silence || heard[machine.record.zone].second == 0)
+      continue;
+    put_machine(machine_id, MachineState::silent, "does not report");
   }
   std::erase_if(workers_, [&](const auto& entry) {
     const auto machine = records.machines.find(entry.first);
     const bool gone = machine == records.machines.end()
-                          ? now - entry.second.heard > Span{30'000}
+                          ? now - entry.second.last_report_at > Duration{30'000}
                           : machine->second.record.state == MachineState::gone;
     return gone && !entry.second.direct_busy;
   });
-  for (auto& [host, worker] : workers_) {
-    if (!worker.hearing.introduced()) wake_.insert(host);
-    look_for_mute(host, worker);
-    look_for_deaf(host, worker);
+  for (auto& [machine_id, worker] : workers_) {
+    if (!worker.reachability.introduced()) machines_to_command_.insert(machine_id);
+    check_reports_reachable(machine_id, worker);
+    check_commands_reachable(machine_id, worker);
   }
   keep_images();
   if (!flush_timer_.pending()) machines_.flush();
-  for (const auto& [key, since] : soft_) dirty_.insert(key);
-  for (const auto& [host, placed] : records.placed) {
+  for (const auto& [key, since] : deferred_commits_) dirty_.insert(key);
+  for (const auto& [machine_id, placed] : records.placed) {
     for (const auto& [id, attempt] : placed) {
       const TaskRecord* task = records.task(id);
       if (task != nullptr && (task->stop || task->state == TaskState::released)) {
-        dirty_.insert({id.uid, id.part / kSliceTasks});
-        wake_.insert(host);
+        dirty_.insert({id.job_id, id.task_index / kSliceTasks});
+        machines_to_command_.insert(machine_id);
       }
-      const JobRecord* job = records.job(id.uid);
-      if (job != nullptr && cancellations_.cancelled_at(id.uid)) wake_.insert(host);
+      const JobRecord* job = records.job(id.job_id);
+      if (job != nullptr && cancellations_.cancelled_at(id.job_id))
+        machines_to_command_.insert(machine_id);
     }
   }
   if (!round_timer_.pending()) round_timer_.start(kCoalesce);
--- a/src/blocks/order_sender.cpp
+++ b/src/blocks/order_sender.cpp
@@ -7,10 +7,10 @@
 namespace marblevale {
 
 namespace {
-constexpr std::size_t kLeastClients = 32;  // connections to workers
+constexpr std::size_t kMinClients = 32;  // connections to workers
 constexpr std::size_t kDefaultClients = 128;
-constexpr std::size_t kMostClients = 2'000;
-constexpr Span kOrderDeadline{1500};
+constexpr std::size_t kMaxClients = 2'000;
+constexpr Duration kOrderDeadline{1500};
 }  // namespace
 
 void HttpOrderSender::send(const std::string& address, std::string body, HttpHandler then) {
@@ -38,8 +38,7 @@
 std::size_t order_connections(const Settings& settings) {
   // A quarter: in the worst case all the machines report here, each by a connection of its own.
   if (settings.max_sockets <= 0) return kDefaultClients;
-  return std::clamp(static_cast<std::size_t>(settings.max_sockets) / 4, kLeastClients,
-                    kMostClients);
+  return std::clamp(static_cast<std::size_t>(settings.max_sockets) / 4, kMinClients, kMaxClients);
 }
 
 bool HttpOrderSender::make_room() {
--- a/src/blocks/proof.cpp
+++ b/src/blocks/proof.cpp
@@ -3,30 +3,31 @@
 namespace marblevale {
 
 bool WorkerView::take(const Report& report, Source source) {
-  const bool newer = report.tenure > tenure || (report.tenure == tenure && report.tally > tally);
+  const bool newer =
+      report.session > session || (report.session == session && report.sequence > sequence);
   if (!newer) return false;
   // What was said in answer to an earlier session's reports is dropped.
-  if (report.tenure > tenure) answered_starts.clear();
-  tenure = report.tenure;
-  tally = report.tally;
-  if (source == Source::worker) reported = report.tally;
-  warrant = std::max(warrant, report.warrant);
+  if (report.session > session) answered_starts.clear();
+  session = report.session;
+  sequence = report.sequence;
+  if (source == Source::worker) reported = report.sequence;
+  token = std::max(token, report.token);
   address = report.address;
   tasks.clear();
-  for (const ReportedTask& task : report.parts) tasks[{task.id, task.attempt}] = task;
+  for (const ReportedTask& task : report.tasks) tasks[{task.id, task.attempt}] = task;
   return true;
 }
 
 void WorkerView::prune() {
-  std::erase_if(direct_starts, [this](const auto& entry) { return entry.second < warrant; });
+  std::erase_if(direct_starts, [this](const auto& entry) { return entry.second < token; });
   std::erase_if(answered_starts, [this](const auto& entry) { return entry.second < reported; });
 }
 
-bool WorkerView::start_settled(const TaskId& id, Attempt attempt, Warrant current) const {
-  // Until the worker has seen our warrant, an earlier holder's orders may still be executed.
-  if (warrant < current) return false;
+bool WorkerView::start_settled(const TaskId& id, Attempt attempt, FencingToken current) const {
+  // Until the worker has seen our fencing token, an earlier holder's orders may still be executed.
+  if (token < current) return false;
   const auto direct = direct_starts.find({id, attempt});
-  if (direct != direct_starts.end() && direct->second >= warrant) return false;
+  if (direct != direct_starts.end() && direct->second >= token) return false;
   const auto answered = answered_starts.find({id, attempt});
   return answered == answered_starts.end() || answered->second < reported;
 }
@@ -37,11 +38,11 @@
 }
 
 Finding examine(const TaskId& id, const TaskRecord& task, const WorkerView& worker,
-                Warrant current) {
+                FencingToken current) {
   // A new session: the worker has killed and forgotten all that it had, and drops what was sent to
   // the session before.
-  if (worker.tenure > task.tenure) return Finding::lost;
-  if (worker.tenure < task.tenure) return Finding::absent;
+  if (worker.session > task.session) return Finding::lost;
+  if (worker.session < task.session) return Finding::absent;
   if (const ReportedTask* there = reported(worker, id, task.attempt)) {
     return there->status == TaskStatus::ended ? Finding::ended : Finding::present;
   }
@@ -49,28 +50,28 @@
 }
 
 void apply_end(TaskRecord& task, const JobSpec& job, const std::string& cause, bool saved,
-               Wall now) {
+               WallTime now) {
   if (cause == "done") {
     task.state = TaskState::done;
   } else {
     task.state = TaskState::idle;
-    const Span ran = task.running.ms == 0 ? Span{0} : now - task.running;
+    const Duration ran = task.running.ms == 0 ? Duration{0} : now - task.running;
     if (cause == "halted" && saved) {
-      task.progress = std::min(job.expect, task.progress + ran);
-    } else if (job.snapshot > Span{0} && ran > Span{0}) {
-      const auto whole = (task.progress + ran).ms / job.snapshot.ms;
-      task.progress = std::max(task.progress, Span{whole * job.snapshot.ms});
-      task.progress = std::min(task.progress, job.expect);
+      task.progress = std::min(job.estimated_run, task.progress + ran);
+    } else if (job.checkpoint_interval > Duration{0} && ran > Duration{0}) {
+      const auto whole = (task.progress + ran).ms / job.checkpoint_interval.ms;
+      task.progress = std::max(task.progress, Duration{whole * job.checkpoint_interval.ms});
+      task.progress = std::min(task.progress, job.estimated_run);
     }
     if (cause == "error" || cause == "unknown") {
       ++task.faults;
-      task.failed_on = task.host;
+      task.failed_on = task.machine_id;
     }
   }
   task.zone = ZoneId{};
-  task.host = HostId{};
-  task.tenure = Tenure{};
-  task.running = Wall{};
+  task.machine_id = MachineId{};
+  task.session = SessionId{};
+  task.running = WallTime{};
   task.since = now;
   task.stop.reset();
 }
--- a/src/blocks/proof.hpp
+++ b/src/blocks/proof.hpp
@@ -13,26 +13,28 @@
 /// What this controller knows of one worker, from reports received while it holds the block.
 struct WorkerView {
   std::string address;
-  Tenure tenure;
-  Tally tally;
-  Warrant warrant;  // highest that the worker said it has seen
+  SessionId session;
+  ReportSequence sequence;
+  FencingToken token;  // highest that the worker said it has seen
   std::map<std::pair<TaskId, Attempt>, ReportedTask> tasks;
-  /// Starts that were sent to `/orders` and the warrant they bore. Such a start may arrive minutes
-  /// late, or twice, until the worker has seen a higher warrant or begun another session.
-  std::map<std::pair<TaskId, Attempt>, Warrant> direct_starts;
+  /// Starts that were sent to `/orders` and the fencing token they bore. Such a start may arrive
+  /// minutes late, or twice, until the worker has seen a higher fencing token or begun another
+  /// session.
+  std::map<std::pair<TaskId, Attempt>, FencingToken> direct_starts;
   /// Of the last report that it sent by itself, not in answer to an order.
-  Tally reported;
-  /// Starts given in the answer to a report, and that report's tally. The worker executes or drops
-  /// the answer before its next report. An answer to an order may overtake it: it settles nothing.
-  std::map<std::pair<TaskId, Attempt>, Tally> answered_starts;
+  ReportSequence reported;
+  /// Starts given in the answer to a report, and that report's sequence number. The worker executes
+  /// or drops the answer before its next report. An answer to an order may overtake it: it settles
+  /// nothing.
+  std::map<std::pair<TaskId, Attempt>, ReportSequence> answered_starts;
 
   enum class Source { worker, order };  // sent by itself, or in answer to an order
 
   /// Takes a report in; false when it is not newer than what is known.
   bool take(const Report& report, Source source = Source::worker);
   /// True when no start of this attempt that was sent can still be executed there. `current` is the
-  /// warrant that we hold: below it, earlier holders' orders may still be on their way.
-  [[nodiscard]] bool start_settled(const TaskId& id, Attempt attempt, Warrant current) const;
+  /// fencing token that we hold: below it, earlier holders' orders may still be on their way.
+  [[nodiscard]] bool start_settled(const TaskId& id, Attempt attempt, FencingToken current) const;
   /// Forgets starts that can't be executed any more.
   void prune();
 };
@@ -47,13 +49,13 @@
 
 /// `task` is bound to this worker's machine.
 Finding examine(const TaskId& id, const TaskRecord& task, const WorkerView& worker,
-                Warrant current);
+                FencingToken current);
 
 /// The reported task, if it is this attempt.
 const ReportedTask* reported(const WorkerView& worker, const TaskId& id, Attempt attempt);
 
 /// What an end does to a task's record. `elapsed`: how long it had been running.
 void apply_end(TaskRecord& task, const JobSpec& job, const std::string& cause, bool saved,
-               Wall now);
+               WallTime now);
 
 }  // namespace marblevale
--- a/src/cancellations/cancellations.cpp
+++ b/src/cancellations/cancellations.cpp
@@ -8,59 +8,59 @@
 
 namespace marblevale {
 
-Cancellations::Cancellations(const Clock& clock, Mirror& mirror)
-    : clock_(clock), mirror_(mirror), began_(clock.wall()) {
-  mirror_.listen([this](Topic topic, const std::string& key) {
-    if (topic != Topic::job) return;
-    const Uid uid(key);
-    const JobRecord* job = mirror_.records().job(uid);
+Cancellations::Cancellations(const Clock& clock, WatchCache& cache)
+    : clock_(clock), cache_(cache), began_(clock.wall()) {
+  cache_.listen([this](RecordKind topic, const std::string& key) {
+    if (topic != RecordKind::job) return;
+    const JobId job_id(key);
+    const JobRecord* job = cache_.records().job(job_id);
     if (job != nullptr && job->cancelled) {
-      recorded_.insert(uid);
+      recorded_.insert(job_id);
     } else {
-      recorded_.erase(uid);
-      announced_.erase(uid);
+      recorded_.erase(job_id);
+      announced_.erase(job_id);
     }
   });
 }
 
 void Cancellations::prune() {
   // What came before the present copy of the records was asked for is in them, or over.
-  const Steady fresh = mirror_.fresh_until();
+  const SteadyTime fresh = cache_.fresh_until();
   std::erase_if(beyond_, [&](const auto& entry) { return entry.second.since < fresh; });
   if (overflowed_ && *overflowed_ < fresh) overflowed_.reset();
 }
 
-bool Cancellations::keep(const Uid& uid, Wall at) {
-  if (recorded_.contains(uid) || beyond_.contains(uid)) return false;
-  if (beyond_.size() >= kMostKept) prune();
-  if (beyond_.size() >= kMostKept) {
-    if (!overflowed_) spdlog::warn("cancellations: more than {} to keep", kMostKept);
+bool Cancellations::keep(const JobId& job_id, WallTime at) {
+  if (recorded_.contains(job_id) || beyond_.contains(job_id)) return false;
+  if (beyond_.size() >= kMaxKept) prune();
+  if (beyond_.size() >= kMaxKept) {
+    if (!overflowed_) spdlog::warn("cancellations: more than {} to keep", kMaxKept);
     overflowed_ = clock_.steady();
     return false;
   }
-  beyond_.emplace(uid, Kept{at, clock_.steady()});
+  beyond_.emplace(job_id, Kept{at, clock_.steady()});
   return true;
 }
 
-void Cancellations::tell(const Uid& uid, Wall at) {
-  bool news = keep(uid, at);
-  if (recorded_.contains(uid)) news = announced_.insert(uid).second;
+void Cancellations::tell(const JobId& job_id, WallTime at) {
+  bool news = keep(job_id, at);
+  if (recorded_.contains(job_id)) news = announced_.insert(job_id).second;
   if (news && told_) told_();
 }
 
 void Cancellations::hear(const CancellationList& list) {
-  const Wall now = clock_.wall();
+  const WallTime now = clock_.wall();
   for (const auto& item : list.items) {
-    const Uid uid(item.uid);
-    if (!valid_uid(item.uid)) continue;
-    if (keep(uid, std::min(Wall{item.at_ms}, now)) && heard_) heard_(uid);
+    const JobId job_id(item.job_id);
+    if (!valid_job_id(item.job_id)) continue;
+    if (keep(job_id, std::min(WallTime{item.at_ms}, now)) && heard_) heard_(job_id);
   }
 }
 
-std::optional<Wall> Cancellations::cancelled_at(const Uid& uid) const {
-  const JobRecord* job = mirror_.records().job(uid);
+std::optional<WallTime> Cancellations::cancelled_at(const JobId& job_id) const {
+  const JobRecord* job = cache_.records().job(job_id);
   if (job != nullptr && job->cancelled) return job->cancelled;
-  const auto it = beyond_.find(uid);
+  const auto it = beyond_.find(job_id);
   if (it == beyond_.end()) return std::nullopt;
   return it->second.at;
 }
@@ -73,35 +73,37 @@
 CancellationList Cancellations::list() {
   CancellationList out;
   out.began_ms = began_.ms;
-  out.fresh_ms = mirror_.fresh_until_wall().ms;
-  out.complete = kept_all() && mirror_.ready();
-  const auto add = [&out](const Uid& uid, Wall at) {
-    if (out.items.size() < kMostListed) {
-      out.items.push_back({uid.get(), at.ms});
+  out.fresh_ms = cache_.fresh_until_wall().ms;
+  out.complete = kept_all() && cache_.ready();
+  const auto add = [&out](const JobId& job_id, WallTime at) {
+    if (out.items.size() < kMaxListed) {
+      out.items.push_back({job_id.get(), at.ms});
     } else {
       out.complete = false;
     }
   };
   // What the records lack comes first: the others can be had from the state service as well.
-  for (const auto& [uid, kept] : beyond_) add(uid, kept.at);
-  for (const Uid& uid : recorded_) {
-    if (!beyond_.contains(uid)) add(uid, *mirror_.records().job(uid)->cancelled);
+  for (const auto& [job_id, kept] : beyond_) add(job_id, kept.at);
+  for (const JobId& job_id : recorded_) {
+    if (!beyond_.contains(job_id)) add(job_id, *cache_.records().job(job_id)->cancelled);
   }
   return out;
 }
 
-std::optional<Steady> Vouching::until(Steady now, Wall now_wall, Wall watched,
-                                      const std::vector<std::optional<CancellationWord>>& words) {
-  const Span apart = clock_error_ * 2.0;  // two clocks, each off by the bound
+std::optional<SteadyTime> Vouching::until(
+    SteadyTime now, WallTime now_wall, WallTime watched,
+    const std::vector<std::optional<CancellationWord>>& words) {
+  const Duration apart = clock_error_ * 2.0;  // two clocks, each off by the bound
   known_ = std::max(known_, watched);
   for (const auto& word : words) {
-    if (word && word->list.complete) known_ = std::max(known_, Wall{word->list.fresh_ms} - apart);
+    if (word && word->list.complete)
+      known_ = std::max(known_, WallTime{word->list.fresh_ms} - apart);
   }
-  Steady since = now;
-  Wall since_wall = now_wall;
+  SteadyTime since = now;
+  WallTime since_wall = now_wall;
   for (const auto& word : words) {
     // A life that began since can't tell what the one before it has confirmed.
-    if (!word || !word->list.complete || Wall{word->list.began_ms} + apart >= known_) {
+    if (!word || !word->list.complete || WallTime{word->list.began_ms} + apart >= known_) {
       return std::nullopt;
     }
     since = std::min(since, word->asked);
--- a/src/cancellations/cancellations.hpp
+++ b/src/cancellations/cancellations.hpp
@@ -1,9 +1,9 @@
 // Which jobs are cancelled, as far as anybody can know it while the state service is out of reach.
 //
 // A cancellation is confirmed to its user only after its commit, but a holder that lacks the state
-// service can't see the commit. Controllers therefore tell one another, in each pulse and at once
-// when one is confirmed, which cancellations they know. Being told needs no trust in any order:
-// cancelled stays cancelled.
+// service can't see the commit. Controllers therefore tell one another, in each heartbeat and at
+// once when one is confirmed, which cancellations they know. Being told needs no trust in any
+// order: cancelled stays cancelled.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "store/mirror.hpp"
+#include "store/watch_cache.hpp"
 
 namespace marblevale {
 
@@ -20,12 +20,12 @@
 /// may still stand somewhere, and those that it has told users or heard of since.
 struct CancellationList {
   struct Item {
-    std::string uid;
+    std::string job_id;
     std::int64_t at_ms = 0;  // time of day at which its commit was sent: before any confirmation
 
     template <typename Archive>
     void serialize(Archive& archive) {
-      archive(uid, at_ms);
+      archive(job_id, at_ms);
     }
   };
   std::int64_t began_ms = 0;  // time of day: what this life has confirmed since then is listed
@@ -41,18 +41,18 @@
 
 class Cancellations {
  public:
-  static constexpr std::size_t kMostListed = 800;  // of 18 bytes or so, in messages of 32 KiB
-  static constexpr std::size_t kMostKept = 4000;
+  static constexpr std::size_t kMaxListed = 800;  // of 18 bytes or so, in messages of 32 KiB
+  static constexpr std::size_t kMaxKept = 4000;
 
-  Cancellations(const Clock& clock, Mirror& mirror);
+  Cancellations(const Clock& clock, WatchCache& cache);
 
   /// To be called before any user is told that the job is cancelled.
-  void tell(const Uid& uid, Wall at);
+  void tell(const JobId& job_id, WallTime at);
   /// A peer's list.
   void hear(const CancellationList& list);
 
   /// When the job was cancelled, if it is known to be; never later than its first confirmation.
-  [[nodiscard]] std::optional<Wall> cancelled_at(const Uid& uid) const;
+  [[nodiscard]] std::optional<WallTime> cancelled_at(const JobId& job_id) const;
   [[nodiscard]] CancellationList list();
   /// False while something that peers told could not be kept.
   [[nodiscard]] bool kept_all();
@@ -60,31 +60,31 @@
   /// Called for each that is told here for the first time.
   void on_told(std::function<void()> listener) { told_ = std::move(listener); }
   /// Called for each that a peer was the first to tell of.
-  void on_heard(std::function<void(const Uid&)> listener) { heard_ = std::move(listener); }
+  void on_heard(std::function<void(const JobId&)> listener) { heard_ = std::move(listener); }
 
  private:
   struct Kept {
-    Wall at;
-    Steady since;  // when it came: a copy of the records that is fresher has it
+    WallTime at;
+    SteadyTime since;  // when it came: a copy of the records that is fresher has it
   };
-  bool keep(const Uid& uid, Wall at);
+  bool keep(const JobId& job_id, WallTime at);
   void prune();
 
   const Clock& clock_;
-  Mirror& mirror_;
-  Wall began_;
-  std::set<Uid> recorded_;                // cancelled and unfinished by the records
-  std::set<Uid> announced_;               // of those, the ones that were told here
-  std::unordered_map<Uid, Kept> beyond_;  // told or heard, and perhaps not in the records yet
-  std::optional<Steady> overflowed_;      // when something could not be kept
+  WatchCache& cache_;
+  WallTime began_;
+  std::set<JobId> recorded_;                // cancelled and unfinished by the records
+  std::set<JobId> announced_;               // of those, the ones that were told here
+  std::unordered_map<JobId, Kept> beyond_;  // told or heard, and perhaps not in the records yet
+  std::optional<SteadyTime> overflowed_;    // when something could not be kept
   std::function<void()> told_;
-  std::function<void(const Uid&)> heard_;
+  std::function<void(const JobId&)> heard_;
 };
 
 /// A peer's list, and when the question was sent that it answers.
 struct CancellationWord {
-  Steady asked;
-  Wall asked_wall;
+  SteadyTime asked;
+  WallTime asked_wall;
   CancellationList list;
 };
 
@@ -98,15 +98,15 @@
 /// sent.
 class Vouching {
  public:
-  explicit Vouching(Span clock_error) : clock_error_(clock_error) {}
+  explicit Vouching(Duration clock_error) : clock_error_(clock_error) {}
   /// `words`: one for each peer, none for a peer that has not answered lately. `watched`: time of
   /// day up to which this controller's own records are fresh. Nothing: the peers don't vouch.
-  std::optional<Steady> until(Steady now, Wall now_wall, Wall watched,
-                              const std::vector<std::optional<CancellationWord>>& words);
+  std::optional<SteadyTime> until(SteadyTime now, WallTime now_wall, WallTime watched,
+                                  const std::vector<std::optional<CancellationWord>>& words);
 
  private:
-  Span clock_error_;
-  Wall known_;
+  Duration clock_error_;
+  WallTime known_;
 };
 
 }  // namespace marblevale
--- a/src/core/meter.cpp
+++ b/src/core/metrics.cpp
@@ -1,4 +1,4 @@
-#include "core/meter.hpp"
+#include "core/metrics.hpp"
 
 #include <algorithm>
 
@@ -9,21 +9,21 @@
                                              "report", "watch",    "users", "fleet"};
 }
 
-void Meter::spent(Duty duty, std::int64_t us) {
+void Metrics::spent(Duty duty, std::int64_t us) {
   Spent& s = spent_.at(static_cast<std::size_t>(duty));
   ++s.times;
   s.us += us;
   s.longest_us = std::max(s.longest_us, us);
 }
 
-void Meter::waited(const std::string& what, Span span) {
+void Metrics::waited(const std::string& what, Duration duration) {
   Waits& w = waits_[what];
   ++w.times;
-  w.ms += span.ms;
-  w.longest = std::max(w.longest, span);
+  w.ms += duration.ms;
+  w.longest = std::max(w.longest, duration);
 }
 
-std::string Meter::summary() {
+std::string Metrics::summary() {
   std::string out;
   const auto add = [&out](const std::string& text) {
     if (!out.empty()) out += "; ";
--- a/src/core/meter.hpp
+++ b/src/core/metrics.hpp
@@ -14,23 +14,23 @@
 
 enum class Duty { round, displace, want, holder, report, watch, users, fleet };
 
-class Meter {
+class Metrics {
  public:
   /// Measures from its making to its end.
   class Timed {
    public:
-    Timed(Meter& meter, Duty duty)
-        : meter_(meter), duty_(duty), begin_(std::chrono::steady_clock::now()) {}
+    Timed(Metrics& metrics, Duty duty)
+        : metrics_(metrics), duty_(duty), begin_(std::chrono::steady_clock::now()) {}
     ~Timed() {
-      meter_.spent(duty_, std::chrono::duration_cast<std::chrono::microseconds>(
-                              std::chrono::steady_clock::now() - begin_)
-                              .count());
+      metrics_.spent(duty_, std::chrono::duration_cast<std::chrono::microseconds>(
+                                std::chrono::steady_clock::now() - begin_)
+                                .count());
     }
     Timed(const Timed&) = delete;
     Timed& operator=(const Timed&) = delete;
 
    private:
-    Meter& meter_;
+    Metrics& metrics_;
     Duty duty_;
     std::chrono::steady_clock::time_point begin_;
   };
@@ -39,7 +39,7 @@
   void spent(Duty duty, std::int64_t us);
   void count(const std::string& what, std::uint64_t by = 1) { counts_[what] += by; }
   /// A wait of this length, by its name.
-  void waited(const std::string& what, Span span);
+  void waited(const std::string& what, Duration duration);
 
   /// In one line: what came since the last call.
   [[nodiscard]] std::string summary();
@@ -53,7 +53,7 @@
   struct Waits {
     std::uint64_t times = 0;
     std::int64_t ms = 0;
-    Span longest;
+    Duration longest;
   };
   std::array<Spent, 8> spent_;
   std::map<std::string, std::uint64_t> counts_;
--- a/src/core/time.hpp
+++ b/src/core/time.hpp
@@ -7,36 +7,36 @@
 
 namespace marblevale {
 
-struct Span {
+struct Duration {
   std::int64_t ms = 0;
-  auto operator<=>(const Span&) const = default;
-  friend Span operator+(Span a, Span b) { return {a.ms + b.ms}; }
-  friend Span operator-(Span a, Span b) { return {a.ms - b.ms}; }
-  friend Span operator*(Span a, double f) {
+  auto operator<=>(const Duration&) const = default;
+  friend Duration operator+(Duration a, Duration b) { return {a.ms + b.ms}; }
+  friend Duration operator-(Duration a, Duration b) { return {a.ms - b.ms}; }
+  friend Duration operator*(Duration a, double f) {
     return {static_cast<std::int64_t>(static_cast<double>(a.ms) * f)};
   }
   [[nodiscard]] double seconds() const { return static_cast<double>(ms) / 1000.0; }
 };
 
-inline Span from_seconds(double s) { return {static_cast<std::int64_t>(s * 1000.0)}; }
+inline Duration from_seconds(double s) { return {static_cast<std::int64_t>(s * 1000.0)}; }
 
 template <typename Tag>
-struct Point {
+struct TimePoint {
   std::int64_t ms = 0;
-  auto operator<=>(const Point&) const = default;
-  friend Point operator+(Point a, Span b) { return {a.ms + b.ms}; }
-  friend Point operator-(Point a, Span b) { return {a.ms - b.ms}; }
-  friend Span operator-(Point a, Point b) { return {a.ms - b.ms}; }
+  auto operator<=>(const TimePoint&) const = default;
+  friend TimePoint operator+(TimePoint a, Duration b) { return {a.ms + b.ms}; }
+  friend TimePoint operator-(TimePoint a, Duration b) { return {a.ms - b.ms}; }
+  friend Duration operator-(TimePoint a, TimePoint b) { return {a.ms - b.ms}; }
 };
 
-using Steady = Point<struct SteadyTag>;
-using Wall = Point<struct WallTag>;
+using SteadyTime = TimePoint<struct SteadyTimeTag>;
+using WallTime = TimePoint<struct WallTimeTag>;
 
 class Clock {
  public:
   virtual ~Clock() = default;
-  [[nodiscard]] virtual Steady steady() const = 0;
-  [[nodiscard]] virtual Wall wall() const = 0;
+  [[nodiscard]] virtual SteadyTime steady() const = 0;
+  [[nodiscard]] virtual WallTime wall() const = 0;
 };
 
 }  // namespace marblevale
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -8,27 +8,28 @@
 
 namespace {
 constexpr std::array<const char*, 4> kNames{"joining", "follower", "standing", "leading"};
-constexpr Span kStandJitter{150};
-constexpr Span kDefer{500};
+constexpr Duration kStandJitter{150};
+constexpr Duration kDefer{500};
 }  // namespace
 
-Election::Election(Loop& loop, const Settings& settings, Store& store, Mirror& mirror, Nonce nonce)
+Election::Election(Loop& loop, const Settings& settings, Store& store, WatchCache& cache,
+                   Nonce nonce)
     : settings_(settings),
       store_(store),
-      mirror_(mirror),
+      cache_(cache),
       nonce_(nonce),
       random_(nonce.get()),
-      backoff_(Span{150}, Span{1500}),
-      session_timer_(loop, [this] { session_ == Permit{} ? open_session() : touch(); }),
+      backoff_(Duration{150}, Duration{1500}),
+      session_timer_(loop, [this] { session_ == LeaseId{} ? open_session() : touch(); }),
       block_timer_(loop,
-                   [this] { block_permit_ == Permit{} ? open_block_lease() : touch_blocks(); }),
+                   [this] { block_lease_id_ == LeaseId{} ? open_block_lease() : touch_blocks(); }),
       consider_timer_(loop, [this] { consider(); }),
       defer_timer_(loop, [this] {
         may_stand_ = true;
         consider();
       }) {
-  mirror_.listen([this](Topic topic, const std::string&) {
-    if (topic == Topic::leader || topic == Topic::node) consider_timer_.start({0});
+  cache_.listen([this](RecordKind topic, const std::string&) {
+    if (topic == RecordKind::leader || topic == RecordKind::node) consider_timer_.start({0});
   });
 }
 
@@ -42,31 +43,31 @@
   spdlog::info("election: {} -> {} ({})", kNames.at(static_cast<std::size_t>(state_)),
                kNames.at(static_cast<std::size_t>(next)), why);
   state_ = next;
-  if (next != State::leading) term_ = Stamp{};
+  if (next != State::leading) term_ = ModRevision{};
 }
 
 bool Election::in_charge() const {
-  return state_ == State::leading && mirror_.revision().get() >= term_.get();
+  return state_ == State::leading && cache_.revision().get() >= term_.get();
 }
 
 void Election::open_session() {
-  store_.create_permit(settings_.tuning.session_lease, [this](const PermitResult& r) {
-    if (r.fate != Fate::done) {
+  store_.create_lease(settings_.tuning.session_lease, [this](const LeaseResult& r) {
+    if (r.outcome != Outcome::done) {
       session_timer_.start(backoff_.next(random_));
       return;
     }
     backoff_.reset();
-    session_ = r.permit;
+    session_ = r.lease_id;
     session_timer_.start(settings_.tuning.session_lease * 0.25);
     consider();
   });
 }
 
 void Election::touch() {
-  store_.touch_permit(session_, [this](const PermitResult& r) {
-    if (r.fate == Fate::no_permit) {
+  store_.renew_lease(session_, [this](const LeaseResult& r) {
+    if (r.outcome == Outcome::lease_expired) {
       // The keys that hung on it are gone: another may lead by now.
-      session_ = Permit{};
+      session_ = LeaseId{};
       transition(State::joining, "the session ended");
       open_session();
       return;
@@ -76,70 +77,71 @@
 }
 
 void Election::open_block_lease() {
-  store_.create_permit(settings_.tuning.block_lease, [this](const PermitResult& r) {
-    if (r.fate != Fate::done) {
+  store_.create_lease(settings_.tuning.block_lease, [this](const LeaseResult& r) {
+    if (r.outcome != Outcome::done) {
       block_timer_.start(backoff_.next(random_));
       return;
     }
-    block_permit_ = r.permit;
+    block_lease_id_ = r.lease_id;
     block_timer_.start(settings_.tuning.block_lease * 0.25);
     consider();
   });
 }
 
 void Election::touch_blocks() {
-  store_.touch_permit(block_permit_, [this](const PermitResult& r) {
-    if (r.fate == Fate::no_permit) {
-      block_permit_ = Permit{};
+  store_.renew_lease(block_lease_id_, [this](const LeaseResult& r) {
+    if (r.outcome == Outcome::lease_expired) {
+      block_lease_id_ = LeaseId{};
       open_block_lease();
       return;
     }
-    block_timer_.start(settings_.tuning.block_lease * (r.fate == Fate::done ? 0.25 : 0.05));
+    block_timer_.start(settings_.tuning.block_lease * (r.outcome == Outcome::done ? 0.25 : 0.05));
   });
 }
 
 void Election::announce() {
   if (announcing_) return;
-  const auto& nodes = mirror_.records().nodes;
+  const auto& nodes = cache_.records().nodes;
   const auto mine = nodes.find(settings_.node);
   const bool told = mine != nodes.end() && mine->second.record.nonce == nonce_ &&
-                    mine->second.record.block_permit == block_permit_;
+                    mine->second.record.block_lease_id == block_lease_id_;
   if (told) return;
   announcing_ = true;
   Txn txn;
   // Guarded by what is there, so that a late copy from an earlier life can't replace it.
-  txn.guard(keys::node(settings_.node), mine == nodes.end() ? Stamp{} : mine->second.stamp);
-  txn.put(keys::node(settings_.node), encode(NodeRecord{settings_.node, nonce_, block_permit_}),
+  txn.guard(keys::node(settings_.node),
+            mine == nodes.end() ? ModRevision{} : mine->second.mod_revision);
+  txn.put(keys::node(settings_.node), encode(NodeRecord{settings_.node, nonce_, block_lease_id_}),
           session_);
-  mirror_.commit(Rank::lease, std::move(txn), [this](const CommitResult& r) {
+  cache_.commit(RequestPriority::lease, std::move(txn), [this](const CommitResult& r) {
     announcing_ = false;
-    consider_timer_.start(r.fate == Fate::done ? Span{0} : backoff_.next(random_));
+    consider_timer_.start(r.outcome == Outcome::done ? Duration{0} : backoff_.next(random_));
   });
 }
 
 void Election::consider() {
-  if (session_ == Permit{} || block_permit_ == Permit{} || !mirror_.ready()) {
-    if (session_ != Permit{}) consider_timer_.start({100});
+  if (session_ == LeaseId{} || block_lease_id_ == LeaseId{} || !cache_.ready()) {
+    if (session_ != LeaseId{}) consider_timer_.start({100});
     return;
   }
   announce();
-  const auto& leader = mirror_.records().leader;
+  const auto& leader = cache_.records().leader;
   if (leader) may_stand_ = false;
   if (leader && leader->record.node == settings_.node && leader->record.nonce == nonce_) {
-    term_ = leader->stamp;
+    term_ = leader->mod_revision;
     transition(State::leading, "the leader record is ours");
     return;
   }
   if (state_ == State::standing) return;
   transition(State::follower, leader ? "another leads" : "nobody leads");
   if (leader && leader->record.node == settings_.node) {
-    stand(leader->stamp);  // an earlier life of this controller led; its successor is here
+    stand(leader->mod_revision);  // an earlier life of this controller led; its successor is here
   } else if (!leader) {
     if (needed_at_home() && !may_stand_) {
       if (!defer_timer_.pending()) defer_timer_.start(kDefer);
       return;
     }
-    stand(Stamp{});
+    stand(ModRevision{});
   }
 }
 
@@ -154,19 +156,19 @@
                      [](const auto& zone) { return zone.second > 1; });
 }
 
-void Election::stand(Stamp over) {
+void Election::stand(ModRevision over) {
   transition(State::standing, "the place is free");
   Txn txn;
   txn.guard(keys::kLeader, over);
   txn.put(keys::kLeader, encode(LeaderRecord{settings_.node, nonce_}), session_);
-  mirror_.commit(Rank::lease, std::move(txn), [this](const CommitResult& r) {
+  cache_.commit(RequestPriority::lease, std::move(txn), [this](const CommitResult& r) {
     if (state_ != State::standing) return;
-    if (r.fate == Fate::done) {
+    if (r.outcome == Outcome::done) {
       consider();
       return;
     }
     transition(State::follower, "not elected");
-    // Whoever won shows in the mirror soon; an unknown outcome does, too.
+    // Whoever won shows in the cache soon; an unknown outcome does, too.
     consider_timer_.start(kStandJitter + backoff_.next(random_));
   });
 }
--- a/src/election/election.hpp
+++ b/src/election/election.hpp
@@ -6,7 +6,7 @@
 #include <random>
 
 #include "app/settings.hpp"
-#include "store/mirror.hpp"
+#include "store/watch_cache.hpp"
 
 namespace marblevale {
 
@@ -14,22 +14,23 @@
  public:
   enum class State { joining, follower, standing, leading };
 
-  Election(Loop& loop, const Settings& settings, Store& store, Mirror& mirror, Nonce nonce);
+  Election(Loop& loop, const Settings& settings, Store& store, WatchCache& cache, Nonce nonce);
 
   void begin();
   [[nodiscard]] State state() const { return state_; }
-  /// The stamp of our own leadership; only while leading.
-  [[nodiscard]] Stamp term() const { return term_; }
-  /// Leading, and every commit of earlier leaders is in the mirror.
+  /// The revision of our own leadership; only while leading.
+  [[nodiscard]] ModRevision term() const { return term_; }
+  /// Leading, and every commit of earlier leaders is in the cache.
   [[nodiscard]] bool in_charge() const;
   [[nodiscard]] Nonce nonce() const { return nonce_; }
-  [[nodiscard]] Permit block_permit() const { return block_permit_; }
+  [[nodiscard]] LeaseId block_lease_id() const { return block_lease_id_; }
 
-  /// Puts the leader's guard on a transaction. One that does not lead has no term, and the stamp of
-  /// none would pass while nobody leads: its transaction must fail.
+  /// Puts the leader's guard on a transaction. One that does not lead has no term, and the revision
+  /// of none would pass while nobody leads: its transaction must fail.
   void guard(Txn& txn) const {
-    txn.guard(keys::kLeader,
-              term_ == Stamp{} ? Stamp(std::numeric_limits<std::uint64_t>::max()) : term_);
+    txn.guard(keys::kLeader, term_ == ModRevision{}
+                                 ? ModRevision(std::numeric_limits<std::uint64_t>::max())
+                                 : term_);
   }
 
  private:
@@ -40,18 +41,18 @@
   void touch_blocks();
   void consider();
   void announce();
-  void stand(Stamp over);
+  void stand(ModRevision over);
   [[nodiscard]] bool needed_at_home() const;
 
   const Settings& settings_;
   Store& store_;
-  Mirror& mirror_;
+  WatchCache& cache_;
   Nonce nonce_;
   std::mt19937_64 random_;
   State state_ = State::joining;
-  Stamp term_;
-  Permit session_;
-  Permit block_permit_;
+  ModRevision term_;
+  LeaseId session_;
+  LeaseId block_lease_id_;
   bool announcing_ = false;
   bool may_stand_ = false;  // others have had the time to stand first
   Backoff backoff_;
--- a/src/fleet/cloud_client.cpp
+++ b/src/fleet/cloud_client.cpp
@@ -3,7 +3,7 @@
 namespace marblevale {
 
 namespace {
-constexpr Span kDeadline{4000};
+constexpr Duration kDeadline{4000};
 constexpr std::size_t kQueueLimit = 64;
 constexpr std::size_t kPage = 500;  // the most that the cloud gives
 constexpr double kShare = 0.8;
@@ -26,7 +26,7 @@
 
 void CloudClient::pump() {
   while (!queue_.empty()) {
-    const Steady now = clock_.steady();
+    const SteadyTime now = clock_.steady();
     if (!budget_.take(now, 1)) {
       if (!pump_timer_.pending()) pump_timer_.start(budget_.wait(now, 1));
       return;
@@ -49,7 +49,8 @@
        });
 }
 
-void CloudClient::list(const HostId& after, std::function<void(std::optional<MachineList>)> then) {
+void CloudClient::list(const MachineId& after,
+                       std::function<void(std::optional<MachineList>)> then) {
   std::string path = "/machines?limit=" + std::to_string(kPage);
   if (!after.get().empty()) path += "&after=" + after.get();
   send({EVHTTP_REQ_GET, path, {}, "application/json", kDeadline},
@@ -58,27 +59,29 @@
        });
 }
 
-void CloudClient::hire(const std::string& name, const std::string& build, const ZoneId& zone,
-                       bool spot, std::uint32_t how_many,
-                       std::function<void(HireFate, std::vector<HostId>)> then) {
-  send({EVHTTP_REQ_POST, "/machines", write_hire(name, build, zone, spot, how_many),
+void CloudClient::rental(const std::string& name, const std::string& machine_type,
+                         const ZoneId& zone, bool spot, std::uint32_t how_many,
+                         std::function<void(RentalOutcome, std::vector<MachineId>)> then) {
+  send({EVHTTP_REQ_POST, "/machines", write_rental(name, machine_type, zone, spot, how_many),
         "application/json", kDeadline},
        [then = std::move(then)](const HttpReply& reply) {
          if (reply.status == 200) {
-           if (auto hosts = parse_hired(reply.body)) {
-             then(HireFate::rented, std::move(*hosts));
+           if (auto machine_ids = parse_rented(reply.body)) {
+             then(RentalOutcome::rented, std::move(*machine_ids));
              return;
            }
          }
          const bool full =
              reply.status == 400 ||
              (reply.status == 503 && reply.body.find("no capacity") != std::string::npos);
-         then(full ? HireFate::no_capacity : HireFate::trouble, {});
+         then(full ? RentalOutcome::no_capacity : RentalOutcome::trouble, {});
        });
 }
 
-void CloudClient::remove(const std::vector<HostId>& hosts, std::function<void(bool)> then) {
-  send({EVHTTP_REQ_POST, "/machines/delete", write_delete(hosts), "application/json", kDeadline},
+void CloudClient::remove(const std::vector<MachineId>& machine_ids,
+                         std::function<void(bool)> then) {
+  send({EVHTTP_REQ_POST, "/machines/delete", write_delete(machine_ids), "application/json",
+        kDeadline},
        [then = std::move(then)](const HttpReply& reply) { then(reply.status == 200); });
 }
 
--- a/src/fleet/cloud_client.hpp
+++ b/src/fleet/cloud_client.hpp
@@ -12,29 +12,31 @@
 
 namespace marblevale {
 
-enum class HireFate { rented, no_capacity, trouble };
+enum class RentalOutcome { rented, no_capacity, trouble };
 
 class Cloud {
  public:
   virtual ~Cloud() = default;
   virtual void types(std::function<void(std::optional<std::vector<MachineType>>)> then) = 0;
-  virtual void list(const HostId& after, std::function<void(std::optional<MachineList>)> then) = 0;
-  virtual void hire(const std::string& name, const std::string& build, const ZoneId& zone,
-                    bool spot, std::uint32_t how_many,
-                    std::function<void(HireFate, std::vector<HostId>)> then) = 0;
+  virtual void list(const MachineId& after,
+                    std::function<void(std::optional<MachineList>)> then) = 0;
+  virtual void rental(const std::string& name, const std::string& machine_type, const ZoneId& zone,
+                      bool spot, std::uint32_t how_many,
+                      std::function<void(RentalOutcome, std::vector<MachineId>)> then) = 0;
   /// True: the machines and everything on them are gone. False: unknown.
-  virtual void remove(const std::vector<HostId>& hosts, std::function<void(bool)> then) = 0;
+  virtual void remove(const std::vector<MachineId>& machine_ids,
+                      std::function<void(bool)> then) = 0;
 };
 
 class CloudClient : public Cloud {
  public:
   CloudClient(Loop& loop, const Clock& clock, const Address& at, double rps);
   void types(std::function<void(std::optional<std::vector<MachineType>>)> then) override;
-  void list(const HostId& after, std::function<void(std::optional<MachineList>)> then) override;
-  void hire(const std::string& name, const std::string& build, const ZoneId& zone, bool spot,
-            std::uint32_t how_many,
-            std::function<void(HireFate, std::vector<HostId>)> then) override;
-  void remove(const std::vector<HostId>& hosts, std::function<void(bool)> then) override;
+  void list(const MachineId& after, std::function<void(std::optional<MachineList>)> then) override;
+  void rental(const std::string& name, const std::string& machine_type, const ZoneId& zone,
+              bool spot, std::uint32_t how_many,
+              std::function<void(RentalOutcome, std::vector<MachineId>)> then) override;
+  void remove(const std::vector<MachineId>& machine_ids, std::function<void(bool)> then) override;
 
  private:
   void send(HttpCall call, HttpHandler then);
--- a/src/fleet/demand.hpp
+++ b/src/fleet/demand.hpp
@@ -12,28 +12,27 @@
 namespace marblevale {
 
 /// A kind of machine that can be rented.
-struct Offer {
-  std::string build;
+struct MachineOffering {
+  std::string machine_type;
   ZoneId zone;
   bool spot = false;
-  auto operator<=>(const Offer&) const = default;
+  auto operator<=>(const MachineOffering&) const = default;
 };
 
 /// Work that would wait longer than a new machine takes to come up.
-struct Wanting {
+struct UnmetDemand {
   const JobSpec* job = nullptr;
   std::uint32_t tasks = 0;
-  Span run;
-  Span wait;                   // until its planned start
+  Duration run;
+  Duration wait;               // until its planned start
   std::optional<ZoneId> zone;  // where it must be
 };
 
 /// How many machines of each offer to rent. `available` says whether the cloud may have any;
 /// `in_zone` counts the machines that each zone has; `team_room` is what each team may still take.
-std::map<Offer, std::uint32_t> machines_for(const std::vector<Wanting>& wanting,
-                                            const std::vector<MachineType>& types,
-                                            const std::function<bool(const Offer&)>& available,
-                                            const std::map<ZoneId, std::uint32_t>& in_zone,
-                                            std::map<TeamId, Room> team_room);
+std::map<MachineOffering, std::uint32_t> machines_for(
+    const std::vector<UnmetDemand>& unmet_demands, const std::vector<MachineType>& types,
+    const std::function<bool(const MachineOffering&)>& available,
+    const std::map<ZoneId, std::uint32_t>& in_zone, std::map<TeamId, Resources> team_resources);
 
 }  // namespace marblevale
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -14,58 +14,58 @@
 #include "fleet/demand.hpp"
 #include "planner/occupancy.hpp"
 #include "store/machine_writer.hpp"
-#include "store/mirror.hpp"
+#include "store/watch_cache.hpp"
 
 namespace marblevale {
 
 class Fleet {
  public:
-  Fleet(Loop& loop, const Clock& clock, const Settings& settings, Mirror& mirror,
+  Fleet(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
         Election& election, Cloud& cloud);
 
   void begin();
   /// `overdue`: machines held here on which a cancelled task has been for too long.
-  void delete_overdue(std::function<std::vector<HostId>()> overdue) {
+  void delete_overdue(std::function<std::vector<MachineId>()> overdue) {
     overdue_ = std::move(overdue);
   }
   [[nodiscard]] std::vector<Booting> booting() const;
 
   /// What the last round of planning left waiting, and which machines it has a use for.
-  void plan(std::vector<Wanting> wanting, std::map<TeamId, Room> team_room,
-            std::set<HostId> in_use);
+  void plan(std::vector<UnmetDemand> unmet_demands, std::map<TeamId, Resources> team_resources,
+            std::set<MachineId> in_use);
   /// Deletes the machine as soon as can be; the reason is logged and kept in its record's state.
-  void condemn(const HostId& host, const char* why);
+  void request_deletion(const MachineId& machine_id, const char* why);
 
  private:
   struct Refusal {
-    Steady until;
+    SteadyTime until;
     Backoff backoff;
   };
   struct Listed {
     ListedMachine machine;
-    Steady seen;
+    SteadyTime seen;
   };
 
   void tick();
   void refresh_types();
   void refresh_list();
-  void take_list(const MachineList& page, Steady sent, std::set<HostId> seen, int pages);
-  void pursue_hires();
+  void take_list(const MachineList& page, SteadyTime sent, std::set<MachineId> seen, int pages);
+  void pursue_rentals();
   void pursue_machines();
   void return_idle();
   void judge_suspect(const MachineRecord& machine);
   void pursue_deletions();
   void delete_unrecorded();
   void rent();
-  void ask(const HireRecord& hire, Stamp stamp);
+  void ask(const RentalRecord& rental, ModRevision mod_revision);
   void forget_old();
-  [[nodiscard]] bool available(const Offer& offer) const;
-  [[nodiscard]] Span boot_time(const std::string& build) const;
+  [[nodiscard]] bool available(const MachineOffering& offer) const;
+  [[nodiscard]] Duration boot_time(const std::string& machine_type) const;
 
-  Meter& meter_;
+  Metrics& metrics_;
   const Clock& clock_;
   const Settings& settings_;
-  Mirror& mirror_;
+  WatchCache& cache_;
   Election& election_;
   Cloud& cloud_;
   std::mt19937_64 random_;
@@ -74,24 +74,24 @@
   bool listing_ = false;
   int list_pages_ = 1;  // of the last whole list
   bool deleting_ = false;
-  std::function<std::vector<HostId>()> overdue_;
+  std::function<std::vector<MachineId>()> overdue_;
   bool deleting_unrecorded_ = false;
-  std::set<HostId> deleted_unrecorded_;  // while the state service does not answer
-  Steady types_at_{-1'000'000};
-  Steady list_at_{-1'000'000};
-  Steady charge_since_{};
-  Stamp term_;                       // of the last tick; none: not in charge then
-  std::map<HostId, Listed> listed_;  // until it is sure that they are listed no longer
-  Steady last_list_{};               // when the last full list was asked for
-  std::set<HostId> last_seen_;       // what it held
-  std::map<Offer, Refusal> refused_;
+  std::set<MachineId> deleted_unrecorded_;  // while the state service does not answer
+  SteadyTime types_at_{-1'000'000};
+  SteadyTime list_at_{-1'000'000};
+  SteadyTime charge_since_{};
+  ModRevision term_;                    // of the last tick; none: not in charge then
+  std::map<MachineId, Listed> listed_;  // until it is sure that they are listed no longer
+  SteadyTime last_list_{};              // when the last full list was asked for
+  std::set<MachineId> last_seen_;       // what it held
+  std::map<MachineOffering, Refusal> refused_;
   std::set<std::string> asking_;
   MachineWriter machines_;
-  std::map<HostId, Steady> idle_since_;
-  std::vector<Wanting> wanting_;
-  std::map<std::string, JobSpec> wanting_jobs_;
-  std::map<TeamId, Room> team_room_;
-  std::set<HostId> in_use_;
+  std::map<MachineId, SteadyTime> idle_since_;
+  std::vector<UnmetDemand> unmet_demands_;
+  std::map<std::string, JobSpec> unmet_jobs_;
+  std::map<TeamId, Resources> team_resources_;
+  std::set<MachineId> in_use_;
   Timer tick_timer_;
 };
 
--- a/src/net/budget.hpp
+++ b/src/net/budget.hpp
@@ -14,7 +14,7 @@
       : per_second_(per_second), burst_(burst), tokens_(burst) {}
 
   /// Takes `amount` if that leaves at least `keep` for more important callers.
-  bool take(Steady now, double amount, double keep = 0) {
+  bool take(SteadyTime now, double amount, double keep = 0) {
     refill(now);
     // What is more than ever fits goes when the bucket is full, and is paid for afterwards.
     if (tokens_ - std::min(amount, burst_ - keep) < keep) return false;
@@ -28,21 +28,21 @@
   }
   [[nodiscard]] double rate() const { return per_second_; }
   /// The share of the burst that is there to be taken.
-  double filled(Steady now) {
+  double filled(SteadyTime now) {
     refill(now);
     return std::max(0.0, tokens_ / burst_);
   }
 
   /// How long until `take` of this much could succeed.
-  Span wait(Steady now, double amount, double keep = 0) {
+  Duration wait(SteadyTime now, double amount, double keep = 0) {
     refill(now);
     const double lacking = std::min(amount, burst_ - keep) + keep - tokens_;
-    return lacking <= 0 ? Span{0}
-                        : Span{static_cast<std::int64_t>(lacking / per_second_ * 1000) + 1};
+    return lacking <= 0 ? Duration{0}
+                        : Duration{static_cast<std::int64_t>(lacking / per_second_ * 1000) + 1};
   }
 
  private:
-  void refill(Steady now) {
+  void refill(SteadyTime now) {
     if (started_ && now > last_) {
       tokens_ = std::min(burst_, tokens_ + per_second_ * (now - last_).seconds());
     }
@@ -54,25 +54,25 @@
   double burst_;
   double tokens_;
   bool started_ = false;
-  Steady last_{};
+  SteadyTime last_{};
 };
 
 /// Exponential backoff with full jitter in its upper half.
 class Backoff {
  public:
-  Backoff(Span first, Span most) : first_(first), most_(most), next_(first) {}
+  Backoff(Duration first, Duration most) : first_(first), most_(most), next_(first) {}
   template <typename Engine>
-  Span next(Engine& engine) {
-    const Span base = next_;
+  Duration next(Engine& engine) {
+    const Duration base = next_;
     next_ = std::min(most_, next_ * 2.0);
     return base * std::uniform_real_distribution<>(0.5, 1.0)(engine);
   }
   void reset() { next_ = first_; }
 
  private:
-  Span first_;
-  Span most_;
-  Span next_;
+  Duration first_;
+  Duration most_;
+  Duration next_;
 };
 
 }  // namespace marblevale
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -35,7 +35,7 @@
   std::string path;
   std::string body;
   std::string content_type = "application/json";
-  Span deadline{2000};
+  Duration deadline{2000};
 };
 
 class HttpClient {
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -13,8 +13,8 @@
 }
 }  // namespace
 
-Steady SystemClock::steady() const { return {read_clock(CLOCK_MONOTONIC)}; }
-Wall SystemClock::wall() const { return {read_clock(CLOCK_REALTIME)}; }
+SteadyTime SystemClock::steady() const { return {read_clock(CLOCK_MONOTONIC)}; }
+WallTime SystemClock::wall() const { return {read_clock(CLOCK_REALTIME)}; }
 
 Loop::Loop(TimerQueue* timers) : base_(event_base_new(), &event_base_free), timers_(timers) {
   if (!base_) throw std::runtime_error("libevent gave no event base");
@@ -35,10 +35,10 @@
   if (queue_ != nullptr) queue_->disarm(*this);
 }
 
-void Timer::start(Span after) {
+void Timer::start(Duration after) {
   const std::int64_t ms = after.ms < 0 ? 0 : after.ms;
   if (queue_ != nullptr) {
-    queue_->arm(*this, Span{ms});
+    queue_->arm(*this, Duration{ms});
     return;
   }
   timeval tv{static_cast<time_t>(ms / 1000), static_cast<suseconds_t>(ms % 1000 * 1000)};
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -6,15 +6,15 @@
 #include <functional>
 #include <memory>
 
-#include "core/meter.hpp"
+#include "core/metrics.hpp"
 #include "core/time.hpp"
 
 namespace marblevale {
 
 class SystemClock : public Clock {
  public:
-  [[nodiscard]] Steady steady() const override;
-  [[nodiscard]] Wall wall() const override;
+  [[nodiscard]] SteadyTime steady() const override;
+  [[nodiscard]] WallTime wall() const override;
 };
 
 class Timer;
@@ -23,7 +23,7 @@
 class TimerQueue {
  public:
   virtual ~TimerQueue() = default;
-  virtual void arm(Timer& timer, Span after) = 0;
+  virtual void arm(Timer& timer, Duration after) = 0;
   virtual void disarm(Timer& timer) = 0;
   [[nodiscard]] virtual bool armed(const Timer& timer) const = 0;
 };
@@ -34,13 +34,13 @@
   [[nodiscard]] event_base* base() const { return base_.get(); }
   [[nodiscard]] TimerQueue* timers() const { return timers_; }
   /// Where those who run on this loop tell what they spend.
-  [[nodiscard]] Meter& meter() { return meter_; }
+  [[nodiscard]] Metrics& metrics() { return metrics_; }
   void run();
 
  private:
   std::unique_ptr<event_base, decltype(&event_base_free)> base_;
   TimerQueue* timers_;
-  Meter meter_;
+  Metrics metrics_;
 };
 
 /// A timer that can be set again; it never fires after it is destroyed.
@@ -50,7 +50,7 @@
   ~Timer();
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
-  void start(Span after);
+  void start(Duration after);
   void stop();
   [[nodiscard]] bool pending() const;
   void fire() { action_(); }
--- a/src/peers/pulse.cpp
+++ b/src/peers/heartbeat.cpp
@@ -1,4 +1,4 @@
-#include "peers/pulse.hpp"
+#include "peers/heartbeat.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -11,33 +11,33 @@
 namespace marblevale {
 
 namespace {
-constexpr Span kEvery{1000};
-constexpr Span kLeastApart{100};  // under a storm of cancellations
-constexpr Span kDeadline{900};
-constexpr Span kLife{2500};
+constexpr Duration kEvery{1000};
+constexpr Duration kMinApart{100};  // under a storm of cancellations
+constexpr Duration kDeadline{900};
+constexpr Duration kLife{2500};
 }  // namespace
 
-std::string encode(const Pulse& pulse) { return to_bytes(pulse); }
+std::string encode(const Heartbeat& heartbeat) { return to_bytes(heartbeat); }
 
-std::optional<Pulse> decode_pulse(const std::string& bytes) {
-  auto pulse = from_bytes<Pulse>(bytes);
-  if (pulse && pulse->format != kPulseFormat) return std::nullopt;
-  return pulse;
+std::optional<Heartbeat> decode_heartbeat(const std::string& bytes) {
+  auto heartbeat = from_bytes<Heartbeat>(bytes);
+  if (heartbeat && heartbeat->format != kHeartbeatFormat) return std::nullopt;
+  return heartbeat;
 }
 
-bool PulseOrder::newer(const Pulse& pulse) {
-  auto [it, fresh] = last_.try_emplace(pulse.node, pulse.nonce, pulse.serial);
+bool HeartbeatOrder::newer(const Heartbeat& heartbeat) {
+  auto [it, fresh] = last_.try_emplace(heartbeat.node, heartbeat.nonce, heartbeat.serial);
   if (fresh) return true;
   auto& [nonce, serial] = it->second;
-  if (nonce == pulse.nonce && pulse.serial <= serial) return false;
+  if (nonce == heartbeat.nonce && heartbeat.serial <= serial) return false;
   // Another life: whether it is the present one is for the records to tell.
-  nonce = pulse.nonce;
-  serial = pulse.serial;
+  nonce = heartbeat.nonce;
+  serial = heartbeat.serial;
   return true;
 }
 
-Pulses::Pulses(Loop& loop, const Clock& clock, const Settings& settings, Compose compose,
-               Heard heard)
+HeartbeatExchange::HeartbeatExchange(Loop& loop, const Clock& clock, const Settings& settings,
+                                     Compose compose, Heard heard)
     : clock_(clock),
       settings_(settings),
       compose_(std::move(compose)),
@@ -48,49 +48,49 @@
   }
 }
 
-void Pulses::drop(const char* what) {
-  if (!dropped_) spdlog::warn("pulses: {} is dropped (logged once)", what);
+void HeartbeatExchange::drop(const char* what) {
+  if (!dropped_) spdlog::warn("heartbeats: {} is dropped (logged once)", what);
   dropped_ = true;
 }
 
-void Pulses::serve(const HttpRequest& request, const ResponderPtr& responder) {
-  const auto pulse = decode_pulse(request.body);
-  if (!pulse) {
-    drop("a pulse that can't be read");
+void HeartbeatExchange::serve(const HttpRequest& request, const ResponderPtr& responder) {
+  const auto heartbeat = decode_heartbeat(request.body);
+  if (!heartbeat) {
+    drop("a heartbeat that can't be read");
     responder->reply(400, "{}");
     return;
   }
-  heard_(*pulse, order_.newer(*pulse));
-  Pulse answer = compose_();
+  heard_(*heartbeat, order_.newer(*heartbeat));
+  Heartbeat answer = compose_();
   answer.serial = ++serial_;
-  answer.answers = pulse->serial;
+  answer.answers = heartbeat->serial;
   responder->reply(200, encode(answer));
 }
 
-void Pulses::begin() { timer_.start({200}); }
+void HeartbeatExchange::begin() { timer_.start({200}); }
 
-void Pulses::hurry() {
+void HeartbeatExchange::hurry() {
   hurried_ = true;
-  timer_.start(std::max(Span{0}, kLeastApart - (clock_.steady() - last_tick_)));
+  timer_.start(std::max(Duration{0}, kMinApart - (clock_.steady() - last_tick_)));
 }
 
-void Pulses::tick() {
+void HeartbeatExchange::tick() {
   timer_.start(kEvery);
-  const Steady now = clock_.steady();
-  const Wall wall = clock_.wall();
+  const SteadyTime now = clock_.steady();
+  const WallTime wall = clock_.wall();
   last_tick_ = now;
   const bool hurried = hurried_;
   hurried_ = false;
-  Pulse pulse = compose_();
-  pulse.serial = ++serial_;
-  const std::string body = encode(pulse);
+  Heartbeat heartbeat = compose_();
+  heartbeat.serial = ++serial_;
+  const std::string body = encode(heartbeat);
   for (auto& [node, peer] : peers_) {
     if (peer.busy) {
       peer.again = peer.again || hurried;
       continue;
     }
     peer.busy = true;
-    peer.serial = pulse.serial;
+    peer.serial = heartbeat.serial;
     peer.client->send({EVHTTP_REQ_POST, kPath, body, "application/octet-stream", kDeadline},
                       [this, now, wall, name = node](const HttpReply& reply) {
                         answered(name, now, wall, reply);
@@ -98,7 +98,8 @@
   }
 }
 
-void Pulses::answered(const NodeId& name, Steady sent, Wall sent_wall, const HttpReply& reply) {
+void HeartbeatExchange::answered(const NodeId& name, SteadyTime sent, WallTime sent_wall,
+                                 const HttpReply& reply) {
   PeerState& state = peers_.at(name);
   state.busy = false;
   if (state.again) {
@@ -106,7 +107,7 @@
     hurry();
   }
   if (reply.status != 200) return;
-  auto answer = decode_pulse(reply.body);
+  auto answer = decode_heartbeat(reply.body);
   // Its age counts from what it answers, and an answer to anything but this question, or of
   // another controller, tells nothing of now.
   if (!answer || answer->answers != state.serial || answer->node != name.get()) {
@@ -124,7 +125,7 @@
   return peers == PeersSay::no_peers || peers == PeersSay::no_state;
 }
 
-PeersSay Pulses::peers_say() const {
+PeersSay HeartbeatExchange::peers_say() const {
   PeersSay out = peers_.empty() ? PeersSay::no_peers : PeersSay::nothing;
   for (const auto& [node, peer] : peers_) {
     if (!peer.last || clock_.steady() - peer.asked >= kLife) continue;
@@ -133,7 +134,7 @@
   return out;
 }
 
-std::vector<std::optional<CancellationWord>> Pulses::words() const {
+std::vector<std::optional<CancellationWord>> HeartbeatExchange::words() const {
   std::vector<std::optional<CancellationWord>> out;
   for (const auto& [node, peer] : peers_) {
     auto& word = out.emplace_back();
--- a/src/peers/pulse.hpp
+++ b/src/peers/heartbeat.hpp
@@ -16,28 +16,29 @@
 namespace marblevale {
 
 /// Rises when the message's form does: one of another form is dropped.
-inline constexpr std::uint32_t kPulseFormat = 2;
+inline constexpr std::uint32_t kHeartbeatFormat = 2;
 
-struct Pulse {
-  std::uint32_t format = kPulseFormat;
+struct Heartbeat {
+  std::uint32_t format = kHeartbeatFormat;
   std::string node;
   std::uint64_t nonce = 0;
-  std::uint64_t serial = 0;             // rises with every pulse of this life
-  std::uint64_t answers = 0;            // in an answer: the serial of the pulse that it answers
-  bool state_ok = false;                // the state service answers this node
-  std::vector<std::string> complaints;  // zones whose workers can't reach their holder
-  std::vector<std::string> dark;        // zones that this node holds and can't reach
+  std::uint64_t serial = 0;   // rises with every heartbeat of this life
+  std::uint64_t answers = 0;  // in an answer: the serial of the heartbeat that it answers
+  bool state_ok = false;      // the state service answers this node
+  std::vector<std::string> misdirected_zones;  // zones whose workers can't reach their holder
+  std::vector<std::string> unreachable_zones;  // zones that this node holds and can't reach
   CancellationList cancellations;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(format, node, nonce, serial, answers, state_ok, complaints, dark, cancellations);
+    archive(format, node, nonce, serial, answers, state_ok, misdirected_zones, unreachable_zones,
+            cancellations);
   }
 };
 
-std::string encode(const Pulse& pulse);
+std::string encode(const Heartbeat& heartbeat);
 /// Nothing for what can't be read.
-std::optional<Pulse> decode_pulse(const std::string& bytes);
+std::optional<Heartbeat> decode_heartbeat(const std::string& bytes);
 
 /// What the other controllers said of the state service within the last seconds.
 enum class PeersSay { no_peers, nothing, no_state, state };
@@ -47,26 +48,27 @@
 /// are probably not. When all lack it, being skipped would only cost time afterwards.
 bool takes_users(bool loaded, bool state_answers, PeersSay peers);
 
-/// Which pulses are news: a copy of one may come seconds or minutes later.
-class PulseOrder {
+/// Which heartbeats are news: a copy of one may come seconds or minutes later.
+class HeartbeatOrder {
  public:
   /// False for one that was heard before, or that was sent before one that was heard.
-  bool newer(const Pulse& pulse);
+  bool newer(const Heartbeat& heartbeat);
 
  private:
   std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> last_;  // nonce and serial
 };
 
-class Pulses {
+class HeartbeatExchange {
  public:
   static constexpr const char* kPath = "/pulse";
-  using Compose = std::function<Pulse()>;
+  using Compose = std::function<Heartbeat()>;
   /// `newer`: false for a late copy, or one that others have overtaken.
-  using Heard = std::function<void(const Pulse&, bool newer)>;
+  using Heard = std::function<void(const Heartbeat&, bool newer)>;
 
-  Pulses(Loop& loop, const Clock& clock, const Settings& settings, Compose compose, Heard heard);
+  HeartbeatExchange(Loop& loop, const Clock& clock, const Settings& settings, Compose compose,
+                    Heard heard);
   void begin();
-  /// Has the next pulses go out at once, or as soon as others have been answered.
+  /// Has the next heartbeats go out at once, or as soon as others have been answered.
   void hurry();
   /// A peer's request on `kPath`.
   void serve(const HttpRequest& request, const ResponderPtr& responder);
@@ -80,22 +82,22 @@
     std::unique_ptr<HttpClient> client;
     bool busy = false;
     bool again = false;  // there was news while the last request waited for its answer
-    std::optional<Pulse> last;
-    Steady asked;  // when the request that brought `last` was sent
-    Wall asked_wall;
+    std::optional<Heartbeat> last;
+    SteadyTime asked;  // when the request that brought `last` was sent
+    WallTime asked_wall;
     std::uint64_t serial = 0;  // of the request that waits for its answer
   };
   void tick();
-  void answered(const NodeId& peer, Steady sent, Wall sent_wall, const HttpReply& reply);
+  void answered(const NodeId& peer, SteadyTime sent, WallTime sent_wall, const HttpReply& reply);
   void drop(const char* what);
 
   const Clock& clock_;
   const Settings& settings_;
   Compose compose_;
   Heard heard_;
-  PulseOrder order_;
+  HeartbeatOrder order_;
   std::uint64_t serial_ = 0;
-  Steady last_tick_{-1'000'000};
+  SteadyTime last_tick_{-1'000'000};
   bool hurried_ = false;
   bool dropped_ = false;  // something that could not be read: logged once
   std::map<NodeId, PeerState> peers_;
--- a/src/peers/offers.cpp
+++ b/src/peers/offers.cpp
@@ -8,7 +8,7 @@
 namespace marblevale {
 
 namespace {
-constexpr Span kDeadline{1000};
+constexpr Duration kDeadline{1000};
 constexpr std::size_t kQueueLimit = 64;
 }  // namespace
 
@@ -26,21 +26,21 @@
 }
 
 void Offers::offer(const NodeId& holder, const ReleaseOffer& offer,
-                   std::function<void(OfferFate)> then) {
+                   std::function<void(OfferOutcome)> then) {
   if (holder == self_) {
-    then(take_(offer) ? OfferFate::taken : OfferFate::declined);
+    then(take_(offer) ? OfferOutcome::taken : OfferOutcome::declined);
     return;
   }
   const auto peer = peers_.find(holder);
   if (peer == peers_.end()) {
-    then(OfferFate::declined);
+    then(OfferOutcome::declined);
     return;
   }
   peer->second->send({EVHTTP_REQ_POST, kPath, encode(offer), "application/octet-stream", kDeadline},
                      [then = std::move(then)](const HttpReply& reply) {
-                       then(reply.status == 200                       ? OfferFate::taken
-                            : reply.status == 409 || reply.never_sent ? OfferFate::declined
-                                                                      : OfferFate::unknown);
+                       then(reply.status == 200                       ? OfferOutcome::taken
+                            : reply.status == 409 || reply.never_sent ? OfferOutcome::declined
+                                                                      : OfferOutcome::unknown);
                      });
 }
 
--- a/src/peers/offers.hpp
+++ b/src/peers/offers.hpp
@@ -2,7 +2,7 @@
 // leader's of the release and its own. It only makes things quicker and cheaper: the holder's
 // commit is guarded by the leader's term, the block, the job and the slice as the leader knew it,
 // so it passes only while the release is still meant, and once. Where no word comes back the leader
-// commits the release itself, which the same stamps keep from passing beside the binding.
+// commits the release itself, which the same revisions keep from passing beside the binding.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 #include "app/settings.hpp"
 #include "net/http_server.hpp"
-#include "store/mirror.hpp"
+#include "store/watch_cache.hpp"
 
 namespace marblevale {
 
@@ -22,23 +22,23 @@
     std::uint32_t index = 0;  // in the slice
     std::uint64_t attempt = 0;
     std::string zone;
-    std::string host;
+    std::string machine_id;
 
     template <typename Archive>
     void serialize(Archive& archive) {
-      archive(index, attempt, zone, host);
+      archive(index, attempt, zone, machine_id);
     }
   };
-  std::uint64_t term = 0;  // stamp of the leader's record
-  std::string uid;
+  std::uint64_t term = 0;  // revision of the leader's record
+  std::string job_id;
   std::uint32_t slice = 0;
-  std::uint64_t over = 0;      // stamp of the slice that the leader knew; 0: none
+  std::uint64_t over = 0;      // revision of the slice that the leader knew; 0: none
   std::uint64_t revision = 0;  // what the leader's copy had: a holder that lags waits for it
   std::vector<Task> tasks;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(term, uid, slice, over, revision, tasks);
+    archive(term, job_id, slice, over, revision, tasks);
   }
 };
 
@@ -48,13 +48,13 @@
 
 /// What a holder says to an offer. `taken`: it is being tried. `declined`: nothing was committed
 /// and nothing will be.
-enum class OfferFate { taken, declined, unknown };
+enum class OfferOutcome { taken, declined, unknown };
 
 class OfferChannel {
  public:
   virtual ~OfferChannel() = default;
   virtual void offer(const NodeId& holder, const ReleaseOffer& offer,
-                     std::function<void(OfferFate)> then) = 0;
+                     std::function<void(OfferOutcome)> then) = 0;
 };
 
 /// By the peers' addresses; to this controller itself by a call.
@@ -65,7 +65,7 @@
 
   Offers(Loop& loop, const Settings& settings, Take take);
   void offer(const NodeId& holder, const ReleaseOffer& offer,
-             std::function<void(OfferFate)> then) override;
+             std::function<void(OfferOutcome)> then) override;
   /// A peer's request on `kPath`.
   void serve(const HttpRequest& request, const ResponderPtr& responder) const;
 
--- a/src/planner/displacement.cpp
+++ b/src/planner/displacement.cpp
@@ -7,47 +7,47 @@
 
 namespace {
 constexpr double kImpatientLoss = 60;  // of a victim without a deadline: its start was the point
-constexpr Span kFreshStart{30'000};
+constexpr Duration kFreshStart{30'000};
 constexpr double kFreshLoss = 15;  // of a victim that has hardly begun
 }  // namespace
 
 std::optional<Displacement> find_room(const QueueItem& item,
-                                      const std::unordered_set<Uid>& guaranteed,
+                                      const std::unordered_set<JobId>& guaranteed,
                                       const Records& records, const Settings& settings,
-                                      const Profile& profile, Wall now,
-                                      const std::set<HostId>& others) {
+                                      const Profile& profile, WallTime now,
+                                      const std::set<MachineId>& others) {
   const JobSpec& spec = *item.demand.job;
-  const Team* team = settings.team(spec.crew);
+  const Team* team = settings.team(spec.team);
   struct Victim {
     TaskId id;
-    Room room;
+    Resources resources;
     double loss;
   };
   struct Place {
-    HostId host;
+    MachineId machine_id;
     ZoneId zone;
-    Room free;
+    Resources free;
     double fetch = 0;  // seconds until the job's image is there
     std::vector<Victim> victims;
   };
-  Room team_used{};
+  Resources team_used{};
   std::vector<Place> places;
-  for (const auto& [host, stored] : records.machines) {
+  for (const auto& [machine_id, stored] : records.machines) {
     const MachineRecord& m = stored.record;
-    const MachineType* type = records.type(m.build);
+    const MachineType* type = records.type(m.machine_type);
     if (type == nullptr) continue;
-    Place place{host, m.zone, type->room, 0, {}};
-    const auto lane = profile.find(host);
+    Place place{machine_id, m.zone, type->resources, 0, {}};
+    const auto lane = profile.find(machine_id);
     if (lane) {
       place.fetch = profile.fetch_time(spec, profile.machines()[*lane]).seconds();
     }
-    if (const auto placed = records.placed.find(host); placed != records.placed.end()) {
+    if (const auto placed = records.placed.find(machine_id); placed != records.placed.end()) {
       for (const auto& [id, attempt] : placed->second) {
-        const JobRecord* other = records.job(id.uid);
+        const JobRecord* other = records.job(id.job_id);
         const TaskRecord* task = records.task(id);
         if (other == nullptr || task == nullptr) continue;
         place.free -= other->spec.need;
-        if (other->spec.crew == spec.crew) team_used += other->spec.need;
+        if (other->spec.team == spec.team) team_used += other->spec.need;
         // Room that is being vacated already counts as free: no second victim for it.
         if (task->stop) {
           place.free += other->spec.need;
@@ -55,24 +55,26 @@
         }
         const bool lower = other->spec.urgency < spec.urgency;
         const bool beyond =
-            item.guaranteed && other->spec.crew != spec.crew && !guaranteed.contains(id.uid);
-        if ((!lower && !beyond) || (other->spec.gang() && other->spec.parts > 1)) continue;
-        const Span ran = task->running.ms == 0 ? Span{0} : now - task->running;
+            item.guaranteed && other->spec.team != spec.team && !guaranteed.contains(id.job_id);
+        if ((!lower && !beyond) || (other->spec.gang() && other->spec.task_count > 1)) continue;
+        const Duration ran = task->running.ms == 0 ? Duration{0} : now - task->running;
         // What a restart costs: the unsaved work, another image fetch perhaps, and its own wait.
-        double lost = other->spec.snapshot > Span{0} ? other->spec.stash.seconds() : ran.seconds();
+        double lost = other->spec.checkpoint_interval > Duration{0}
+                          ? other->spec.save_time.seconds()
+                          : ran.seconds();
         lost += (type->pull_gb_per_s > 0 ? other->spec.image_gb / type->pull_gb_per_s : 0) * 0.5;
-        if (!other->spec.due) lost += kImpatientLoss;
+        if (!other->spec.deadline) lost += kImpatientLoss;
         if (ran < kFreshStart) lost += kFreshLoss;
         place.victims.push_back({id, other->spec.need, lost});
       }
     }
     PlanMachine rules;
-    rules.build = m.build;
+    rules.machine_type = m.machine_type;
     rules.zone = m.zone;
     rules.spot = m.spot;
-    rules.room = type->room;
-    const bool usable = lane && !others.contains(host) && m.state == MachineState::up &&
-                        !m.recall && Profile::allowed(spec, rules) &&
+    rules.resources = type->resources;
+    const bool usable = lane && !others.contains(machine_id) && m.state == MachineState::up &&
+                        !m.reclaim_at && Profile::allowed(spec, rules) &&
                         (!item.demand.zone || *item.demand.zone == m.zone);
     if (!usable) continue;
     // Those that lose least first.
@@ -80,7 +82,7 @@
               [](const Victim& a, const Victim& b) { return a.loss < b.loss; });
     places.push_back(std::move(place));
   }
-  const Room all = spec.need * static_cast<double>(item.demand.tasks);
+  const Resources all = spec.need * static_cast<double>(item.demand.tasks);
   const std::uint32_t tasks = spec.gang() ? item.demand.tasks : 1;
   if (team != nullptr && !fits(team_used + (spec.gang() ? all : spec.need), team->limit())) {
     return std::nullopt;
@@ -94,11 +96,11 @@
     zones.emplace_back(std::nullopt);
   }
   std::vector<TaskId> best;
-  std::vector<HostId> best_hosts;
+  std::vector<MachineId> best_machine_ids;
   double best_loss = 0;
   for (const auto& zone : zones) {
     std::vector<TaskId> chosen;
-    std::vector<HostId> hosts;
+    std::vector<MachineId> machine_ids;
     double loss = 0;
     std::uint32_t found = 0;
     std::vector<Place> open;
@@ -110,11 +112,11 @@
       double least_cost = 0;
       std::vector<std::size_t> least_victims;
       for (std::size_t p = 0; p < open.size(); ++p) {
-        Room free = open[p].free;
+        Resources free = open[p].free;
         double cost = open[p].fetch * 2;  // room that can be used later is worth less
         std::vector<std::size_t> victims;
         for (std::size_t v = 0; v < open[p].victims.size() && !fits(spec.need, free); ++v) {
-          free += open[p].victims[v].room;
+          free += open[p].victims[v].resources;
           cost += open[p].victims[v].loss + 5;
           victims.push_back(v);
         }
@@ -130,11 +132,11 @@
       std::sort(least_victims.rbegin(), least_victims.rend());
       for (const std::size_t v : least_victims) {
         chosen.push_back(place.victims[v].id);
-        place.free += place.victims[v].room;
+        place.free += place.victims[v].resources;
         place.victims.erase(place.victims.begin() + static_cast<std::ptrdiff_t>(v));
       }
       place.free -= spec.need;
-      hosts.push_back(place.host);
+      machine_ids.push_back(place.machine_id);
       loss += least_cost;
       ++found;
     }
@@ -144,12 +146,12 @@
     }
     if (best.empty() || loss < best_loss) {
       best = std::move(chosen);
-      best_hosts = std::move(hosts);
+      best_machine_ids = std::move(machine_ids);
       best_loss = loss;
     }
   }
   if (best.empty()) return std::nullopt;
-  return Displacement{std::move(best), std::move(best_hosts)};
+  return Displacement{std::move(best), std::move(best_machine_ids)};
 }
 
 }  // namespace marblevale
--- a/src/planner/displacement.hpp
+++ b/src/planner/displacement.hpp
@@ -8,21 +8,21 @@
 
 #include "app/settings.hpp"
 #include "planner/planner.hpp"
-#include "store/mirror.hpp"
+#include "store/watch_cache.hpp"
 
 namespace marblevale {
 
 struct Displacement {
   std::vector<TaskId> victims;
-  std::vector<HostId> hosts;  // where that makes room
+  std::vector<MachineId> machine_ids;  // where that makes room
 };
 
 /// Nothing when no room can be made, or when it is being made already. `others`: machines on which
 /// room is being made for other jobs.
 std::optional<Displacement> find_room(const QueueItem& item,
-                                      const std::unordered_set<Uid>& guaranteed,
+                                      const std::unordered_set<JobId>& guaranteed,
                                       const Records& records, const Settings& settings,
-                                      const Profile& profile, Wall now,
-                                      const std::set<HostId>& others = {});
+                                      const Profile& profile, WallTime now,
+                                      const std::set<MachineId>& others = {});
 
 }  // namespace marblevale
--- a/src/planner/grant_writer.hpp
+++ b/src/planner/grant_writer.hpp
@@ -8,19 +8,19 @@
 #include "app/settings.hpp"
 #include "election/election.hpp"
 #include "planner/planner.hpp"
-#include "store/mirror.hpp"
+#include "store/watch_cache.hpp"
 
 namespace marblevale {
 
 class GrantWriter {
  public:
-  GrantWriter(const Clock& clock, const Settings& settings, Mirror& mirror, Election& election);
+  GrantWriter(const Clock& clock, const Settings& settings, WatchCache& cache, Election& election);
 
   /// A new term: what an earlier one had not written is no longer ours to write. The reasons of
   /// stops that are still in the slices are noted again where the grants lack them.
   void begin_term();
   /// Something that happened to the job's plan.
-  void note(const Uid& uid, std::string what);
+  void note(const JobId& job_id, std::string what);
   /// Writes what has changed, as far as the budget has something to spare. `reservations` must
   /// outlive the commit.
   void flush(Reservations& reservations);
@@ -28,12 +28,12 @@
  private:
   const Clock& clock_;
   const Settings& settings_;
-  Mirror& mirror_;
+  WatchCache& cache_;
   Election& election_;
-  std::unordered_map<Uid, std::vector<Note>> notes_;  // not yet in the state service
+  std::unordered_map<JobId, std::vector<Note>> notes_;  // not yet in the state service
   bool writing_ = false;
   std::uint64_t life_ = 0;  // of which term a commit was
-  Steady last_{-1'000'000};
+  SteadyTime last_{-1'000'000};
 };
 
 }  // namespace marblevale
--- a/src/planner/granting.hpp
+++ b/src/planner/granting.hpp
@@ -15,14 +15,14 @@
 #include "planner/grant_writer.hpp"
 #include "planner/occupancy.hpp"
 #include "planner/planner.hpp"
-#include "planner/stranded.hpp"
-#include "store/mirror.hpp"
+#include "planner/starvation.hpp"
+#include "store/watch_cache.hpp"
 
 namespace marblevale {
 
 class Granting {
  public:
-  Granting(Loop& loop, const Clock& clock, const Settings& settings, Mirror& mirror,
+  Granting(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
            Election& election, Fleet& fleet);
 
   void begin();
@@ -36,31 +36,31 @@
   struct Offered {
     Txn release;  // committed when the holder does not bind it in time
     SliceRecord slice;
-    Stamp over;  // the slice as it was
-    Steady at;
+    ModRevision over;  // the slice as it was
+    SteadyTime at;
   };
   struct Pending {
     SliceRecord slice;
-    std::optional<Revision> until;  // kept until the mirror has this
-    std::optional<Steady> retry;    // it was refused: kept until then
-    bool offered = false;           // a holder may bind it: kept until its slice has changed
-    Stamp over;                     // the slice as it was then
+    std::optional<Revision> until;    // kept until the cache has this
+    std::optional<SteadyTime> retry;  // it was refused: kept until then
+    bool offered = false;             // a holder may bind it: kept until its slice has changed
+    ModRevision over;                 // the slice as it was then
   };
 
   void transition(State next);
-  void wake();
+  void schedule_round();
   void round();
   void take_over();
-  void noticed(Topic topic, const std::string& key);
+  void on_record_changed(RecordKind topic, const std::string& key);
   void housekeep();
-  [[nodiscard]] std::set<ZoneId> dark_zones() const;
+  [[nodiscard]] std::set<ZoneId> unreachable_zones() const;
   /// Moves the job to its final record if it is over.
-  void end_job(const Uid& uid);
+  void end_job(const JobId& job_id);
   /// True when tasks are stopped that were not being stopped before.
   bool stop_tasks(const SliceKey& key, const std::function<bool(std::size_t, TaskRecord&)>& stop);
   void drain();
-  [[nodiscard]] const SliceRecord* current(const Uid& uid, std::uint32_t number) const;
-  bool worth_releasing(const Start& start, Steady now);
+  [[nodiscard]] const SliceRecord* current(const JobId& job_id, std::uint32_t number) const;
+  bool worth_releasing(const Start& start, SteadyTime now);
   [[nodiscard]] Start of_one_zone(const Start& start, const Planner& planner) const;
   [[nodiscard]] std::vector<Start> by_slice(const Start& start) const;
   void release(const Start& start, const Planner& planner);
@@ -70,58 +70,60 @@
   void commit_slices(Txn txn, std::vector<SliceRecord> slices);
   void displace(const Planner& planner);
   /// Stops tasks so that the job can start; the machines on which that made room.
-  std::vector<HostId> make_room(const QueueItem& item, const std::unordered_set<Uid>& guaranteed,
-                                const Profile& profile, const std::set<HostId>& others);
+  std::vector<MachineId> make_room(const QueueItem& item,
+                                   const std::unordered_set<JobId>& guaranteed,
+                                   const Profile& profile, const std::set<MachineId>& others);
   void summarize(const Planner& planner);
-  void want_machines(const Planner& planner);
-  void look_for_stranded(const Planner& planner);
+  void plan_rentals(const Planner& planner);
+  void check_starvation(const Planner& planner);
   struct Cause {
     std::string what;
     bool profile_is_wrong = false;  // what is said is no reason by the records
   };
-  [[nodiscard]] Cause why_stranded(const Stranded& job, const Planner& planner) const;
+  [[nodiscard]] Cause explain_starvation(const StarvedJob& job, const Planner& planner) const;
 
-  Meter& meter_;
+  Metrics& metrics_;
   const Clock& clock_;
   const Settings& settings_;
-  Mirror& mirror_;
+  WatchCache& cache_;
   Election& election_;
   Fleet& fleet_;
   GrantWriter grants_;
   State state_ = State::idle;
-  Stamp term_;
+  ModRevision term_;
   Reservations reservations_;
   std::size_t cursor_ = 0;
   std::map<SliceKey, Pending> pending_;
   std::vector<std::pair<Txn, std::vector<SliceRecord>>> unknown_;  // commits without an answer
   std::map<SliceKey, Offered> offered_;
   OfferChannel* channel_ = nullptr;
-  std::map<NodeId, std::pair<std::set<ZoneId>, Steady>> out_of_reach_;  // and when that was said
-  std::set<Uid> ending_;
+  std::map<NodeId, std::pair<std::set<ZoneId>, SteadyTime>>
+      out_of_reach_;  // and when that was said
+  std::set<JobId> ending_;
   struct MadeRoom {
-    Steady at;
-    std::vector<HostId> hosts;
+    SteadyTime at;
+    std::vector<MachineId> machine_ids;
   };
-  std::unordered_map<Uid, MadeRoom> made_room_;
-  std::map<HostId, Wall> stray_since_;
-  std::unordered_map<Uid, Steady> last_release_;  // of arrays that still wait
+  std::unordered_map<JobId, MadeRoom> made_room_;
+  std::map<MachineId, WallTime> unrecorded_since_;
+  std::unordered_map<JobId, SteadyTime> last_release_;  // of arrays that still wait
   bool sweeping_ = false;
   Occupancy occupancy_;
-  Span displace_took_{};
-  Span want_took_{};
-  Steady last_displaced_{-1'000'000};
-  Steady timer_due_{};
-  Steady round_over_{};
-  Span round_took_{};
-  Steady last_want_{-1'000'000};
-  Steady last_summary_{-1'000'000};
-  struct StrandedSince {
-    Steady first;
-    Steady told;
+  Duration displace_took_{};
+  Duration rental_planning_took_{};
+  SteadyTime last_displaced_{-1'000'000};
+  SteadyTime timer_due_{};
+  SteadyTime round_over_{};
+  Duration round_took_{};
+  SteadyTime last_rental_planning_{-1'000'000};
+  SteadyTime last_summary_{-1'000'000};
+  struct StarvedSince {
+    SteadyTime first;
+    SteadyTime last_logged_at;
   };
-  std::map<Uid, StrandedSince> stranded_;
-  Steady last_stranded_{};
-  Steady last_remade_{-1'000'000};
+  std::map<JobId, StarvedSince> starved_;
+  SteadyTime last_starvation_check_{};
+  SteadyTime last_remade_{-1'000'000};
   Timer timer_;
 };
 
