--- a/src/planner/occupancy.cpp
+++ b/src/planner/occupancy.cpp
@@ -6,129 +6,134 @@
 namespace marblevale {
 
 namespace {
-constexpr Span kLeastRun{5'000};
-constexpr Span kReached{1'000};  // an end this near has been reached
+constexpr Duration kMinRun{5'000};
+constexpr Duration kReached{1'000};  // an end this near has been reached
 constexpr double kStretch = 0.2;
 
 Owner owner_of(const SliceKey& key) {
   // Apart from the owners of reservations and starts by its second bit.
-  const std::uint64_t hash = std::hash<Uid>{}(key.first) * 31 + key.second;
+  const std::uint64_t hash = std::hash<JobId>{}(key.first) * 31 + key.second;
   return Owner{(hash & ~(3ULL << 62)) | (1ULL << 62)};
 }
 }  // namespace
 
-void ImageGuess::used(const HostId& host, const ImageId& image, double gb, double cache_gb) {
-  note_image(images_[host], image, gb, cache_gb);
+void ImageGuess::used(const MachineId& machine_id, const ImageId& image, double gb,
+                      double cache_gb) {
+  note_image(images_[machine_id], image, gb, cache_gb);
 }
 
-std::set<ImageId> ImageGuess::of(const HostId& host) const {
+std::set<ImageId> ImageGuess::of(const MachineId& machine_id) const {
   std::set<ImageId> out;
-  const auto it = images_.find(host);
+  const auto it = images_.find(machine_id);
   if (it == images_.end()) return out;
   for (const auto& [image, gb] : it->second) out.insert(image);
   return out;
 }
 
-Wall likely_end(const TaskRecord& task, const JobSpec& job, const Records& records, Wall now) {
-  if (task.stop) return now + std::min(task.stop->leeway, job.stash) + kReached;
-  Wall begin = task.running;
+WallTime likely_end(const TaskRecord& task, const JobSpec& job, const Records& records,
+                    WallTime now) {
+  if (task.stop) return now + std::min(task.stop->grace_period, job.save_time) + kReached;
+  WallTime begin = task.running;
   if (begin.ms == 0) {
-    const auto machine = records.machines.find(task.host);
-    const MachineType* type =
-        machine == records.machines.end() ? nullptr : records.type(machine->second.record.build);
+    const auto machine = records.machines.find(task.machine_id);
+    const MachineType* type = machine == records.machines.end()
+                                  ? nullptr
+                                  : records.type(machine->second.record.machine_type);
     const double rate = type == nullptr ? 0 : type->pull_gb_per_s;
-    begin = task.since + (rate > 0 ? from_seconds(job.image_gb / rate) : Span{1'000});
+    begin = task.since + (rate > 0 ? from_seconds(job.image_gb / rate) : Duration{1'000});
   }
-  const Wall end = begin + std::max(kLeastRun, job.expect - task.progress);
+  const WallTime end = begin + std::max(kMinRun, job.estimated_run - task.progress);
   if (end > now + kReached) return end;
-  const Span step = std::max(kLeastRun, job.expect * kStretch);
-  return end + Span{((now + kReached - end).ms / step.ms + 1) * step.ms};
+  const Duration step = std::max(kMinRun, job.estimated_run * kStretch);
+  return end + Duration{((now + kReached - end).ms / step.ms + 1) * step.ms};
 }
 
-std::set<ImageId> Occupancy::images_at(const HostId& host, const Records& records) const {
+std::set<ImageId> Occupancy::images_at(const MachineId& machine_id, const Records& records) const {
   // The record has what ran there; the guess adds what is being fetched.
-  std::set<ImageId> out = images_.of(host);
-  if (const auto it = records.machines.find(host); it != records.machines.end()) {
+  std::set<ImageId> out = images_.of(machine_id);
+  if (const auto it = records.machines.find(machine_id); it != records.machines.end()) {
     for (const auto& [image, gb] : it->second.record.images) out.insert(image);
   }
   return out;
 }
 
-std::size_t Occupancy::fetches_at(const HostId& host, const Records& records) const {
-  const auto placed = records.placed.find(host);
-  const auto machine = records.machines.find(host);
+std::size_t Occupancy::fetches_at(const MachineId& machine_id, const Records& records) const {
+  const auto placed = records.placed.find(machine_id);
+  const auto machine = records.machines.find(machine_id);
   if (placed == records.placed.end() || machine == records.machines.end()) return 0;
   std::set<ImageId> coming;
   for (const auto& [id, attempt] : placed->second) {
     const TaskRecord* task = records.task(id);
-    const JobRecord* job = records.job(id.uid);
-    if (task != nullptr && job != nullptr && task->running.ms == 0) coming.insert(job->spec.bundle);
+    const JobRecord* job = records.job(id.job_id);
+    if (task != nullptr && job != nullptr && task->running.ms == 0) coming.insert(job->spec.image);
   }
   for (const auto& [image, gb] : machine->second.record.images) coming.erase(image);
   return coming.size();
 }
 
-void Occupancy::touch_tasks_on(const HostId& host, const Records& records) {
-  const auto placed = records.placed.find(host);
+void Occupancy::touch_tasks_on(const MachineId& machine_id, const Records& records) {
+  const auto placed = records.placed.find(machine_id);
   if (placed == records.placed.end()) return;
-  for (const auto& [id, attempt] : placed->second) slices_.insert({id.uid, id.part / kSliceTasks});
+  for (const auto& [id, attempt] : placed->second)
+    slices_.insert({id.job_id, id.task_index / kSliceTasks});
 }
 
-void Occupancy::refresh_images(const HostId& host, const Records& records) {
-  const auto machine = profile_.find(host);
+void Occupancy::refresh_images(const MachineId& machine_id, const Records& records) {
+  const auto machine = profile_.find(machine_id);
   if (!machine) return;
-  profile_.update_machine(*machine, profile_.machines()[*machine].ready, images_at(host, records),
-                          fetches_at(host, records));
+  profile_.update_machine(*machine, profile_.machines()[*machine].ready,
+                          images_at(machine_id, records), fetches_at(machine_id, records));
 }
 
-void Occupancy::sync_machine(const HostId& host, const Records& records, Wall now) {
-  touch_tasks_on(host, records);  // where they count, and how long their fetch takes
+void Occupancy::sync_machine(const MachineId& machine_id, const Records& records, WallTime now) {
+  touch_tasks_on(machine_id, records);  // where they count, and how long their fetch takes
   PlanMachine wanted;
-  const auto record = records.machines.find(host);
-  const auto coming = booting_.find(host);
+  const auto record = records.machines.find(machine_id);
+  const auto coming = booting_.find(machine_id);
   bool usable = false;
   if (record != records.machines.end()) {
     const MachineRecord& m = record->second.record;
-    usable = m.state == MachineState::up && !m.recall && !dark_.contains(m.zone);
-    wanted.build = m.build;
+    usable = m.state == MachineState::up && !m.reclaim_at && !unreachable_zones_.contains(m.zone);
+    wanted.machine_type = m.machine_type;
     wanted.zone = m.zone;
     wanted.spot = m.spot;
     // Up since long: the present moment would look like a delay at each change.
     wanted.ready = std::min(now, m.since);
   } else if (coming != booting_.end()) {
     usable = true;
-    wanted.build = coming->second.build;
+    wanted.machine_type = coming->second.machine_type;
     wanted.zone = coming->second.zone;
     wanted.spot = coming->second.spot;
     wanted.ready = coming->second.ready;
   }
-  const MachineType* type = records.type(wanted.build);
+  const MachineType* type = records.type(wanted.machine_type);
   usable = usable && type != nullptr;
-  const auto there = profile_.find(host);
+  const auto there = profile_.find(machine_id);
   if (!usable) {
     if (!there) return;
     profile_.remove_machine(*there);
-    if (record == records.machines.end() || !dark_.contains(record->second.record.zone)) {
-      images_.forget(host);
+    if (record == records.machines.end() ||
+        !unreachable_zones_.contains(record->second.record.zone)) {
+      images_.forget(machine_id);
     }
     return;
   }
   if (there) {
-    profile_.update_machine(*there, wanted.ready, images_at(host, records),
-                            fetches_at(host, records));
+    profile_.update_machine(*there, wanted.ready, images_at(machine_id, records),
+                            fetches_at(machine_id, records));
     return;
   }
-  wanted.host = host;
+  wanted.machine_id = machine_id;
   wanted.price = type->price_of(wanted.spot);
   wanted.pull_gb_per_s = type->pull_gb_per_s;
-  wanted.room = type->room;
-  wanted.images = images_at(host, records);
-  wanted.fetching = fetches_at(host, records);
+  wanted.resources = type->resources;
+  wanted.images = images_at(machine_id, records);
+  wanted.fetching = fetches_at(machine_id, records);
   profile_.add_machine(std::move(wanted));
 }
 
 void Occupancy::sync_slice(const SliceKey& key, const Records& records, const Slices& pending,
-                           Wall now) {
+                           WallTime now) {
   profile_.release(owner_of(key));
   if (const auto old = end_of_.find(key); old != end_of_.end()) {
     ends_.erase({old->second, key});
@@ -146,21 +151,22 @@
   const JobRecord* job = records.job(key.first);
   if (slice == nullptr || job == nullptr) return;
   const JobSpec& spec = job->spec;
-  Wall first{std::numeric_limits<std::int64_t>::max()};
+  WallTime first{std::numeric_limits<std::int64_t>::max()};
   for (const TaskRecord& task : slice->tasks) {
     if (!task.placed()) continue;
-    const Taken taken{Wall{0}, likely_end(task, spec, records, now), spec.need, owner_of(key)};
-    first = std::min(first, taken.to);
-    on_[key].insert(task.host);
-    fetching_.insert(task.host);
-    if (const auto machine = profile_.find(task.host)) {
-      profile_.take(*machine, spec.crew, taken);
-      const MachineType* type = records.type(profile_.machines()[*machine].build);
+    const Allocation allocation{WallTime{0}, likely_end(task, spec, records, now), spec.need,
+                                owner_of(key)};
+    first = std::min(first, allocation.to);
+    on_[key].insert(task.machine_id);
+    fetching_.insert(task.machine_id);
+    if (const auto machine = profile_.find(task.machine_id)) {
+      profile_.take(*machine, spec.team, allocation);
+      const MachineType* type = records.type(profile_.machines()[*machine].machine_type);
       if (task.state == TaskState::bound && type != nullptr) {
-        images_.used(task.host, spec.bundle, spec.image_gb, type->cache_gb);
+        images_.used(task.machine_id, spec.image, spec.image_gb, type->cache_gb);
       }
     } else {
-      profile_.take_team(spec.crew, taken);
+      profile_.take_team(spec.team, allocation);
     }
   }
   if (on_.contains(key)) {
@@ -169,17 +175,17 @@
   }
 }
 
-void Occupancy::set_dark(const std::set<ZoneId>& zones, const Records& records) {
-  if (zones == dark_) return;
-  for (const auto& [host, machine] : records.machines) {
+void Occupancy::set_unreachable_zones(const std::set<ZoneId>& zones, const Records& records) {
+  if (zones == unreachable_zones_) return;
+  for (const auto& [machine_id, machine] : records.machines) {
     const ZoneId& zone = machine.record.zone;
-    if (zones.contains(zone) != dark_.contains(zone)) machines_.insert(host);
+    if (zones.contains(zone) != unreachable_zones_.contains(zone)) machines_.insert(machine_id);
   }
-  dark_ = zones;
+  unreachable_zones_ = zones;
 }
 
 void Occupancy::sync(const Records& records, const std::vector<Team>& teams, const Slices& pending,
-                     const std::vector<Booting>& booting, Wall now) {
+                     const std::vector<Booting>& booting, WallTime now) {
   if (whole_) {
     whole_ = false;
     profile_ = Profile{};
@@ -187,18 +193,18 @@
     on_.clear();
     ends_.clear();
     end_of_.clear();
-    for (const auto& [host, machine] : records.machines) machines_.insert(host);
-    for (const auto& [host, machine] : booting_) machines_.insert(host);
+    for (const auto& [machine_id, machine] : records.machines) machines_.insert(machine_id);
+    for (const auto& [machine_id, machine] : booting_) machines_.insert(machine_id);
     for (const auto& [key, slice] : records.slices) slices_.insert(key);
   }
-  std::map<HostId, Booting> coming;
-  for (const Booting& b : booting) coming.emplace(b.host, b);
-  for (const auto& [host, b] : booting_) {
-    if (!coming.contains(host)) machines_.insert(host);
+  std::map<MachineId, Booting> coming;
+  for (const Booting& b : booting) coming.emplace(b.machine_id, b);
+  for (const auto& [machine_id, b] : booting_) {
+    if (!coming.contains(machine_id)) machines_.insert(machine_id);
   }
-  for (const auto& [host, b] : coming) {
-    const auto known = booting_.find(host);
-    if (known == booting_.end() || known->second.ready != b.ready) machines_.insert(host);
+  for (const auto& [machine_id, b] : coming) {
+    const auto known = booting_.find(machine_id);
+    if (known == booting_.end() || known->second.ready != b.ready) machines_.insert(machine_id);
   }
   booting_ = std::move(coming);
   // What is pending now, and what no longer is.
@@ -213,9 +219,9 @@
     end_of_.erase(ends_.begin()->second);
     ends_.erase(ends_.begin());
   }
-  for (const HostId& host : machines_) sync_machine(host, records, now);
+  for (const MachineId& machine_id : machines_) sync_machine(machine_id, records, now);
   for (const SliceKey& key : slices_) sync_slice(key, records, pending, now);
-  for (const HostId& host : fetching_) refresh_images(host, records);
+  for (const MachineId& machine_id : fetching_) refresh_images(machine_id, records);
   machines_.clear();
   slices_.clear();
   fetching_.clear();
--- a/src/planner/occupancy.hpp
+++ b/src/planner/occupancy.hpp
@@ -9,74 +9,77 @@
 
 #include "app/settings.hpp"
 #include "planner/profile.hpp"
-#include "store/mirror.hpp"
+#include "store/watch_cache.hpp"
 
 namespace marblevale {
 
 /// A machine that is rented and has not reported yet.
 struct Booting {
-  HostId host;
-  std::string build;
+  MachineId machine_id;
+  std::string machine_type;
   ZoneId zone;
   bool spot = false;
-  Wall ready;  // likely
+  WallTime ready;  // likely
 };
 
 /// Images that machines are probably fetching: those of tasks that are bound there.
 class ImageGuess {
  public:
-  void used(const HostId& host, const ImageId& image, double gb, double cache_gb);
-  void forget(const HostId& host) { images_.erase(host); }
-  [[nodiscard]] std::set<ImageId> of(const HostId& host) const;
+  void used(const MachineId& machine_id, const ImageId& image, double gb, double cache_gb);
+  void forget(const MachineId& machine_id) { images_.erase(machine_id); }
+  [[nodiscard]] std::set<ImageId> of(const MachineId& machine_id) const;
 
  private:
-  std::unordered_map<HostId, std::vector<std::pair<ImageId, double>>> images_;
+  std::unordered_map<MachineId, std::vector<std::pair<ImageId, double>>> images_;
 };
 
 /// When a placed task will likely end. An overrun stretches its end by a fifth of its estimate each
 /// time it is reached.
-Wall likely_end(const TaskRecord& task, const JobSpec& job, const Records& records, Wall now);
+WallTime likely_end(const TaskRecord& task, const JobSpec& job, const Records& records,
+                    WallTime now);
 
 class Occupancy {
  public:
   using Slices = std::map<SliceKey, const SliceRecord*>;
 
   /// Marks what changed; it is looked up at the next `sync`.
-  void touch_machine(const HostId& host) { machines_.insert(host); }
+  void touch_machine(const MachineId& machine_id) { machines_.insert(machine_id); }
   void touch_slice(const SliceKey& key) { slices_.insert(key); }
   /// Everything is taken in anew at the next `sync`.
   void reset() { whole_ = true; }
 
   /// Zones whose machines can't be reached: nothing is to be placed there meanwhile.
-  void set_dark(const std::set<ZoneId>& zones, const Records& records);
+  void set_unreachable_zones(const std::set<ZoneId>& zones, const Records& records);
   /// Takes in what was touched. `pending` are slices as this controller has committed them, or is
   /// about to, and that the records may not show yet.
   void sync(const Records& records, const std::vector<Team>& teams, const Slices& pending,
-            const std::vector<Booting>& booting, Wall now);
+            const std::vector<Booting>& booting, WallTime now);
 
   /// Lent to a round's planner, which gives it back as it was.
   [[nodiscard]] Profile& profile() { return profile_; }
-  [[nodiscard]] std::set<ImageId> images_at(const HostId& host, const Records& records) const;
+  [[nodiscard]] std::set<ImageId> images_at(const MachineId& machine_id,
+                                            const Records& records) const;
 
  private:
-  void sync_machine(const HostId& host, const Records& records, Wall now);
-  void sync_slice(const SliceKey& key, const Records& records, const Slices& pending, Wall now);
-  void touch_tasks_on(const HostId& host, const Records& records);
-  void refresh_images(const HostId& host, const Records& records);
-  [[nodiscard]] std::size_t fetches_at(const HostId& host, const Records& records) const;
+  void sync_machine(const MachineId& machine_id, const Records& records, WallTime now);
+  void sync_slice(const SliceKey& key, const Records& records, const Slices& pending, WallTime now);
+  void touch_tasks_on(const MachineId& machine_id, const Records& records);
+  void refresh_images(const MachineId& machine_id, const Records& records);
+  [[nodiscard]] std::size_t fetches_at(const MachineId& machine_id, const Records& records) const;
 
   Profile profile_;
   ImageGuess images_;
   bool whole_ = true;
-  std::set<ZoneId> dark_;
-  std::set<HostId> machines_;
+  std::set<ZoneId> unreachable_zones_;
+  std::set<MachineId> machines_;
   std::set<SliceKey> slices_;
-  std::map<HostId, Booting> booting_;
-  std::map<SliceKey, std::set<HostId>> on_;   // machines on which the slice has tasks
-  std::set<std::pair<Wall, SliceKey>> ends_;  // when the first of a slice's likely ends is reached
-  std::map<SliceKey, Wall> end_of_;           // as it stands in `ends_`
+  std::map<MachineId, Booting> booting_;
+  std::map<SliceKey, std::set<MachineId>> on_;  // machines on which the slice has tasks
+  std::set<std::pair<WallTime, SliceKey>>
+      ends_;                             // when the first of a slice's likely ends is reached
+  std::map<SliceKey, WallTime> end_of_;  // as it stands in `ends_`
   std::set<SliceKey> pending_;
-  std::set<HostId> fetching_;  // machines whose images are to be looked at again
+  std::set<MachineId> fetching_;  // machines whose images are to be looked at again
 };
 
 }  // namespace marblevale
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 // A job that no machine can take yet is granted a start this far away until one is rented.
-constexpr Span kUnplacedDelay{10 * 60'000};
+constexpr Duration kUnplacedDelay{10 * 60'000};
 // Of the round's budget: what placing again and arrivals may use up, so that each step has its
 // turn.
 constexpr double kRestoreShare = 0.4;
@@ -15,11 +15,11 @@
 // The jobs before a new one are tried at an earlier place (2.2): all of them in a short queue. With
 // hundreds, that would cost more than the round has.
 constexpr std::size_t kShortQueue = 60;
-constexpr std::size_t kMostMoved = 6;
+constexpr std::size_t kMaxMoved = 6;
 constexpr std::uint64_t kStarted = 1ULL << 63;  // marks the owner of what was started this round
 
-Wall first_of(const Reservation& r) {
-  Wall first = r.start;
+WallTime first_of(const Reservation& r) {
+  WallTime first = r.start;
   for (const auto& place : r.places) first = std::min(first, place.start);
   return first;
 }
@@ -44,11 +44,11 @@
   }
   if (a.demand.run != b.demand.run) return a.demand.run < b.demand.run;
   if (a.accepted != b.accepted) return a.accepted < b.accepted;
-  return a.uid < b.uid;
+  return a.job_id < b.job_id;
 }
 
 Planner::Planner(Profile profile, std::vector<QueueItem> queue, Reservations& reservations,
-                 Wall now, std::function<bool(double)> spent)
+                 WallTime now, std::function<bool(double)> spent)
     : profile_(std::move(profile)),
       queue_(std::move(queue)),
       reservations_(reservations),
@@ -60,19 +60,19 @@
 Plan Planner::plan_of(const Reservation& r) const {
   Plan plan;
   for (const auto& place : r.places) {
-    const auto machine = profile_.find(place.host);
+    const auto machine = profile_.find(place.machine_id);
     if (!machine) return {};
-    plan.spots.push_back({*machine, place.start, place.end});
+    plan.placements.push_back({*machine, place.start, place.end});
   }
   return plan;
 }
 
 void Planner::set(const QueueItem& item, const Plan& plan) {
-  auto [it, fresh] = reservations_.try_emplace(item.uid);
+  auto [it, fresh] = reservations_.try_emplace(item.job_id);
   Reservation& r = it->second;
   r.places.clear();
-  for (const Spot& s : plan.spots) {
-    r.places.push_back({profile_.machines()[s.machine].host, s.start, s.end});
+  for (const Placement& s : plan.placements) {
+    r.places.push_back({profile_.machines()[s.machine].machine_id, s.start, s.end});
   }
   if (fresh) r.first = plan.start();
   if (fresh || r.start != plan.start() || r.end != plan.end()) r.changed = true;
@@ -82,10 +82,10 @@
 }
 
 void Planner::hold_unplaced(const QueueItem& item) {
-  auto [it, fresh] = reservations_.try_emplace(item.uid);
+  auto [it, fresh] = reservations_.try_emplace(item.job_id);
   Reservation& r = it->second;
   r.places.clear();
-  const Wall start = now_ + kUnplacedDelay;
+  const WallTime start = now_ + kUnplacedDelay;
   if (fresh) r.first = start;
   // Its time is pushed on only when it is reached: nothing is written while nothing changes.
   if (fresh || r.start <= now_) {
@@ -96,53 +96,55 @@
 }
 
 void Planner::put_back(const QueueItem& item) {
-  const auto it = reservations_.find(item.uid);
+  const auto it = reservations_.find(item.job_id);
   if (it == reservations_.end()) return;
   const Plan plan = plan_of(it->second);
-  if (!plan.spots.empty()) profile_.take(plan, *item.demand.job, item.owner);
+  if (!plan.placements.empty()) profile_.take(plan, *item.demand.job, item.owner);
 }
 
 std::vector<Moved> Planner::restore(const Pins& pins) {
   std::vector<Moved> moved;
-  std::unordered_set<Uid> pinned;
+  std::unordered_set<JobId> pinned;
   for (const QueueItem& item : queue_) {
-    const auto pin = pins.find(item.uid);
-    if (pin == pins.end() || !reservations_.contains(item.uid)) continue;
+    const auto pin = pins.find(item.job_id);
+    if (pin == pins.end() || !reservations_.contains(item.job_id)) continue;
     Demand there = item.demand;
     there.only = pin->second;
-    const Reservation& now = reservations_.at(item.uid);
+    const Reservation& now = reservations_.at(item.job_id);
     const bool kept = std::all_of(now.places.begin(), now.places.end(), [&](const auto& place) {
-      return std::find(there.only.begin(), there.only.end(), place.host) != there.only.end();
+      return std::find(there.only.begin(), there.only.end(), place.machine_id) != there.only.end();
     });
     if (kept && now.places.size() == item.demand.tasks && first_of(now) >= now_ &&
         profile_.intact(item.owner)) {
-      pinned.insert(item.uid);
+      pinned.insert(item.job_id);
       continue;
     }
     profile_.release(item.owner);
     // Others' reservations on these machines give way, and are placed again below.
-    for (const HostId& host : there.only) {
-      if (const auto machine = profile_.find(host)) profile_.release_reservations_on(*machine);
+    for (const MachineId& machine_id : there.only) {
+      if (const auto machine = profile_.find(machine_id))
+        profile_.release_reservations_on(*machine);
     }
     const auto plan = profile_.earliest(there, now_);
-    if (!plan || plan->start() > reservations_.at(item.uid).start) continue;
+    if (!plan || plan->start() > reservations_.at(item.job_id).start) continue;
     set(item, *plan);
-    pinned.insert(item.uid);
+    pinned.insert(item.job_id);
   }
   std::vector<const QueueItem*> order;
   for (const QueueItem& item : queue_) {
-    if (reservations_.contains(item.uid) && !pinned.contains(item.uid)) order.push_back(&item);
+    if (reservations_.contains(item.job_id) && !pinned.contains(item.job_id))
+      order.push_back(&item);
   }
   // In the order of their granted starts, so that a conflict falls on the later one.
   std::sort(order.begin(), order.end(), [this](const QueueItem* a, const QueueItem* b) {
-    const Reservation& x = reservations_.at(a->uid);
-    const Reservation& y = reservations_.at(b->uid);
+    const Reservation& x = reservations_.at(a->job_id);
+    const Reservation& y = reservations_.at(b->job_id);
     return x.start != y.start ? x.start < y.start : before(*a, *b);
   });
   bool disturbed = false;
   for (std::size_t i = 0; i < order.size(); ++i) {
     const QueueItem* item = order[i];
-    Reservation& r = reservations_.at(item->uid);
+    Reservation& r = reservations_.at(item->job_id);
     // Most stand in the profile since an earlier round, and nothing has come in their way.
     if (!disturbed && r.places.size() == item->demand.tasks && r.start > now_ &&
         first_of(r) >= now_ && profile_.intact(item->owner)) {
@@ -157,11 +159,11 @@
     // Tasks of a slice that have started, or come back, change how many places it needs.
     if (r.places.size() > item->demand.tasks) r.places.resize(item->demand.tasks);
     Plan plan = plan_of(r);
-    if (plan.spots.size() == item->demand.tasks) {
+    if (plan.placements.size() == item->demand.tasks) {
       // A start that is reached without having begun slides along with the present.
-      const Wall first = plan.first_start();
+      const WallTime first = plan.first_start();
       if (first < now_) {
-        for (Spot& s : plan.spots) {
+        for (Placement& s : plan.placements) {
           s.start = s.start + (now_ - first);
           s.end = s.end + (now_ - first);
         }
@@ -172,10 +174,10 @@
       }
     }
     if (spent_(kRestoreShare)) {
-      if (!plan.spots.empty()) profile_.take(plan, *item->demand.job, item->owner);
+      if (!plan.placements.empty()) profile_.take(plan, *item->demand.job, item->owner);
       continue;
     }
-    const Wall old = r.start;
+    const WallTime old = r.start;
     auto again = profile_.earliest(item->demand, now_);
     if (!again) {
       hold_unplaced(*item);
@@ -183,7 +185,7 @@
     }
     const bool was_unplaced = r.places.empty();
     set(*item, *again);
-    if (!was_unplaced && r.start > old) moved.push_back({item->uid, old, r.start});
+    if (!was_unplaced && r.start > old) moved.push_back({item->job_id, old, r.start});
   }
   return moved;
 }
@@ -194,14 +196,14 @@
     hold_unplaced(item);
     return;
   }
-  const Wall its_end = tentative->end();
+  const WallTime its_end = tentative->end();
   // Jobs of higher priority that the new one could delay move first (2.2).
   bool any = false;
   std::size_t tried = 0;
-  const std::size_t most = queue_.size() <= kShortQueue ? queue_.size() : kMostMoved;
+  const std::size_t most = queue_.size() <= kShortQueue ? queue_.size() : kMaxMoved;
   for (const QueueItem& other : queue_) {
-    if (other.uid == item.uid || tried >= most) break;
-    const auto it = reservations_.find(other.uid);
+    if (other.job_id == item.job_id || tried >= most) break;
+    const auto it = reservations_.find(other.job_id);
     if (it == reservations_.end() || it->second.start <= now_ || other.not_before > now_) continue;
     ++tried;
     profile_.release(other.owner);
@@ -245,10 +247,10 @@
 bool Planner::admit_arrivals() {
   std::vector<const QueueItem*> fresh;
   for (const QueueItem& item : queue_) {
-    if (!reservations_.contains(item.uid)) fresh.push_back(&item);
+    if (!reservations_.contains(item.job_id)) fresh.push_back(&item);
   }
   std::sort(fresh.begin(), fresh.end(), [](const QueueItem* a, const QueueItem* b) {
-    return a->accepted != b->accepted ? a->accepted < b->accepted : a->uid < b->uid;
+    return a->accepted != b->accepted ? a->accepted < b->accepted : a->job_id < b->job_id;
   });
   for (const QueueItem* item : fresh) {
     if (spent_(kArrivalShare)) return false;
@@ -258,39 +260,39 @@
 }
 
 std::optional<Plan> Planner::start_now(const QueueItem& item) const {
-  const auto kept = reservations_.find(item.uid);
+  const auto kept = reservations_.find(item.job_id);
   const Plan reserved = kept == reservations_.end() ? Plan{} : plan_of(kept->second);
-  const bool due = reserved.spots.size() == item.demand.tasks && !reserved.spots.empty() &&
-                   reserved.start() <= now_;
+  const bool due = reserved.placements.size() == item.demand.tasks &&
+                   !reserved.placements.empty() && reserved.start() <= now_;
   if (due) {
     // Its own places, if their images are there: nothing better is to be found.
-    const bool images =
-        std::all_of(reserved.spots.begin(), reserved.spots.end(), [&](const Spot& s) {
+    const bool images = std::all_of(
+        reserved.placements.begin(), reserved.placements.end(), [&](const Placement& s) {
           const PlanMachine& machine = profile_.machines()[s.machine];
-          return profile_.fetch_time(*item.demand.job, machine) <= Span{0};
+          return profile_.fetch_time(*item.demand.job, machine) <= Duration{0};
         });
     if (images && profile_.holds(reserved, *item.demand.job)) return reserved;
   }
   if (item.demand.job->gang()) return profile_.fit_at(item.demand, now_);
   Plan some = profile_.fit_some(item.demand, now_);
-  if (some.spots.empty()) return std::nullopt;
+  if (some.placements.empty()) return std::nullopt;
   return some;
 }
 
 void Planner::begin_now(QueueItem& item, const Plan& plan) {
   // As what runs: from the beginning of time, so that a full machine is seen at a glance.
-  for (const Spot& s : plan.spots) {
-    profile_.take(s.machine, item.demand.job->crew,
-                  {Wall{0}, s.end, item.demand.job->need, Owner{item.owner.get() | kStarted}});
+  for (const Placement& s : plan.placements) {
+    profile_.take(s.machine, item.demand.job->team,
+                  {WallTime{0}, s.end, item.demand.job->need, Owner{item.owner.get() | kStarted}});
   }
   started_.push_back(Owner{item.owner.get() | kStarted});
-  const auto n = static_cast<std::ptrdiff_t>(plan.spots.size());
-  item.parts.erase(item.parts.begin(), item.parts.begin() + n);
+  const auto n = static_cast<std::ptrdiff_t>(plan.placements.size());
+  item.task_indices.erase(item.task_indices.begin(), item.task_indices.begin() + n);
   item.demand.tasks -= static_cast<std::uint32_t>(n);
   if (item.demand.job->together) {
-    item.demand.zone = profile_.machines()[plan.spots[0].machine].zone;
+    item.demand.zone = profile_.machines()[plan.placements[0].machine].zone;
   }
-  for (const Spot& s : plan.spots) {
+  for (const Placement& s : plan.placements) {
     const ZoneId& zone = profile_.machines()[s.machine].zone;
     auto& zones = item.demand.elsewhere;
     const auto at = std::find_if(zones.begin(), zones.end(),
@@ -305,7 +307,7 @@
 
 void Planner::keep_rest(const QueueItem& item) {
   // The tasks that did not start keep the job's later places; the earliest are given up.
-  Reservation& r = reservations_.at(item.uid);
+  Reservation& r = reservations_.at(item.job_id);
   std::sort(r.places.begin(), r.places.end(),
             [](const auto& a, const auto& b) { return a.start < b.start; });
   if (r.places.size() > item.demand.tasks) {
@@ -313,7 +315,7 @@
                                                             r.places.size() - item.demand.tasks));
   }
   const Plan rest = plan_of(r);
-  if (!rest.spots.empty() && profile_.holds(rest, *item.demand.job)) {
+  if (!rest.placements.empty() && profile_.holds(rest, *item.demand.job)) {
     profile_.take(rest, *item.demand.job, item.owner);
   } else if (const auto later = profile_.earliest(item.demand, now_)) {
     set(item, *later);
@@ -342,7 +344,7 @@
       return starts;
     }
     QueueItem& item = queue_[i];
-    if (gone[i] || blocked[i] || item.not_before > now_ || !reservations_.contains(item.uid)) {
+    if (gone[i] || blocked[i] || item.not_before > now_ || !reservations_.contains(item.job_id)) {
       ++i;
       continue;
     }
@@ -360,16 +362,17 @@
     // Places that it gives up by starting now; those it starts on are not among them, unless they
     // were reserved for later.
     std::vector<std::size_t> opened;
-    for (const Spot& s : plan_of(reservations_.at(item.uid)).spots) {
-      const bool same =
-          s.start <= now_ && std::any_of(plan->spots.begin(), plan->spots.end(),
-                                         [&](const Spot& t) { return t.machine == s.machine; });
+    for (const Placement& s : plan_of(reservations_.at(item.job_id)).placements) {
+      const bool same = s.start <= now_ &&
+                        std::any_of(plan->placements.begin(), plan->placements.end(),
+                                    [&](const Placement& t) { return t.machine == s.machine; });
       if (!same) opened.push_back(s.machine);
     }
-    std::vector<std::uint32_t> parts(
-        item.parts.begin(), item.parts.begin() + static_cast<std::ptrdiff_t>(plan->spots.size()));
+    std::vector<std::uint32_t> task_indices(
+        item.task_indices.begin(),
+        item.task_indices.begin() + static_cast<std::ptrdiff_t>(plan->placements.size()));
     begin_now(item, *plan);
-    starts.push_back({item.uid, *plan, std::move(parts)});
+    starts.push_back({item.job_id, *plan, std::move(task_indices)});
     if (item.demand.tasks == 0) {
       gone[i] = true;
     } else {
--- a/src/planner/planner.hpp
+++ b/src/planner/planner.hpp
@@ -14,16 +14,16 @@
 
 /// A job's place in the compression queue.
 struct QueueItem {
-  Uid uid;
+  JobId job_id;
   Owner owner;
   Demand demand;
-  std::vector<std::uint32_t> parts;  // the tasks to be placed, as many as demand.tasks
-  bool guaranteed = false;           // within its team's guarantee
-  Wall accepted;
-  Wall not_before;             // after a fault: when it may be tried again
-  std::optional<Wall> target;  // the next start time that meets an objective of its class
-  bool missed = false;         // it has objectives, and all their start times have passed
-  bool overdue = false;        // it has never begun, and has waited for too long
+  std::vector<std::uint32_t> task_indices;  // the tasks to be placed, as many as demand.tasks
+  bool guaranteed = false;                  // within its team's guarantee
+  WallTime accepted;
+  WallTime not_before;             // after a fault: when it may be tried again
+  std::optional<WallTime> target;  // the next start time that meets an objective of its class
+  bool missed = false;             // it has objectives, and all their start times have passed
+  bool overdue = false;            // it has never begun, and has waited for too long
 };
 
 /// Urgency (what is overdue counts as standard at the least), then work within its team's
@@ -34,40 +34,40 @@
 /// A job's reservation: machines are named, since the profile is built anew for each round.
 struct Reservation {
   struct Place {
-    HostId host;
-    Wall start;
-    Wall end;
+    MachineId machine_id;
+    WallTime start;
+    WallTime end;
   };
   std::vector<Place> places;  // empty: no machine can take the job yet
-  Wall first;                 // the start granted at arrival
-  Wall start;
-  Wall end;
+  WallTime first;             // the start granted at arrival
+  WallTime start;
+  WallTime end;
   bool changed = true;  // not yet in the state service
-  Wall written;         // when it was last recorded there; 0: never
+  WallTime written;     // when it was last recorded there; 0: never
 };
 
-using Reservations = std::unordered_map<Uid, Reservation>;
+using Reservations = std::unordered_map<JobId, Reservation>;
 
 /// Machines on which room was made for a job by stopping others: its reservation is on just these,
 /// or what was stopped for it would be taken piece by piece by smaller jobs.
-using Pins = std::unordered_map<Uid, std::vector<HostId>>;
+using Pins = std::unordered_map<JobId, std::vector<MachineId>>;
 
 struct Start {
-  Uid uid;
-  Plan plan;                         // spots for the first plan.spots.size() of the item's parts
-  std::vector<std::uint32_t> parts;  // as many as spots
+  JobId job_id;
+  Plan plan;  // spots for the first plan.spots.size() of the item's parts
+  std::vector<std::uint32_t> task_indices;  // as many as spots
 };
 
 struct Moved {
-  Uid uid;
-  Wall from;
-  Wall to;
+  JobId job_id;
+  WallTime from;
+  WallTime to;
 };
 
 class Planner {
  public:
   /// `spent` tells whether this share of the round's budget is used up.
-  Planner(Profile profile, std::vector<QueueItem> queue, Reservations& reservations, Wall now,
+  Planner(Profile profile, std::vector<QueueItem> queue, Reservations& reservations, WallTime now,
           std::function<bool(double)> spent);
 
   /// Puts the reservations into the profile, those for which room was made first. One that no
@@ -108,7 +108,7 @@
   Profile profile_;
   std::vector<QueueItem> queue_;
   Reservations& reservations_;
-  Wall now_;
+  WallTime now_;
   std::function<bool(double)> spent_;
   std::vector<Owner> started_;
 };
--- a/src/planner/queueing.cpp
+++ b/src/planner/queueing.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-constexpr Span kLeastRun{5'000};
+constexpr Duration kMinRun{5'000};
 constexpr double kEstimateMargin = 1.15;  // estimates are often too low
 /// A job that has never begun goes first of its rank from here on: the widest must begin within
 /// four minutes, and a wide one needs its time until it has room. Without this, jobs that had
 /// missed their objectives waited behind all newcomers whose reservations overran into theirs.
-constexpr Span kOverdue{150'000};
+constexpr Duration kNeverBegunOverdue{150'000};
 /// Of a long array, how many tasks wait in the queue at once: enough that it can begin broadly
 /// where room is, few enough that 100,000 tasks cost neither as many reservations nor as many
 /// writes.
@@ -22,9 +22,9 @@
 
 /// An array that failed on that many machines and has not worked anywhere is taken for mistaken.
 constexpr std::size_t kMistakenMachines = 3;
-constexpr Span kProvenRun{4'000};  // a task that ran this long is not mistaken
+constexpr Duration kProvenRun{4'000};  // a task that ran this long is not mistaken
 
-Span retry_pause(std::uint32_t faults) {
+Duration retry_pause(std::uint32_t faults) {
   // The first retry is at once, elsewhere; a job that keeps failing gives way to the others.
   switch (faults) {
     case 0:
@@ -41,24 +41,25 @@
 
 }  // namespace
 
-Owner owner_of(const Uid& uid) { return Owner(std::hash<Uid>{}(uid) & ~(3ULL << 62)); }
+Owner owner_of(const JobId& job_id) { return Owner(std::hash<JobId>{}(job_id) & ~(3ULL << 62)); }
 
-std::unordered_set<Uid> guaranteed_jobs(const Records& records, const Settings& settings) {
+std::unordered_set<JobId> guaranteed_jobs(const Records& records, const Settings& settings) {
   std::map<TeamId, std::vector<const JobRecord*>> by_team;
-  for (const auto& [uid, job] : records.jobs) {
-    if (!job.record.cancelled) by_team[job.record.spec.crew].push_back(&job.record);
+  for (const auto& [job_id, job] : records.jobs) {
+    if (!job.record.cancelled) by_team[job.record.spec.team].push_back(&job.record);
   }
-  std::unordered_set<Uid> out;
+  std::unordered_set<JobId> out;
   for (auto& [name, jobs] : by_team) {
     const Team* team = settings.team(name);
     if (team == nullptr) continue;
     std::sort(jobs.begin(), jobs.end(), [](const JobRecord* a, const JobRecord* b) {
-      return a->accepted != b->accepted ? a->accepted < b->accepted : a->spec.uid < b->spec.uid;
+      return a->accepted != b->accepted ? a->accepted < b->accepted
+                                        : a->spec.job_id < b->spec.job_id;
     });
-    Room sum{};
+    Resources sum{};
     for (const JobRecord* job : jobs) {
-      sum += job->spec.need * static_cast<double>(job->spec.parts);
-      if (fits(sum, team->guarantee())) out.insert(job->spec.uid);
+      sum += job->spec.need * static_cast<double>(job->spec.task_count);
+      if (fits(sum, team->guarantee())) out.insert(job->spec.job_id);
     }
   }
   return out;
@@ -66,19 +67,19 @@
 
 namespace {
 
-std::optional<QueueItem> queue_item(const Uid& uid, const JobRecord& job,
-                                    const CurrentSlice& current, Wall now) {
+std::optional<QueueItem> queue_item(const JobId& job_id, const JobRecord& job,
+                                    const CurrentSlice& current, WallTime now) {
   const JobSpec& spec = job.spec;
   QueueItem item;
-  item.uid = uid;
-  item.owner = owner_of(uid);
+  item.job_id = job_id;
+  item.owner = owner_of(job_id);
   item.accepted = job.accepted;
   item.demand.job = &spec;
-  Span progress = spec.expect;
-  Wall soonest{std::numeric_limits<std::int64_t>::max()};
-  Wall last_fault{};
+  Duration progress = spec.estimated_run;
+  WallTime soonest{std::numeric_limits<std::int64_t>::max()};
+  WallTime last_fault{};
   std::uint32_t faults = 0;  // of the task that has failed most
-  std::set<HostId> failed_on;
+  std::set<MachineId> failed_on;
   bool worked = false;
   std::optional<std::uint32_t> worst;  // the waiting task that has failed most
   std::vector<std::uint32_t> paused;
@@ -86,8 +87,8 @@
   bool placed = false;
   bool begun = false;
   for (std::uint32_t n = 0; n < slice_count(spec); ++n) {
-    const SliceRecord* slice = current(uid, n);
-    if (!spec.gang() && item.parts.size() + paused.size() >= kOpenTasks) break;
+    const SliceRecord* slice = current(job_id, n);
+    if (!spec.gang() && item.task_indices.size() + paused.size() >= kOpenTasks) break;
     for (std::uint32_t i = 0; i < slice_size(spec, n); ++i) {
       const TaskRecord* task = slice == nullptr ? nullptr : &slice->tasks[i];
       begun = begun || (task != nullptr && task->attempt != Attempt{});
@@ -97,56 +98,56 @@
       }
       if (task != nullptr) {
         const bool lasted = task->running.ms != 0 && now - task->running > kProvenRun;
-        worked = worked || task->state == TaskState::done || task->progress > Span{0} ||
+        worked = worked || task->state == TaskState::done || task->progress > Duration{0} ||
                  (task->placed() && lasted);
         if (task->faults > 0) failed_on.insert(task->failed_on);
       }
       if (task != nullptr && task->state != TaskState::idle) continue;
-      progress = std::min(progress, task == nullptr ? Span{0} : task->progress);
-      const Wall at = task == nullptr ? Wall{0} : task->since + retry_pause(task->faults);
+      progress = std::min(progress, task == nullptr ? Duration{0} : task->progress);
+      const WallTime at = task == nullptr ? WallTime{0} : task->since + retry_pause(task->faults);
       soonest = std::min(soonest, at);
       if (task != nullptr && task->faults > 0) {
         last_fault = std::max(last_fault, task->since);
         if (task->faults > faults) worst = n * kSliceTasks + i;
         faults = std::max(faults, task->faults);
       }
-      (task != nullptr && task->faults > 0 && at > now ? paused : item.parts)
+      (task != nullptr && task->faults > 0 && at > now ? paused : item.task_indices)
           .push_back(n * kSliceTasks + i);
     }
   }
   if (spec.gang()) {
     // A gang starts whole: not before all its earlier tasks are proven gone.
     if (placed) return std::nullopt;
-    item.parts.insert(item.parts.end(), paused.begin(), paused.end());
+    item.task_indices.insert(item.task_indices.end(), paused.begin(), paused.end());
     // It waits as a whole. When one of its tasks fails, the others only end with it and have no
     // pause of their own: counted by them, a gang with a mistake began again every few seconds, and
     // displaced others each time.
     if (!paused.empty()) item.not_before = last_fault + retry_pause(faults);
-    if (item.parts.size() != spec.parts) return std::nullopt;
-    std::sort(item.parts.begin(), item.parts.end());
+    if (item.task_indices.size() != spec.task_count) return std::nullopt;
+    std::sort(item.task_indices.begin(), item.task_indices.end());
   } else if (worst && !worked && failed_on.size() >= kMistakenMachines) {
     // Submitted with a mistake, it seems: one task at a time tries again, until one works. With a
     // pause for each task alone, 14 of them failed 68 times in 90 s and displaced others.
     if (placed) return std::nullopt;
-    item.parts = {*worst};
+    item.task_indices = {*worst};
     item.not_before = last_fault + retry_pause(faults);
-  } else if (item.parts.empty() && !paused.empty()) {
-    item.parts = paused;
+  } else if (item.task_indices.empty() && !paused.empty()) {
+    item.task_indices = paused;
     item.not_before = soonest;
   }
-  if (item.parts.empty()) return std::nullopt;
-  item.overdue = !begun && now - job.accepted > kOverdue;
-  item.demand.tasks = static_cast<std::uint32_t>(item.parts.size());
-  item.demand.run = std::max(kLeastRun, spec.expect - progress);
+  if (item.task_indices.empty()) return std::nullopt;
+  item.overdue = !begun && now - job.accepted > kNeverBegunOverdue;
+  item.demand.tasks = static_cast<std::uint32_t>(item.task_indices.size());
+  item.demand.run = std::max(kMinRun, spec.estimated_run - progress);
   if (spec.together && !zones.empty()) item.demand.zone = zones.begin()->first;
   item.demand.elsewhere.assign(zones.begin(), zones.end());
   return item;
 }
 
-void set_target(QueueItem& item, const JobSpec& job, const Settings& settings, Wall now) {
+void set_target(QueueItem& item, const JobSpec& job, const Settings& settings, WallTime now) {
   for (const Objective& o : settings.objectives) {
-    if (!o.workclass.empty() && o.workclass != job.workclass) continue;
-    std::optional<Wall> start;
+    if (!o.job_class.empty() && o.job_class != job.job_class) continue;
+    std::optional<WallTime> start;
     switch (o.kind) {
       case Objective::Kind::wait:
         start = item.accepted + o.within;
@@ -155,7 +156,7 @@
         start = item.accepted + o.within - item.demand.run * kEstimateMargin;
         break;
       case Objective::Kind::deadline:
-        if (job.due) start = item.accepted + *job.due - item.demand.run * kEstimateMargin;
+        if (job.deadline) start = item.accepted + *job.deadline - item.demand.run * kEstimateMargin;
         break;
       case Objective::Kind::guarantee:
         break;  // has a rank of its own
@@ -170,14 +171,14 @@
 }  // namespace
 
 std::vector<QueueItem> build_queue(const Records& records, const Settings& settings,
-                                   const CurrentSlice& current, Wall now, bool gather) {
+                                   const CurrentSlice& current, WallTime now, bool gather) {
   const auto guaranteed = guaranteed_jobs(records, settings);
   std::vector<QueueItem> queue;
-  for (const auto& [uid, job] : records.jobs) {
+  for (const auto& [job_id, job] : records.jobs) {
     if (job.record.cancelled) continue;
-    auto item = queue_item(uid, job.record, current, now);
+    auto item = queue_item(job_id, job.record, current, now);
     if (!item) continue;
-    item->guaranteed = guaranteed.contains(uid);
+    item->guaranteed = guaranteed.contains(job_id);
     set_target(*item, job.record.spec, settings, now);
     if (gather && !job.record.spec.gang()) {
       // Where most of it is; a new one anywhere, decided by its name, so that no zone is favoured.
@@ -187,7 +188,7 @@
                            [](const auto& a, const auto& b) { return a.second < b.second; });
       item->demand.lean = most != there.end()
                               ? most->first
-                              : settings.zones[std::hash<Uid>{}(uid) % settings.zones.size()];
+                              : settings.zones[std::hash<JobId>{}(job_id) % settings.zones.size()];
     }
     queue.push_back(std::move(*item));
   }
--- a/src/planner/queueing.hpp
+++ b/src/planner/queueing.hpp
@@ -8,21 +8,21 @@
 
 #include "app/settings.hpp"
 #include "planner/planner.hpp"
-#include "store/mirror.hpp"
+#include "store/watch_cache.hpp"
 
 namespace marblevale {
 
 /// A slice as the leader knows it: what it has committed may be ahead of the records.
-using CurrentSlice = std::function<const SliceRecord*(const Uid&, std::uint32_t)>;
+using CurrentSlice = std::function<const SliceRecord*(const JobId&, std::uint32_t)>;
 
 /// The owner of a job's reservation in the profile.
-Owner owner_of(const Uid& uid);
+Owner owner_of(const JobId& job_id);
 
 /// Jobs that fit into their team's guarantee along with the team's earlier unfinished jobs.
-std::unordered_set<Uid> guaranteed_jobs(const Records& records, const Settings& settings);
+std::unordered_set<JobId> guaranteed_jobs(const Records& records, const Settings& settings);
 
 /// `gather`: arrays keep to one zone where they can, since each holder's binding is a write.
 std::vector<QueueItem> build_queue(const Records& records, const Settings& settings,
-                                   const CurrentSlice& current, Wall now, bool gather);
+                                   const CurrentSlice& current, WallTime now, bool gather);
 
 }  // namespace marblevale
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -8,25 +8,25 @@
 
 namespace {
 
-constexpr Span kDeadline{2000};
-constexpr Span kQueueTime{2500};     // a request that waited this long for the budget is refused
-constexpr Span kUserQueueTime{200};  // the same where a user waits: better told to come back
+constexpr Duration kDeadline{2000};
+constexpr Duration kQueueTime{2500};  // a request that waited this long for the budget is refused
+constexpr Duration kUserQueueTime{200};  // the same where a user waits: better told to come back
 constexpr std::size_t kQueueLimit = 400;
 // A node begins with its equal share of the published rates. What it needs beyond that it takes
 // step by step while requests wait; an answer of 429 makes it give way. So the shares follow the
 // work: the leader and busy holders get what idle nodes leave. 429 is safe: it was not executed.
-constexpr double kMostShare = 0.75;
-constexpr double kLeastShare = 0.5;  // of the equal share
-constexpr double kStep = 0.025;      // of the published rate, each time
+constexpr double kMaxShare = 0.75;
+constexpr double kMinShare = 0.5;  // of the equal share
+constexpr double kStep = 0.025;    // of the published rate, each time
 constexpr double kGiveWay = 0.75;
-constexpr Span kAdaptEvery{500};
+constexpr Duration kAdaptEvery{500};
 constexpr double kSubmissionShare = 0.6;  // of the published writes: bindings must not starve
 // A user waits for a submission, so it may be sent ahead of the share, as far as an equal share of
 // a second: the others seldom use all of theirs, and 429 costs nothing but a repetition.
 constexpr double kSubmissionCredit = 1.0;
-constexpr Span kAgainAfter{40};
+constexpr Duration kAgainAfter{40};
 constexpr int kAgain = 3;
-constexpr Span kRefusedLately{3'000};
+constexpr Duration kRefusedLately{3'000};
 
 std::string text_of(const json::Value& v) {
   rapidjson::StringBuffer buffer;
@@ -49,46 +49,46 @@
   return out;
 }
 
-Fate fate_of(const HttpReply& reply) {
+Outcome outcome_of(const HttpReply& reply) {
   switch (reply.status) {
     case 0:
-      return reply.never_sent ? Fate::refused : Fate::unknown;
+      return reply.never_sent ? Outcome::refused : Outcome::unknown;
     case 200:
-      return Fate::done;
+      return Outcome::done;
     case 409:
-      return Fate::conflict;
+      return Outcome::conflict;
     case 429:
     case 503:
-      return Fate::refused;
+      return Outcome::refused;
     case 400:
-      return Fate::no_permit;
+      return Outcome::lease_expired;
     case 404:
-      return Fate::no_permit;
+      return Outcome::lease_expired;
     default:
-      return Fate::unknown;
+      return Outcome::unknown;
   }
 }
 
 std::optional<Entry> parse_entry(const json::Value& object) {
   const auto path = json::text(object, "path");
-  const auto stamp = json::count(object, "stamp");
+  const auto mod_revision = json::count(object, "stamp");
   const json::Value* value = json::field(object, "value");
-  if (!path || !stamp || value == nullptr) return std::nullopt;
-  return Entry{*path, text_of(*value), Stamp(*stamp)};
+  if (!path || !mod_revision || value == nullptr) return std::nullopt;
+  return Entry{*path, text_of(*value), ModRevision(*mod_revision)};
 }
 
 std::string write_txn(const Txn& txn) {
   json::Writer out;
   out.open().key("guards").open_list();
-  for (const auto& [key, stamp] : txn.guards) {
-    out.open().put("path", key).put("stamp", stamp.get()).close();
+  for (const auto& [key, mod_revision] : txn.guards) {
+    out.open().put("path", key).put("stamp", mod_revision.get()).close();
   }
   out.close_list();
   if (!txn.puts.empty() || !txn.deletes.empty()) {
     out.key("apply").open_list();
     for (const Put& put : txn.puts) {
       out.open().put("put", put.key).key("value").raw(put.value);
-      if (put.permit != Permit{}) out.put("permit", put.permit.get());
+      if (put.lease_id != LeaseId{}) out.put("permit", put.lease_id.get());
       out.close();
     }
     for (const auto& key : txn.deletes) out.open().put("delete", key).close();
@@ -107,14 +107,14 @@
   const json::Value* log = json::list(doc, "log");
   if (!revision || log == nullptr) return result;
   for (const auto& item : log->GetArray()) {
-    const auto stamp = json::count(item, "stamp");
-    if (!stamp) return result;
+    const auto mod_revision = json::count(item, "stamp");
+    if (!mod_revision) return result;
     if (const auto put = json::text(item, "put")) {
       const json::Value* value = json::field(item, "value");
       if (value == nullptr) return result;
-      result.log.push_back({*put, text_of(*value), Stamp(*stamp)});
+      result.log.push_back({*put, text_of(*value), ModRevision(*mod_revision)});
     } else if (const auto gone = json::text(item, "delete")) {
-      result.log.push_back({*gone, std::nullopt, Stamp(*stamp)});
+      result.log.push_back({*gone, std::nullopt, ModRevision(*mod_revision)});
     }
   }
   result.revision = Revision(*revision);
@@ -125,7 +125,7 @@
 }  // namespace
 
 StoreClient::StoreClient(Loop& loop, const Clock& clock, const Address& at, StoreLimits limits)
-    : meter_(loop.meter()),
+    : metrics_(loop.metrics()),
       clock_(clock),
       limits_(limits),
       http_(loop, at, 6, 64),
@@ -146,7 +146,7 @@
 void StoreClient::adapt() {
   adapt_timer_.start(kAdaptEvery);
   const auto more = [](TokenBucket& bucket, double published) {
-    bucket.set_rate(std::min(published * kMostShare, bucket.rate() + published * kStep));
+    bucket.set_rate(std::min(published * kMaxShare, bucket.rate() + published * kStep));
   };
   if (short_of_requests_) more(requests_, limits_.rps);
   if (short_of_writes_) more(writes_, limits_.write_rps);
@@ -154,84 +154,86 @@
 }
 
 void StoreClient::give_way(bool writes) {
-  meter_.count("store said 429");
+  metrics_.count("store said 429");
   // Answers that come close together tell of the same excess.
-  const Steady now = clock_.steady();
+  const SteadyTime now = clock_.steady();
   if (now - last_refused_ < kAdaptEvery * 0.5) return;
   last_refused_ = now;
   const auto less = [this](TokenBucket& bucket, double published) {
-    bucket.set_rate(std::max(equal_share(published) * kLeastShare, bucket.rate() * kGiveWay));
+    bucket.set_rate(std::max(equal_share(published) * kMinShare, bucket.rate() * kGiveWay));
   };
   less(requests_, limits_.rps);
   if (writes) less(writes_, limits_.write_rps);
 }
 
-double StoreClient::credit(Rank rank) const {
-  return rank == Rank::submission ? equal_share(limits_.write_rps) * kSubmissionCredit : 0;
+double StoreClient::credit(RequestPriority rank) const {
+  return rank == RequestPriority::submission ? equal_share(limits_.write_rps) * kSubmissionCredit
+                                             : 0;
 }
 
 double StoreClient::write_slack() {
-  for (std::size_t rank = 0; rank <= static_cast<std::size_t>(Rank::granting); ++rank) {
+  for (std::size_t rank = 0; rank <= static_cast<std::size_t>(RequestPriority::granting); ++rank) {
     if (!queues_.at(rank).empty()) return 0;
   }
-  const Steady now = clock_.steady();
+  const SteadyTime now = clock_.steady();
   // Refused a moment ago: the others use what this node's bucket says is there.
   return now - last_refused_ < kRefusedLately ? 0 : writes_.filled(now);
 }
 
-void StoreClient::enqueue(Rank rank, HttpCall call, double writes, HttpHandler then) {
+void StoreClient::enqueue(RequestPriority rank, HttpCall call, double writes, HttpHandler then) {
   auto& queue = queues_.at(static_cast<std::size_t>(rank));
   if (queue.size() >= kQueueLimit) {
-    meter_.count("store queue full");
+    metrics_.count("store queue full");
     then({0, true, {}});
     return;
   }
-  if (rank == Rank::submission && writes > 0) {
+  if (rank == RequestPriority::submission && writes > 0) {
     // A user is told to come back at once rather than after having waited in vain.
     double ahead = writes;
     for (std::size_t before = 0; before <= static_cast<std::size_t>(rank); ++before) {
       for (const Job& job : queues_.at(before)) ahead += job.writes;
     }
-    const Steady now = clock_.steady();
+    const SteadyTime now = clock_.steady();
     if (!submissions_.take(now, writes) ||
         writes_.wait(now, ahead, -credit(rank)) > kUserQueueTime) {
       short_of_writes_ = true;
-      meter_.count("submissions over the budget");
+      metrics_.count("submissions over the budget");
       then({0, true, {}});
       return;
     }
   }
-  const bool hurried = rank == Rank::submission || rank == Rank::read;
+  const bool hurried = rank == RequestPriority::submission || rank == RequestPriority::read;
   queue.push_back({std::move(call), writes,
                    clock_.steady() + (hurried ? kUserQueueTime * 2.0 : kQueueTime), std::move(then),
-                   rank == Rank::submission ? kAgain : 0});
+                   rank == RequestPriority::submission ? kAgain : 0});
   pump();
 }
 
 void StoreClient::pump() {
-  const Steady now = clock_.steady();
+  const SteadyTime now = clock_.steady();
   bool writes_stopped = false;  // what is less important must not overtake, unless it only reads
   for (std::size_t rank = 0; rank < queues_.size(); ++rank) {
     auto& queue = queues_.at(rank);
-    const double keep = -credit(static_cast<Rank>(rank));
+    const double keep = -credit(static_cast<RequestPriority>(rank));
     while (!queue.empty()) {
       Job& front = queue.front();
       if (front.expires < now) {
         const HttpHandler expired = std::move(front.then);
-        meter_.count("over the store budget");
+        metrics_.count("over the store budget");
         queue.pop_front();
         expired({0, true, {}});
         continue;
       }
-      const Span for_request = requests_.wait(now, 1);
-      const Span for_writes = front.writes > 0 ? writes_.wait(now, front.writes, keep) : Span{0};
-      const Span wait = std::max(for_request, for_writes);
-      if (wait > Span{0} && !pump_timer_.pending()) pump_timer_.start(wait);
-      if (for_request > Span{0}) {
+      const Duration for_request = requests_.wait(now, 1);
+      const Duration for_writes =
+          front.writes > 0 ? writes_.wait(now, front.writes, keep) : Duration{0};
+      const Duration wait = std::max(for_request, for_writes);
+      if (wait > Duration{0} && !pump_timer_.pending()) pump_timer_.start(wait);
+      if (for_request > Duration{0}) {
         short_of_requests_ = true;
         return;
       }
-      if (front.writes > 0 && (for_writes > Span{0} || writes_stopped)) {
+      if (front.writes > 0 && (for_writes > Duration{0} || writes_stopped)) {
         short_of_writes_ = writes_stopped = true;
         break;
       }
@@ -258,13 +260,14 @@
     }
     // It was not executed, and a user waits: once more, when the others have spent their bursts.
     --kept->again;
-    queues_.at(static_cast<std::size_t>(Rank::submission)).push_front(std::move(*kept));
+    queues_.at(static_cast<std::size_t>(RequestPriority::submission)).push_front(std::move(*kept));
     if (!pump_timer_.pending()) pump_timer_.start(kAgainAfter);
   });
 }
 
 void StoreClient::read(const std::string& key, std::function<void(ReadResult)> then) {
-  enqueue(Rank::read, {EVHTTP_REQ_GET, "/store/" + key, {}, "application/json", kDeadline}, 0,
+  enqueue(RequestPriority::read,
+          {EVHTTP_REQ_GET, "/store/" + key, {}, "application/json", kDeadline}, 0,
           [then = std::move(then)](const HttpReply& reply) {
             ReadResult result;
             json::Document doc;
@@ -280,7 +283,8 @@
                         std::function<void(RangeResult)> then) {
   std::string path = "/store?starts=" + encode_query(prefix) + "&limit=1000";
   if (!after.empty()) path += "&after=" + encode_query(after);
-  enqueue(Rank::granting, {EVHTTP_REQ_GET, path, {}, "application/json", kDeadline * 2.0}, 0,
+  enqueue(RequestPriority::granting,
+          {EVHTTP_REQ_GET, path, {}, "application/json", kDeadline * 2.0}, 0,
           [then = std::move(then)](const HttpReply& reply) {
             RangeResult result;
             json::Document doc;
@@ -302,7 +306,7 @@
           });
 }
 
-void StoreClient::commit(Rank rank, Txn txn, std::function<void(CommitResult)> then) {
+void StoreClient::commit(RequestPriority rank, Txn txn, std::function<void(CommitResult)> then) {
   const auto writes = static_cast<double>(txn.puts.size() + txn.deletes.size());
   for (const Put& put : txn.puts) {
     if (put.value.size() <= limits_.value_bytes) continue;
@@ -315,10 +319,10 @@
   enqueue(rank, {EVHTTP_REQ_POST, "/commit", write_txn(txn), "application/json", kDeadline}, writes,
           [this, kinds = std::move(kinds), then = std::move(then)](const HttpReply& reply) {
             CommitResult result;
-            result.fate = fate_of(reply);
-            if (result.fate == Fate::conflict) meter_.count("conflicts");
-            if (result.fate == Fate::done) {
-              for (const std::string& kind : kinds) meter_.count(kind);
+            result.outcome = outcome_of(reply);
+            if (result.outcome == Outcome::conflict) metrics_.count("conflicts");
+            if (result.outcome == Outcome::done) {
+              for (const std::string& kind : kinds) metrics_.count(kind);
             }
             json::Document doc;
             if ((reply.status == 200 || reply.status == 409) && json::parse(doc, reply.body)) {
@@ -329,13 +333,13 @@
                 }
               }
             } else if (reply.status == 200) {
-              result.fate = Fate::unknown;
+              result.outcome = Outcome::unknown;
             }
             then(std::move(result));
           });
 }
 
-void StoreClient::watch(const std::string& prefix, Revision after, Span hold,
+void StoreClient::watch(const std::string& prefix, Revision after, Duration hold,
                         std::function<void(WatchResult)> then) {
   // A watch that is open costs one request; it is never queued behind others.
   requests_.take(clock_.steady(), 1);
@@ -348,28 +352,28 @@
                    [then = std::move(then)](const HttpReply& reply) { then(parse_watch(reply)); });
 }
 
-void StoreClient::create_permit(Span ttl, std::function<void(PermitResult)> then) {
+void StoreClient::create_lease(Duration ttl, std::function<void(LeaseResult)> then) {
   json::Writer body;
   body.open().put("ttl_ms", ttl.ms).close();
   requests_.take(clock_.steady(), 1);
   lease_http_.send({EVHTTP_REQ_POST, "/leases", body.str(), "application/json", kDeadline},
                    [then = std::move(then)](const HttpReply& reply) {
-                     PermitResult result{fate_of(reply), {}};
+                     LeaseResult result{outcome_of(reply), {}};
                      json::Document doc;
                      if (reply.status == 200 && json::parse(doc, reply.body)) {
-                       result.permit = Permit(json::count(doc, "permit").value_or(0));
+                       result.lease_id = LeaseId(json::count(doc, "permit").value_or(0));
                      }
-                     if (result.permit == Permit{}) result.fate = Fate::unknown;
+                     if (result.lease_id == LeaseId{}) result.outcome = Outcome::unknown;
                      then(result);
                    });
 }
 
-void StoreClient::touch_permit(Permit permit, std::function<void(PermitResult)> then) {
+void StoreClient::renew_lease(LeaseId lease_id, std::function<void(LeaseResult)> then) {
   requests_.take(clock_.steady(), 1);
-  lease_http_.send({EVHTTP_REQ_POST, "/leases/" + std::to_string(permit.get()) + "/touch", "{}",
-                    "application/json", Span{1000}},
-                   [permit, then = std::move(then)](const HttpReply& reply) {
-                     then({fate_of(reply), permit});
+  lease_http_.send({EVHTTP_REQ_POST, "/leases/" + std::to_string(lease_id.get()) + "/touch", "{}",
+                    "application/json", Duration{1000}},
+                   [lease_id, then = std::move(then)](const HttpReply& reply) {
+                     then({outcome_of(reply), lease_id});
                    });
 }
 
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -19,20 +19,20 @@
 struct Put {
   std::string key;
   std::string value;  // JSON
-  Permit permit{};
+  LeaseId lease_id{};
 };
 
 struct Txn {
-  std::vector<std::pair<std::string, Stamp>> guards;
+  std::vector<std::pair<std::string, ModRevision>> guards;
   std::vector<Put> puts;
   std::vector<std::string> deletes;
 
-  Txn& guard(std::string key, Stamp stamp) {
-    guards.emplace_back(std::move(key), stamp);
+  Txn& guard(std::string key, ModRevision mod_revision) {
+    guards.emplace_back(std::move(key), mod_revision);
     return *this;
   }
-  Txn& put(std::string key, std::string value, Permit permit = {}) {
-    puts.push_back({std::move(key), std::move(value), permit});
+  Txn& put(std::string key, std::string value, LeaseId lease_id = {}) {
+    puts.push_back({std::move(key), std::move(value), lease_id});
     return *this;
   }
   Txn& remove(std::string key) {
@@ -42,10 +42,10 @@
 };
 
 /// What became of a request. `unknown`: it may have been executed, or may still be.
-enum class Fate { done, conflict, refused, no_permit, unknown };
+enum class Outcome { done, conflict, refused, lease_expired, unknown };
 
 struct CommitResult {
-  Fate fate = Fate::unknown;
+  Outcome outcome = Outcome::unknown;
   Revision revision;
   std::vector<std::string> failed;
 };
@@ -53,7 +53,7 @@
 struct Entry {
   std::string key;
   std::string value;  // JSON
-  Stamp stamp;
+  ModRevision mod_revision;
 };
 
 struct ReadResult {
@@ -71,7 +71,7 @@
 struct Change {
   std::string key;
   std::optional<std::string> value;  // none: deleted
-  Stamp stamp;
+  ModRevision mod_revision;
 };
 
 struct WatchResult {
@@ -80,9 +80,9 @@
   Revision revision;
 };
 
-struct PermitResult {
-  Fate fate = Fate::unknown;
-  Permit permit;
+struct LeaseResult {
+  Outcome outcome = Outcome::unknown;
+  LeaseId lease_id;
 };
 
 struct StoreLimits {
@@ -95,7 +95,7 @@
 
 /// Classes of requests, the most important first. Submissions go before bindings, within a share.
 /// `record`: what only quality depends on, dropped under pressure.
-enum class Rank { lease, submission, binding, granting, read, record };
+enum class RequestPriority { lease, submission, binding, granting, read, record };
 
 /// The interface that the slices use, so that tests can script the state service.
 class Store {
@@ -104,11 +104,11 @@
   virtual void read(const std::string& key, std::function<void(ReadResult)> then) = 0;
   virtual void range(const std::string& prefix, const std::string& after,
                      std::function<void(RangeResult)> then) = 0;
-  virtual void commit(Rank rank, Txn txn, std::function<void(CommitResult)> then) = 0;
-  virtual void watch(const std::string& prefix, Revision after, Span hold,
+  virtual void commit(RequestPriority rank, Txn txn, std::function<void(CommitResult)> then) = 0;
+  virtual void watch(const std::string& prefix, Revision after, Duration hold,
                      std::function<void(WatchResult)> then) = 0;
-  virtual void create_permit(Span ttl, std::function<void(PermitResult)> then) = 0;
-  virtual void touch_permit(Permit permit, std::function<void(PermitResult)> then) = 0;
+  virtual void create_lease(Duration ttl, std::function<void(LeaseResult)> then) = 0;
+  virtual void renew_lease(LeaseId lease_id, std::function<void(LeaseResult)> then) = 0;
   [[nodiscard]] virtual const StoreLimits& limits() const = 0;
   /// How much of the budget for writes is to spare, from 0 to 1.
   [[nodiscard]] virtual double write_slack() = 0;
@@ -121,11 +121,11 @@
   void read(const std::string& key, std::function<void(ReadResult)> then) override;
   void range(const std::string& prefix, const std::string& after,
              std::function<void(RangeResult)> then) override;
-  void commit(Rank rank, Txn txn, std::function<void(CommitResult)> then) override;
-  void watch(const std::string& prefix, Revision after, Span hold,
+  void commit(RequestPriority rank, Txn txn, std::function<void(CommitResult)> then) override;
+  void watch(const std::string& prefix, Revision after, Duration hold,
              std::function<void(WatchResult)> then) override;
-  void create_permit(Span ttl, std::function<void(PermitResult)> then) override;
-  void touch_permit(Permit permit, std::function<void(PermitResult)> then) override;
+  void create_lease(Duration ttl, std::function<void(LeaseResult)> then) override;
+  void renew_lease(LeaseId lease_id, std::function<void(LeaseResult)> then) override;
   [[nodiscard]] const StoreLimits& limits() const override { return limits_; }
   [[nodiscard]] double write_slack() override;
 
@@ -133,20 +133,20 @@
   struct Job {
     HttpCall call;
     double writes = 0;
-    Steady expires;
+    SteadyTime expires;
     HttpHandler then;
     int again = 0;  // how often it may be repeated when the service is over its rate
   };
   void send(Job job);
-  void enqueue(Rank rank, HttpCall call, double writes, HttpHandler then);
+  void enqueue(RequestPriority rank, HttpCall call, double writes, HttpHandler then);
   void pump();
   [[nodiscard]] double equal_share(double rate) const;
   /// How many writes of this rank may be sent ahead of the budget.
-  [[nodiscard]] double credit(Rank rank) const;
+  [[nodiscard]] double credit(RequestPriority rank) const;
   void adapt();
   void give_way(bool writes);
 
-  Meter& meter_;
+  Metrics& metrics_;
   const Clock& clock_;
   StoreLimits limits_;
   HttpClient http_;
@@ -158,7 +158,7 @@
   std::array<std::deque<Job>, 6> queues_;
   bool short_of_requests_ = false;  // something waited for the budget since the last look
   bool short_of_writes_ = false;
-  Steady last_refused_{-1'000'000};
+  SteadyTime last_refused_{-1'000'000};
   Timer pump_timer_;
   Timer adapt_timer_;
 };
--- a/src/store/machine_writer.hpp
+++ b/src/store/machine_writer.hpp
@@ -8,24 +8,27 @@
 #include <string>
 #include <vector>
 
-#include "store/mirror.hpp"
+#include "store/watch_cache.hpp"
 
 namespace marblevale {
 
 class MachineWriter {
  public:
-  enum class Outcome { none, put, erase };
+  enum class EditAction { none, put, erase };
   /// Looks at the machine as the records have it at the time of writing (an empty record if they do
   /// not) and changes it. Called again when the commit fails.
-  using Edit = std::function<Outcome(MachineRecord&)>;
+  using Edit = std::function<EditAction(MachineRecord&)>;
   /// Puts the writer's own guard on a transaction; false: it may not write for this zone now.
   using Guard = std::function<bool(Txn&, const ZoneId&)>;
 
-  MachineWriter(Mirror& mirror, Rank rank, Guard guard);
+  MachineWriter(WatchCache& cache, RequestPriority rank, Guard guard);
 
   /// `then`, if given, is called when the change is committed.
-  void edit(const HostId& host, const ZoneId& zone, Edit edit, std::function<void()> then = {});
-  [[nodiscard]] bool waits(const HostId& host) const { return edits_.contains(host); }
+  void edit(const MachineId& machine_id, const ZoneId& zone, Edit edit,
+            std::function<void()> then = {});
+  [[nodiscard]] bool waits(const MachineId& machine_id) const {
+    return edits_.contains(machine_id);
+  }
   /// Commits what waits, page by page, as far as no commit of the same page is on its way.
   void flush();
   /// All that waits, of every zone, as below.
@@ -41,12 +44,12 @@
     std::function<void()> then;
     std::uint64_t epoch = 0;  // of its zone when it was asked for
   };
-  void write(const std::string& page, const std::vector<HostId>& hosts);
+  void write(const std::string& page, const std::vector<MachineId>& machine_ids);
 
-  Mirror& mirror_;
-  Rank rank_;
+  WatchCache& cache_;
+  RequestPriority rank_;
   Guard guard_;
-  std::map<HostId, Change> edits_;
+  std::map<MachineId, Change> edits_;
   std::map<ZoneId, std::uint64_t> epochs_;  // how often a zone's changes were forgotten
   std::set<std::string> writing_;           // pages
 };
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -28,7 +28,7 @@
   }
 }
 
-bool read(const json::Value& v, const char* name, Wall& out) {
+bool read(const json::Value& v, const char* name, WallTime& out) {
   const auto ms = json::integer(v, name);
   if (ms) out = {*ms};
   return ms.has_value();
@@ -65,18 +65,18 @@
 };
 
 // A task is a list: state, attempt, since, progress, faults, last failed on; when it is placed,
-// also zone, host, session, running; when it is to stop, also leeway and reason. Times count from
-// the base, plus one, so that 0 stands for none.
+// also zone, host, session, running; when it is to stop, also grace period and reason. Times count
+// from the base, plus one, so that 0 stands for none.
 void write_task(json::Writer& out, const TaskRecord& task, SliceCommon& common) {
-  const auto time = [&](Wall at) { return at.ms == 0 ? 0 : at.ms - common.base + 1; };
+  const auto time = [&](WallTime at) { return at.ms == 0 ? 0 : at.ms - common.base + 1; };
   out.open_list().value(static_cast<int>(task.state)).value(task.attempt.get());
   out.value(time(task.since)).value(task.progress.ms);
   out.value(static_cast<std::uint64_t>(task.faults)).value(task.failed_on.get());
   if (task.placed()) {
-    out.value(SliceCommon::index(common.zones, task.zone.get())).value(task.host.get());
-    out.value(task.tenure.get()).value(time(task.running));
+    out.value(SliceCommon::index(common.zones, task.zone.get())).value(task.machine_id.get());
+    out.value(task.session.get()).value(time(task.running));
     if (task.stop) {
-      out.value(task.stop->leeway.ms);
+      out.value(task.stop->grace_period.ms);
       out.value(SliceCommon::index(common.reasons, task.stop->reason));
     }
   }
@@ -115,27 +115,27 @@
 
 bool read_task(const json::Value& v, TaskRecord& task, const SliceCommon& common) {
   ListReader in(v);
-  const auto time = [&](std::int64_t ms) { return Wall{ms == 0 ? 0 : ms + common.base - 1}; };
+  const auto time = [&](std::int64_t ms) { return WallTime{ms == 0 ? 0 : ms + common.base - 1}; };
   const std::uint64_t state = in.count();
   if (!in.ok() || state > static_cast<std::uint64_t>(TaskState::done)) return false;
   task.state = static_cast<TaskState>(state);
   task.attempt = Attempt(in.count());
   task.since = time(in.integer());
-  task.progress = Span{in.integer()};
+  task.progress = Duration{in.integer()};
   task.faults = static_cast<std::uint32_t>(in.count());
-  task.failed_on = HostId(in.text());
+  task.failed_on = MachineId(in.text());
   if (!task.placed()) return in.ok();
   const std::uint64_t zone = in.count();
-  task.host = HostId(in.text());
-  task.tenure = Tenure(in.count());
+  task.machine_id = MachineId(in.text());
+  task.session = SessionId(in.count());
   task.running = time(in.integer());
   if (!in.ok() || zone >= common.zones.size()) return false;
   task.zone = ZoneId(common.zones[zone]);
   if (!in.more()) return true;
-  const Span leeway{in.integer()};
+  const Duration grace_period{in.integer()};
   const std::uint64_t reason = in.count();
   if (!in.ok() || reason >= common.reasons.size()) return false;
-  task.stop = StopOrder{leeway, common.reasons[reason]};
+  task.stop = StopOrder{grace_period, common.reasons[reason]};
   return true;
 }
 
@@ -160,13 +160,13 @@
 namespace keys {
 std::string node(const NodeId& node) { return "mv/nodes/" + node.get(); }
 std::string block(const ZoneId& zone) { return "mv/blocks/" + zone.get(); }
-std::string job(const Uid& uid) { return "mv/jobs/" + uid.get(); }
-std::string grant(const Uid& uid) { return "mv/grants/" + uid.get(); }
-std::string slice(const Uid& uid, std::uint32_t number) {
-  return "mv/slices/" + uid.get() + "/" + std::to_string(number);
+std::string job(const JobId& job_id) { return "mv/jobs/" + job_id.get(); }
+std::string grant(const JobId& job_id) { return "mv/grants/" + job_id.get(); }
+std::string slice(const JobId& job_id, std::uint32_t number) {
+  return "mv/slices/" + job_id.get() + "/" + std::to_string(number);
 }
-std::string machine_page(const ZoneId& zone, const HostId& host) {
-  const std::string& name = host.get();
+std::string machine_page(const ZoneId& zone, const MachineId& machine_id) {
+  const std::string& name = machine_id.get();
   std::size_t digits = name.size();
   while (digits > 0 && name[digits - 1] >= '0' && name[digits - 1] <= '9') --digits;
   std::uint64_t number = 0;
@@ -176,15 +176,15 @@
   return "mv/machines/" + zone.get() + "/" + name.substr(0, digits) +
          (numbered ? std::to_string(number / kPageMachines) : "");
 }
-std::string hire(const std::string& name) { return "mv/hires/" + name; }
-std::string final_job(const Uid& uid) { return "final/" + uid.get(); }
+std::string rental(const std::string& name) { return "mv/hires/" + name; }
+std::string final_job(const JobId& job_id) { return "final/" + job_id.get(); }
 }  // namespace keys
 
 const char* name_of(MachineState state) {
   return kMachineStates.at(static_cast<std::size_t>(state));
 }
 
-void GrantRecord::note(Wall at, std::string what) {
+void GrantRecord::note(WallTime at, std::string what) {
   if (notes.size() >= kMaxNotes) {
     // The first note tells what was granted at arrival; it stays.
     notes.erase(notes.begin() + 1);
@@ -216,11 +216,11 @@
 }
 
 std::uint32_t slice_count(const JobSpec& job) {
-  return (job.parts + kSliceTasks - 1) / kSliceTasks;
+  return (job.task_count + kSliceTasks - 1) / kSliceTasks;
 }
 
 std::uint32_t slice_size(const JobSpec& job, std::uint32_t number) {
-  return std::min(kSliceTasks, job.parts - number * kSliceTasks);
+  return std::min(kSliceTasks, job.task_count - number * kSliceTasks);
 }
 
 std::string encode(const LeaderRecord& r) {
@@ -239,14 +239,14 @@
       .put("v", kFormat)
       .put("node", r.node.get())
       .put("nonce", r.nonce.get())
-      .put("permit", r.block_permit.get())
+      .put("permit", r.block_lease_id.get())
       .close();
   return out.str();
 }
 
 bool decode(const json::Value& v, NodeRecord& out) {
   return known_format(v) && read(v, "node", out.node) && read(v, "nonce", out.nonce) &&
-         read(v, "permit", out.block_permit);
+         read(v, "permit", out.block_lease_id);
 }
 
 std::string encode(const BlockRecord& r) {
@@ -284,7 +284,7 @@
   auto job = parse_job(*spec, why);
   if (!job) return false;
   out.spec = std::move(*job);
-  Wall cancelled;
+  WallTime cancelled;
   if (read(v, "cancelled", cancelled)) out.cancelled = cancelled;
   return true;
 }
@@ -297,7 +297,7 @@
 
 std::string encode(const GrantRecord& r) {
   json::Writer out;
-  out.open().put("v", kFormat).put("uid", r.uid.get()).key("grants").open_list();
+  out.open().put("v", kFormat).put("uid", r.job_id.get()).key("grants").open_list();
   for (const Guarantee& g : r.guarantees) {
     out.open()
         .put("slice", static_cast<std::uint64_t>(g.slice))
@@ -314,7 +314,7 @@
 
 bool decode(const json::Value& v, GrantRecord& out) {
   const json::Value* grants = json::list(v, "grants");
-  if (!known_format(v) || grants == nullptr || !read(v, "uid", out.uid)) return false;
+  if (!known_format(v) || grants == nullptr || !read(v, "uid", out.job_id)) return false;
   for (const auto& item : grants->GetArray()) {
     Guarantee g;
     const auto slice = json::count(item, "slice");
@@ -331,14 +331,14 @@
 std::string encode(const SliceRecord& r) {
   SliceCommon common;
   for (const TaskRecord& task : r.tasks) {
-    for (const Wall at : {task.since, task.running}) {
+    for (const WallTime at : {task.since, task.running}) {
       if (at.ms != 0 && (common.base == 0 || at.ms < common.base)) common.base = at.ms;
     }
   }
   json::Writer out;
   out.open()
       .put("v", kSliceFormat)
-      .put("uid", r.uid.get())
+      .put("uid", r.job_id.get())
       .put("n", static_cast<std::uint64_t>(r.number))
       .put("base", common.base)
       .key("tasks")
@@ -357,7 +357,7 @@
   const auto base = json::integer(v, "base");
   SliceCommon common;
   if (json::count(v, "v") != kSliceFormat || tasks == nullptr || !number || !base ||
-      !read(v, "uid", out.uid) || !read_texts(v, "zones", common.zones) ||
+      !read(v, "uid", out.job_id) || !read_texts(v, "zones", common.zones) ||
       !read_texts(v, "reasons", common.reasons)) {
     return false;
   }
@@ -374,15 +374,15 @@
 
 void write_machine(json::Writer& out, const MachineRecord& r, std::size_t images) {
   out.open()
-      .put("h", r.host.get())
+      .put("h", r.machine_id.get())
       .put("a", r.address)
-      .put("b", r.build)
+      .put("b", r.machine_type)
       .put("z", r.zone.get())
       .put("s", name_of(r.state))
       .put("t", r.since.ms);
   if (r.spot) out.put("spot", true);
-  if (r.recall) out.put("recall", r.recall->ms);
-  if (r.blamed != Uid{}) out.put("blamed", r.blamed.get());
+  if (r.reclaim_at) out.put("recall", r.reclaim_at->ms);
+  if (r.blamed != JobId{}) out.put("blamed", r.blamed.get());
   if (!r.images.empty() && images > 0) {
     out.key("i").open_list();
     for (std::size_t i = r.images.size() - std::min(images, r.images.size()); i < r.images.size();
@@ -396,14 +396,15 @@
 
 bool read_machine(const json::Value& v, MachineRecord& out) {
   const auto state = json::text(v, "s");
-  if (!state || !read(v, "h", out.host) || !read(v, "z", out.zone) || !read(v, "t", out.since)) {
+  if (!state || !read(v, "h", out.machine_id) || !read(v, "z", out.zone) ||
+      !read(v, "t", out.since)) {
     return false;
   }
   const auto* it = std::find(kMachineStates.begin(), kMachineStates.end(), *state);
   if (it == kMachineStates.end()) return false;
   out.state = static_cast<MachineState>(it - kMachineStates.begin());
   out.address = json::text(v, "a").value_or("");
-  out.build = json::text(v, "b").value_or("");
+  out.machine_type = json::text(v, "b").value_or("");
   out.spot = json::flag(v, "spot").value_or(false);
   read(v, "blamed", out.blamed);
   if (const json::Value* images = json::list(v, "i")) {
@@ -412,8 +413,8 @@
       out.images.emplace_back(ImageId((*images)[i].GetString()), (*images)[i + 1].GetDouble());
     }
   }
-  Wall recall;
-  if (read(v, "recall", recall)) out.recall = recall;
+  WallTime reclaim_at;
+  if (read(v, "recall", reclaim_at)) out.reclaim_at = reclaim_at;
   return true;
 }
 
@@ -444,12 +445,12 @@
   return true;
 }
 
-std::string encode(const HireRecord& r) {
+std::string encode(const RentalRecord& r) {
   json::Writer out;
   out.open()
       .put("v", kFormat)
       .put("name", r.name)
-      .put("build", r.build)
+      .put("build", r.machine_type)
       .put("zone", r.zone.get())
       .put("spot", r.spot)
       .put("count", static_cast<std::uint64_t>(r.how_many))
@@ -457,25 +458,25 @@
       .put("answered", r.answered)
       .key("hosts")
       .open_list();
-  for (const auto& host : r.hosts) out.value(host.get());
+  for (const auto& machine_id : r.machine_ids) out.value(machine_id.get());
   out.close_list().close();
   return out.str();
 }
 
-bool decode(const json::Value& v, HireRecord& out) {
-  const json::Value* hosts = json::list(v, "hosts");
+bool decode(const json::Value& v, RentalRecord& out) {
+  const json::Value* machine_ids = json::list(v, "hosts");
   const auto name = json::text(v, "name");
-  if (!known_format(v) || hosts == nullptr || !name || !read(v, "zone", out.zone) ||
+  if (!known_format(v) || machine_ids == nullptr || !name || !read(v, "zone", out.zone) ||
       !read(v, "asked", out.asked)) {
     return false;
   }
   out.name = *name;
-  out.build = json::text(v, "build").value_or("");
+  out.machine_type = json::text(v, "build").value_or("");
   out.spot = json::flag(v, "spot").value_or(false);
   out.how_many = static_cast<std::uint32_t>(json::count(v, "count").value_or(0));
   out.answered = json::flag(v, "answered").value_or(false);
-  for (const auto& host : hosts->GetArray()) {
-    if (host.IsString()) out.hosts.emplace_back(host.GetString());
+  for (const auto& machine_id : machine_ids->GetArray()) {
+    if (machine_id.IsString()) out.machine_ids.emplace_back(machine_id.GetString());
   }
   return true;
 }
@@ -484,9 +485,9 @@
   json::Writer out;
   out.open()
       .put("v", kFormat)
-      .put("uid", r.uid.get())
+      .put("uid", r.job_id.get())
       .put("state", r.state == FinalState::done ? "done" : "cancelled")
-      .put("parts", static_cast<std::uint64_t>(r.parts))
+      .put("parts", static_cast<std::uint64_t>(r.task_count))
       .put("accepted", r.accepted.ms)
       .put("ended", r.ended.ms);
   write_notes(out, r.notes);
@@ -496,9 +497,9 @@
 
 bool decode(const json::Value& v, FinalRecord& out) {
   const auto state = json::text(v, "state");
-  if (!known_format(v) || !state || !read(v, "uid", out.uid)) return false;
+  if (!known_format(v) || !state || !read(v, "uid", out.job_id)) return false;
   out.state = *state == "done" ? FinalState::done : FinalState::cancelled;
-  out.parts = static_cast<std::uint32_t>(json::count(v, "parts").value_or(0));
+  out.task_count = static_cast<std::uint32_t>(json::count(v, "parts").value_or(0));
   read(v, "accepted", out.accepted);
   read(v, "ended", out.ended);
   return read_notes(v, out.notes);
--- a/src/store/records.hpp
+++ b/src/store/records.hpp
@@ -24,13 +24,13 @@
 inline constexpr const char* kTypes = "mv/types";
 std::string node(const NodeId& node);
 std::string block(const ZoneId& zone);
-std::string job(const Uid& uid);
-std::string grant(const Uid& uid);
-std::string slice(const Uid& uid, std::uint32_t number);
+std::string job(const JobId& job_id);
+std::string grant(const JobId& job_id);
+std::string slice(const JobId& job_id, std::uint32_t number);
 /// The page that has the machine: machines whose names follow one another share one.
-std::string machine_page(const ZoneId& zone, const HostId& host);
-std::string hire(const std::string& name);
-std::string final_job(const Uid& uid);
+std::string machine_page(const ZoneId& zone, const MachineId& machine_id);
+std::string rental(const std::string& name);
+std::string final_job(const JobId& job_id);
 }  // namespace keys
 
 struct LeaderRecord {
@@ -42,10 +42,10 @@
 struct NodeRecord {
   NodeId node;
   Nonce nonce;
-  Permit block_permit;
+  LeaseId block_lease_id;
 };
 
-/// Whose block it is. The stamp of this record is the block's warrant.
+/// Whose block it is. The revision of this record is the block's fencing token.
 struct BlockRecord {
   ZoneId zone;
   NodeId holder;
@@ -55,36 +55,36 @@
 
 struct JobRecord {
   JobSpec spec;
-  Wall accepted;
-  std::optional<Wall> cancelled;
+  WallTime accepted;
+  std::optional<WallTime> cancelled;
 };
 
 /// Something that happened to a job's plan, kept for the member who asks why.
 struct Note {
-  Wall at;
+  WallTime at;
   std::string what;
 };
 
 /// Start and end that a slice was granted.
 struct Guarantee {
   std::uint32_t slice = 0;
-  Wall first;  // the start granted at arrival
-  Wall start;
-  Wall end;
+  WallTime first;  // the start granted at arrival
+  WallTime start;
+  WallTime end;
 };
 
 struct GrantRecord {
-  Uid uid;
+  JobId job_id;
   std::vector<Guarantee> guarantees;  // of the slices that are reserved now
   std::vector<Note> notes;            // the latest, bounded
 
-  void note(Wall at, std::string what);
+  void note(WallTime at, std::string what);
 };
 
 enum class TaskState { idle, released, bound, done };
 
 struct StopOrder {
-  Span leeway;
+  Duration grace_period;
   std::string reason;
 };
 
@@ -94,13 +94,13 @@
   TaskState state = TaskState::idle;
   Attempt attempt;
   ZoneId zone;
-  HostId host;
-  Tenure tenure;             // the worker's session when it was bound
-  Wall since;                // of the release, the binding, or the last end
-  Wall running;              // when it was first seen running; 0: not yet
-  Span progress;             // saved
+  MachineId machine_id;
+  SessionId session;         // the worker's session when it was bound
+  WallTime since;            // of the release, the binding, or the last end
+  WallTime running;          // when it was first seen running; 0: not yet
+  Duration progress;         // saved
   std::uint32_t faults = 0;  // ends by error
-  HostId failed_on;          // machine of the last end by error
+  MachineId failed_on;       // machine of the last end by error
   std::optional<StopOrder> stop;
 
   [[nodiscard]] bool placed() const {
@@ -113,11 +113,11 @@
 inline constexpr std::uint32_t kSliceTasks = 64;
 
 struct SliceRecord {
-  Uid uid;
+  JobId job_id;
   std::uint32_t number = 0;
   std::vector<TaskRecord> tasks;
 
-  [[nodiscard]] std::uint32_t first_part() const { return number * kSliceTasks; }
+  [[nodiscard]] std::uint32_t first_task_index() const { return number * kSliceTasks; }
   [[nodiscard]] bool all_done() const;
 };
 
@@ -138,18 +138,18 @@
 const char* name_of(MachineState state);
 
 struct MachineRecord {
-  HostId host;
+  MachineId machine_id;
   std::string address;
-  std::string build;
+  std::string machine_type;
   ZoneId zone;
   bool spot = false;
   MachineState state = MachineState::up;
-  Wall since;
-  std::optional<Wall> recall;
+  WallTime since;
+  std::optional<WallTime> reclaim_at;
   /// Images that tasks have run with there, the latest last, as far as its cache holds them. Kept
   /// here because a guess in memory is lost when all controllers end at once.
   std::vector<std::pair<ImageId, double>> images;
-  Uid blamed;  // of a suspect: the job whose task failed
+  JobId blamed;  // of a suspect: the job whose task failed
 
   bool operator==(const MachineRecord&) const = default;
 };
@@ -166,25 +166,25 @@
 bool note_image(std::vector<std::pair<ImageId, double>>& images, const ImageId& image, double gb,
                 double cache_gb);
 
-struct HireRecord {
+struct RentalRecord {
   std::string name;
-  std::string build;
+  std::string machine_type;
   ZoneId zone;
   bool spot = false;
   std::uint32_t how_many = 0;
-  Wall asked;
+  WallTime asked;
   bool answered = false;
-  std::vector<HostId> hosts;
+  std::vector<MachineId> machine_ids;
 };
 
 enum class FinalState { done, cancelled };
 
 struct FinalRecord {
-  Uid uid;
+  JobId job_id;
   FinalState state = FinalState::done;
-  std::uint32_t parts = 0;
-  Wall accepted;
-  Wall ended;
+  std::uint32_t task_count = 0;
+  WallTime accepted;
+  WallTime ended;
   std::vector<Note> notes;
 };
 
@@ -196,7 +196,7 @@
 std::string encode(const SliceRecord& r);
 /// Images are left out, the longest unused first, until the page stays within `most` bytes.
 std::string encode(const MachinePage& page, std::size_t most);
-std::string encode(const HireRecord& r);
+std::string encode(const RentalRecord& r);
 std::string encode(const FinalRecord& r);
 std::string encode(const std::vector<MachineType>& types);
 
@@ -208,7 +208,7 @@
 bool decode(const json::Value& v, GrantRecord& out);
 bool decode(const json::Value& v, SliceRecord& out);
 bool decode(const json::Value& v, MachinePage& out);
-bool decode(const json::Value& v, HireRecord& out);
+bool decode(const json::Value& v, RentalRecord& out);
 bool decode(const json::Value& v, FinalRecord& out);
 bool decode(const json::Value& v, std::vector<MachineType>& out);
 
--- a/src/store/mirror.hpp
+++ b/src/store/watch_cache.hpp
@@ -18,45 +18,47 @@
 namespace marblevale {
 
 template <typename Record>
-struct Stored {
+struct Versioned {
   Record record;
-  Stamp stamp;
+  ModRevision mod_revision;
 };
 
-using SliceKey = std::pair<Uid, std::uint32_t>;
+using SliceKey = std::pair<JobId, std::uint32_t>;
 
 /// The records, typed.
 struct Records {
-  std::optional<Stored<LeaderRecord>> leader;
-  std::optional<Stored<std::vector<MachineType>>> types;
-  std::map<NodeId, Stored<NodeRecord>> nodes;
-  std::map<ZoneId, Stored<BlockRecord>> blocks;
-  std::unordered_map<Uid, Stored<JobRecord>> jobs;
-  std::unordered_map<Uid, Stored<GrantRecord>> grants;
-  std::map<SliceKey, Stored<SliceRecord>> slices;
-  std::map<HostId, Stored<MachineRecord>> machines;  // the stamp is that of the machine's page
-  std::map<std::string, Stored<std::vector<HostId>>> pages;  // by key
-  std::map<std::string, Stored<HireRecord>> hires;
+  std::optional<Versioned<LeaderRecord>> leader;
+  std::optional<Versioned<std::vector<MachineType>>> types;
+  std::map<NodeId, Versioned<NodeRecord>> nodes;
+  std::map<ZoneId, Versioned<BlockRecord>> blocks;
+  std::unordered_map<JobId, Versioned<JobRecord>> jobs;
+  std::unordered_map<JobId, Versioned<GrantRecord>> grants;
+  std::map<SliceKey, Versioned<SliceRecord>> slices;
+  std::map<MachineId, Versioned<MachineRecord>>
+      machines;  // the revision is that of the machine's page
+  std::map<std::string, Versioned<std::vector<MachineId>>> pages;  // by key
+  std::map<std::string, Versioned<RentalRecord>> rentals;
   /// Keys whose values this version can't read: what hangs on them is left alone.
   std::set<std::string> unreadable;
   /// The tasks that are placed on each machine.
-  std::unordered_map<HostId, std::map<TaskId, Attempt>> placed;
+  std::unordered_map<MachineId, std::map<TaskId, Attempt>> placed;
 
-  [[nodiscard]] const JobRecord* job(const Uid& uid) const;
-  [[nodiscard]] const Stored<SliceRecord>* slice(const Uid& uid, std::uint32_t number) const;
+  [[nodiscard]] const JobRecord* job(const JobId& job_id) const;
+  [[nodiscard]] const Versioned<SliceRecord>* slice(const JobId& job_id,
+                                                    std::uint32_t number) const;
   [[nodiscard]] const TaskRecord* task(const TaskId& id) const;
   [[nodiscard]] const MachineType* type(const std::string& name) const;
   [[nodiscard]] bool alive(const NodeId& node, Nonce nonce) const;
 };
 
 /// What changed, for those who listen.
-enum class Topic { leader, types, node, block, job, grant, slice, machine, hire };
+enum class RecordKind { leader, types, node, block, job, grant, slice, machine, rental };
 
-class Mirror {
+class WatchCache {
  public:
   enum class State { loading, following };
 
-  Mirror(Loop& loop, const Clock& clock, Store& store, std::uint64_t seed);
+  WatchCache(Loop& loop, const Clock& clock, Store& store, std::uint64_t seed);
 
   void begin();
   [[nodiscard]] State state() const { return state_; }
@@ -65,8 +67,8 @@
   [[nodiscard]] Revision revision() const { return revision_; }
   [[nodiscard]] const Records& records() const { return records_; }
   /// All that was committed before this moment is in the records.
-  [[nodiscard]] Steady fresh_until() const { return fresh_until_; }
-  [[nodiscard]] Wall fresh_until_wall() const { return fresh_until_wall_; }
+  [[nodiscard]] SteadyTime fresh_until() const { return fresh_until_; }
+  [[nodiscard]] WallTime fresh_until_wall() const { return fresh_until_wall_; }
 
   /// Calls back once all that was committed before this call is in the records, or with false when
   /// that does not come about in time.
@@ -76,10 +78,10 @@
   /// How much of the budget for writes is to spare, from 0 to 1.
   [[nodiscard]] double write_slack() { return store_.write_slack(); }
 
-  void listen(std::function<void(Topic, const std::string& key)> listener);
+  void listen(std::function<void(RecordKind, const std::string& key)> listener);
 
   /// Commits, and on success takes the change into the copy at once.
-  void commit(Rank rank, Txn txn, std::function<void(const CommitResult&)> then);
+  void commit(RequestPriority rank, Txn txn, std::function<void(const CommitResult&)> then);
 
   /// Applies one change (public for tests).
   void apply(const Change& change);
@@ -90,39 +92,40 @@
   void follow();
   void again();
   void answer_waiting();
-  bool place_page(const std::string& key, const json::Document* value, Stamp stamp,
+  bool place_page(const std::string& key, const json::Document* value, ModRevision mod_revision,
                   std::vector<std::string>& changed);
   void index(const SliceRecord& slice, bool add);
 
-  Meter& meter_;
+  Metrics& metrics_;
   const Clock& clock_;
   Store& store_;
   std::mt19937_64 random_;
   State state_ = State::loading;
   bool ever_loaded_ = false;
   Records records_;
-  std::unordered_map<std::string, Stamp> stamps_;
-  std::unordered_map<std::string, Stamp> removed_;  // own deletions that the watch has not told yet
-  std::unordered_map<std::string, Stamp> loading_;
+  std::unordered_map<std::string, ModRevision> mod_revisions_;
+  std::unordered_map<std::string, ModRevision>
+      removed_;  // own deletions that the watch has not told yet
+  std::unordered_map<std::string, ModRevision> loading_;
   Revision revision_;
   Revision load_from_;
   std::string load_after_;  // the key before the page that is being loaded
-  Steady load_sent_{};
-  Wall load_sent_wall_{};
-  Steady fresh_until_{};
-  Wall fresh_until_wall_{};
+  SteadyTime load_sent_{};
+  WallTime load_sent_wall_{};
+  SteadyTime fresh_until_{};
+  WallTime fresh_until_wall_{};
   struct Waiting {
-    Steady asked;
+    SteadyTime asked;
     std::function<void(bool)> then;
   };
   std::deque<Waiting> waiting_;
-  Steady last_follow_{};
+  SteadyTime last_follow_{};
   Backoff backoff_;
-  Span pace_;  // between two openings of the watch
+  Duration pace_;  // between two openings of the watch
   Timer retry_;
   Timer follow_later_;
   Timer give_up_;
-  std::vector<std::function<void(Topic, const std::string&)>> listeners_;
+  std::vector<std::function<void(RecordKind, const std::string&)>> listeners_;
 };
 
 }  // namespace marblevale
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -3,10 +3,10 @@
 namespace marblevale {
 
 std::optional<std::vector<MachineType>> parse_machine_types(const json::Value& object) {
-  const json::Value* builds = json::list(object, "builds");
-  if (builds == nullptr) return std::nullopt;
+  const json::Value* machine_types = json::list(object, "builds");
+  if (machine_types == nullptr) return std::nullopt;
   std::vector<MachineType> types;
-  for (const auto& item : builds->GetArray()) {
+  for (const auto& item : machine_types->GetArray()) {
     const auto name = json::text(item, "name");
     const auto cpus = json::number(item, "cpus");
     const auto memory = json::number(item, "memory_gb");
@@ -14,7 +14,7 @@
     if (!name || !cpus || !memory || zones == nullptr) return std::nullopt;
     MachineType type;
     type.name = *name;
-    type.room = {*cpus, json::number(item, "accelerators").value_or(0), *memory};
+    type.resources = {*cpus, json::number(item, "accelerators").value_or(0), *memory};
     type.cache_gb = json::number(item, "local_gb").value_or(0);
     type.pull_gb_per_s = json::number(item, "pull_gb_per_s").value_or(0);
     type.price = json::number(item, "hourly").value_or(0);
@@ -33,9 +33,9 @@
   for (const auto& type : types) {
     out.open()
         .put("name", type.name)
-        .put("cpus", type.room.cpus)
-        .put("accelerators", type.room.gpus)
-        .put("memory_gb", type.room.memory_gb)
+        .put("cpus", type.resources.cpus)
+        .put("accelerators", type.resources.gpus)
+        .put("memory_gb", type.resources.memory_gb)
         .put("local_gb", type.cache_gb)
         .put("pull_gb_per_s", type.pull_gb_per_s)
         .put("hourly", type.price)
@@ -52,19 +52,19 @@
 std::optional<MachineList> parse_machine_list(std::string_view body) {
   json::Document doc;
   if (!json::parse(doc, body)) return std::nullopt;
-  const json::Value* hosts = json::list(doc, "hosts");
-  if (hosts == nullptr) return std::nullopt;
+  const json::Value* machine_ids = json::list(doc, "hosts");
+  if (machine_ids == nullptr) return std::nullopt;
   MachineList out;
   out.has_next = json::flag(doc, "has_next").value_or(false);
-  for (const auto& item : hosts->GetArray()) {
-    const auto uid = json::text(item, "uid");
+  for (const auto& item : machine_ids->GetArray()) {
+    const auto job_id = json::text(item, "uid");
     const auto status = json::text(item, "status");
-    if (!uid || !status) return std::nullopt;
+    if (!job_id || !status) return std::nullopt;
     ListedMachine m;
-    m.host = HostId(*uid);
+    m.machine_id = MachineId(*job_id);
     m.address = json::text(item, "address").value_or("");
-    m.build = json::text(item, "build").value_or("");
-    m.district = ZoneId(json::text(item, "district").value_or(""));
+    m.machine_type = json::text(item, "build").value_or("");
+    m.zone = ZoneId(json::text(item, "district").value_or(""));
     m.spot = json::flag(item, "loaners").value_or(false);
     m.age = from_seconds(json::number(item, "age_s").value_or(0));
     m.status = *status == "running"  ? RentalStatus::running
@@ -75,24 +75,24 @@
   return out;
 }
 
-std::optional<std::vector<HostId>> parse_hired(std::string_view body) {
+std::optional<std::vector<MachineId>> parse_rented(std::string_view body) {
   json::Document doc;
   if (!json::parse(doc, body)) return std::nullopt;
-  const json::Value* hosts = json::list(doc, "hosts");
-  if (hosts == nullptr) return std::nullopt;
-  std::vector<HostId> out;
-  for (const auto& item : hosts->GetArray()) {
+  const json::Value* machine_ids = json::list(doc, "hosts");
+  if (machine_ids == nullptr) return std::nullopt;
+  std::vector<MachineId> out;
+  for (const auto& item : machine_ids->GetArray()) {
     if (item.IsString()) out.emplace_back(item.GetString());
   }
   return out;
 }
 
-std::string write_hire(const std::string& name, const std::string& build, const ZoneId& zone,
-                       bool spot, std::uint32_t how_many) {
+std::string write_rental(const std::string& name, const std::string& machine_type,
+                         const ZoneId& zone, bool spot, std::uint32_t how_many) {
   json::Writer out;
   out.open()
       .put("hire", name)
-      .put("build", build)
+      .put("build", machine_type)
       .put("district", zone.get())
       .put("loaners", spot)
       .put("how_many", static_cast<std::uint64_t>(how_many))
@@ -100,10 +100,10 @@
   return out.str();
 }
 
-std::string write_delete(const std::vector<HostId>& hosts) {
+std::string write_delete(const std::vector<MachineId>& machine_ids) {
   json::Writer out;
   out.open().key("hosts").open_list();
-  for (const auto& host : hosts) out.value(host.get());
+  for (const auto& machine_id : machine_ids) out.value(machine_id.get());
   out.close_list().close();
   return out.str();
 }
--- a/src/wire/cloud.hpp
+++ b/src/wire/cloud.hpp
@@ -15,12 +15,12 @@
 
 struct MachineType {
   std::string name;
-  Room room;
+  Resources resources;
   double cache_gb = 0;
   double pull_gb_per_s = 0;
   double price = 0;       // per hour
   double spot_price = 0;  // per hour
-  Span boot;
+  Duration boot;
   std::vector<ZoneId> zones;
 
   [[nodiscard]] double price_of(bool spot) const { return spot ? spot_price : price; }
@@ -32,13 +32,13 @@
 enum class RentalStatus { starting, running, failed };
 
 struct ListedMachine {
-  HostId host;
+  MachineId machine_id;
   std::string address;
-  std::string build;
-  ZoneId district;
+  std::string machine_type;
+  ZoneId zone;
   bool spot = false;
   RentalStatus status = RentalStatus::starting;
-  Span age;
+  Duration age;
 };
 
 struct MachineList {
@@ -47,10 +47,10 @@
 };
 
 std::optional<MachineList> parse_machine_list(std::string_view body);
-std::optional<std::vector<HostId>> parse_hired(std::string_view body);
+std::optional<std::vector<MachineId>> parse_rented(std::string_view body);
 
-std::string write_hire(const std::string& name, const std::string& build, const ZoneId& zone,
-                       bool spot, std::uint32_t how_many);
-std::string write_delete(const std::vector<HostId>& hosts);
+std::string write_rental(const std::string& name, const std::string& machine_type,
+                         const ZoneId& zone, bool spot, std::uint32_t how_many);
+std::string write_delete(const std::vector<MachineId>& machine_ids);
 
 }  // namespace marblevale
--- a/src/wire/job_spec.cpp
+++ b/src/wire/job_spec.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr std::uint64_t kMaxParts = 100'000;
+constexpr std::uint64_t kMaxTasks = 100'000;
 constexpr double kMaxAmount = 1e6;   // CPUs, accelerators and GB of one task
 constexpr double kMaxSeconds = 1e8;  // about three years
 constexpr std::size_t kMaxName = 128;
-constexpr Span kEndless{90'000'000'000};
+constexpr Duration kEndless{90'000'000'000};
 
 bool valid_name(const std::optional<std::string>& name) {
   return name && !name->empty() && name->size() <= kMaxName &&
@@ -35,7 +35,7 @@
   return v.has_value();
 }
 
-bool read_seconds(const json::Value& object, const char* name, bool required, Span& out) {
+bool read_seconds(const json::Value& object, const char* name, bool required, Duration& out) {
   if (!required && json::field(object, name) == nullptr) return true;
   double seconds = 0;
   if (!read_amount(object, name, kMaxSeconds, seconds)) return false;
@@ -57,7 +57,7 @@
   return true;
 }
 
-bool read_builds(const json::Value& object, std::vector<std::string>& out) {
+bool read_machine_types(const json::Value& object, std::vector<std::string>& out) {
   const json::Value* v = json::field(object, "builds");
   if (v == nullptr) return true;
   if (!v->IsArray() || v->Empty() || v->Size() > 32) return false;
@@ -72,16 +72,17 @@
 
 }  // namespace
 
-const char* name_of(Shape shape) { return kShapes.at(static_cast<std::size_t>(shape)); }
+const char* name_of(JobShape shape) { return kShapes.at(static_cast<std::size_t>(shape)); }
 const char* name_of(Urgency urgency) { return kUrgencies.at(static_cast<std::size_t>(urgency)); }
 
-bool valid_uid(std::string_view uid) {
+bool valid_job_id(std::string_view job_id) {
   constexpr std::string_view kPrefix = "req-";
-  if (uid.substr(0, kPrefix.size()) != kPrefix) return false;
-  uid.remove_prefix(kPrefix.size());
-  return !uid.empty() && uid.size() <= 32 && std::all_of(uid.begin(), uid.end(), [](char c) {
-    return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-';
-  });
+  if (job_id.substr(0, kPrefix.size()) != kPrefix) return false;
+  job_id.remove_prefix(kPrefix.size());
+  return !job_id.empty() && job_id.size() <= 32 &&
+         std::all_of(job_id.begin(), job_id.end(), [](char c) {
+           return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-';
+         });
 }
 
 std::optional<JobSpec> parse_job(const json::Value& object, std::string& why) {
@@ -90,77 +91,78 @@
     why = name;
     return std::nullopt;
   };
-  const auto uid = json::text(object, "uid");
-  if (!uid || !valid_uid(*uid)) return fault("uid");
-  job.uid = Uid(*uid);
-  const auto workclass = json::text(object, "workclass");
-  if (!valid_name(workclass)) return fault("workclass");
-  job.workclass = *workclass;
-  const auto crew = json::text(object, "crew");
-  if (!valid_name(crew)) return fault("crew");
-  job.crew = TeamId(*crew);
+  const auto job_id = json::text(object, "uid");
+  if (!job_id || !valid_job_id(*job_id)) return fault("uid");
+  job.job_id = JobId(*job_id);
+  const auto job_class = json::text(object, "workclass");
+  if (!valid_name(job_class)) return fault("workclass");
+  job.job_class = *job_class;
+  const auto team = json::text(object, "crew");
+  if (!valid_name(team)) return fault("crew");
+  job.team = TeamId(*team);
   if (!read_enum(object, "shape", kShapes, job.shape)) return fault("shape");
   if (!read_enum(object, "urgency", kUrgencies, job.urgency)) return fault("urgency");
-  const auto parts = json::count(object, "parts");
-  if (!parts || *parts == 0 || *parts > kMaxParts) return fault("parts");
-  job.parts = static_cast<std::uint32_t>(*parts);
+  const auto task_count = json::count(object, "parts");
+  if (!task_count || *task_count == 0 || *task_count > kMaxTasks) return fault("parts");
+  job.task_count = static_cast<std::uint32_t>(*task_count);
   if (!read_amount(object, "cpus", kMaxAmount, job.need.cpus)) return fault("cpus");
   if (!read_amount(object, "accelerators", kMaxAmount, job.need.gpus)) return fault("accelerators");
   if (!read_amount(object, "memory_gb", kMaxAmount, job.need.memory_gb)) return fault("memory_gb");
-  const auto bundle = json::text(object, "bundle");
-  if (!valid_name(bundle)) return fault("bundle");
-  job.bundle = ImageId(*bundle);
+  const auto image = json::text(object, "bundle");
+  if (!valid_name(image)) return fault("bundle");
+  job.image = ImageId(*image);
   if (!read_amount(object, "image_gb", kMaxAmount, job.image_gb)) return fault("image_gb");
-  if (!read_builds(object, job.builds)) return fault("builds");
+  if (!read_machine_types(object, job.machine_types)) return fault("builds");
   if (json::field(object, "district") != nullptr) {
-    const auto district = json::text(object, "district");
-    if (!valid_name(district)) return fault("district");
-    job.district = ZoneId(*district);
+    const auto required_zone = json::text(object, "district");
+    if (!valid_name(required_zone)) return fault("district");
+    job.required_zone = ZoneId(*required_zone);
   }
   // Only what may be null may be absent, except of a service, whose fields nobody has published.
   const bool required = !job.endless();
   if (!read_flag(object, "together", required, job.together)) return fault("together");
   if (!read_flag(object, "spread", required, job.spread)) return fault("spread");
-  if (!read_flag(object, "loaners", required, job.loaners)) return fault("loaners");
-  if (!read_seconds(object, "expect_s", required, job.expect)) return fault("expect_s");
+  if (!read_flag(object, "loaners", required, job.allows_spot)) return fault("loaners");
+  if (!read_seconds(object, "expect_s", required, job.estimated_run)) return fault("expect_s");
   // A service holds its room without end.
-  if (job.endless()) job.expect = kEndless;
-  if (!read_seconds(object, "snapshot_s", required, job.snapshot)) return fault("snapshot_s");
-  if (!read_seconds(object, "stash_s", required, job.stash)) return fault("stash_s");
+  if (job.endless()) job.estimated_run = kEndless;
+  if (!read_seconds(object, "snapshot_s", required, job.checkpoint_interval))
+    return fault("snapshot_s");
+  if (!read_seconds(object, "stash_s", required, job.save_time)) return fault("stash_s");
   if (json::field(object, "due_s") != nullptr) {
-    Span due;
-    if (!read_seconds(object, "due_s", true, due)) return fault("due_s");
-    job.due = due;
+    Duration deadline;
+    if (!read_seconds(object, "due_s", true, deadline)) return fault("due_s");
+    job.deadline = deadline;
   }
   return job;
 }
 
 void write_job(json::Writer& out, const JobSpec& job) {
   out.open()
-      .put("uid", job.uid.get())
-      .put("workclass", job.workclass)
-      .put("crew", job.crew.get())
+      .put("uid", job.job_id.get())
+      .put("workclass", job.job_class)
+      .put("crew", job.team.get())
       .put("shape", name_of(job.shape))
       .put("urgency", name_of(job.urgency))
-      .put("parts", static_cast<std::uint64_t>(job.parts))
+      .put("parts", static_cast<std::uint64_t>(job.task_count))
       .put("cpus", job.need.cpus)
       .put("accelerators", job.need.gpus)
       .put("memory_gb", job.need.memory_gb)
-      .put("bundle", job.bundle.get())
+      .put("bundle", job.image.get())
       .put("image_gb", job.image_gb);
-  if (!job.builds.empty()) {
+  if (!job.machine_types.empty()) {
     out.key("builds").open_list();
-    for (const auto& build : job.builds) out.value(build);
+    for (const auto& machine_type : job.machine_types) out.value(machine_type);
     out.close_list();
   }
-  if (job.district) out.put("district", job.district->get());
+  if (job.required_zone) out.put("district", job.required_zone->get());
   out.put("together", job.together)
       .put("spread", job.spread)
-      .put("loaners", job.loaners)
-      .put("expect_s", job.expect.seconds())
-      .put("snapshot_s", job.snapshot.seconds())
-      .put("stash_s", job.stash.seconds());
-  if (job.due) out.put("due_s", job.due->seconds());
+      .put("loaners", job.allows_spot)
+      .put("expect_s", job.estimated_run.seconds())
+      .put("snapshot_s", job.checkpoint_interval.seconds())
+      .put("stash_s", job.save_time.seconds());
+  if (job.deadline) out.put("due_s", job.deadline->seconds());
   out.close();
 }
 
--- a/src/wire/job_spec.hpp
+++ b/src/wire/job_spec.hpp
@@ -14,39 +14,39 @@
 namespace marblevale {
 
 /// A standing job is a service: its tasks run until it is cancelled.
-enum class Shape { batch, ensemble, standing };
+enum class JobShape { array, gang, service };
 enum class Urgency { low, standard, urgent, production };
 
-const char* name_of(Shape shape);
+const char* name_of(JobShape shape);
 const char* name_of(Urgency urgency);
 
 struct JobSpec {
-  Uid uid;
-  std::string workclass;
-  TeamId crew;
-  Shape shape = Shape::batch;
+  JobId job_id;
+  std::string job_class;
+  TeamId team;
+  JobShape shape = JobShape::array;
   Urgency urgency = Urgency::standard;
-  std::uint32_t parts = 1;
-  Room need;  // of each task
-  ImageId bundle;
+  std::uint32_t task_count = 1;
+  Resources need;  // of each task
+  ImageId image;
   double image_gb = 0;
-  std::vector<std::string> builds;  // empty: any
-  std::optional<ZoneId> district;
+  std::vector<std::string> machine_types;  // empty: any
+  std::optional<ZoneId> required_zone;
   bool together = false;
   bool spread = false;
-  bool loaners = false;
-  Span expect;
-  Span snapshot;
-  Span stash;
-  std::optional<Span> due;
-
-  [[nodiscard]] bool gang() const { return shape == Shape::ensemble; }
-  [[nodiscard]] bool endless() const { return shape == Shape::standing; }
+  bool allows_spot = false;
+  Duration estimated_run;
+  Duration checkpoint_interval;
+  Duration save_time;
+  std::optional<Duration> deadline;
+
+  [[nodiscard]] bool gang() const { return shape == JobShape::gang; }
+  [[nodiscard]] bool endless() const { return shape == JobShape::service; }
 };
 
 /// True for an id in the form that the protocol gives ("req-" and 1 to 32 digits, letters or
 /// dashes).
-bool valid_uid(std::string_view uid);
+bool valid_job_id(std::string_view job_id);
 
 /// Reads a job; on a fault, `why` names the field.
 std::optional<JobSpec> parse_job(const json::Value& object, std::string& why);
--- a/src/wire/worker.cpp
+++ b/src/wire/worker.cpp
@@ -19,11 +19,11 @@
 }
 
 std::optional<ReportedTask> parse_task(const json::Value& item) {
-  const auto part = json::text(item, "part");
+  const auto task_index = json::text(item, "part");
   const auto attempt = json::count(item, "try");
   const auto status = json::text(item, "status");
-  if (!part || !attempt || !status) return std::nullopt;
-  const auto id = parse_task_id(*part);
+  if (!task_index || !attempt || !status) return std::nullopt;
+  const auto id = parse_task_id(*task_index);
   const auto state = status_of(*status);
   if (!id || !state) return std::nullopt;
   ReportedTask task{*id, Attempt(*attempt), *state, {}, false};
@@ -51,7 +51,7 @@
         .put("verb", name_of(order.verb))
         .put("part", order.id.str())
         .put("try", order.attempt.get());
-    if (order.verb == Verb::kill) out.put("leeway_s", order.leeway.seconds());
+    if (order.verb == Verb::kill) out.put("leeway_s", order.grace_period.seconds());
     out.close();
   }
   out.close_list();
@@ -61,10 +61,11 @@
 
 std::optional<TaskId> parse_task_id(std::string_view text) {
   const auto slash = text.find('/');
-  if (slash == std::string_view::npos || !valid_uid(text.substr(0, slash))) return std::nullopt;
-  TaskId id{Uid(std::string(text.substr(0, slash))), 0};
+  if (slash == std::string_view::npos || !valid_job_id(text.substr(0, slash))) return std::nullopt;
+  TaskId id{JobId(std::string(text.substr(0, slash))), 0};
   const auto digits = text.substr(slash + 1);
-  const auto [end, fault] = std::from_chars(digits.data(), digits.data() + digits.size(), id.part);
+  const auto [end, fault] =
+      std::from_chars(digits.data(), digits.data() + digits.size(), id.task_index);
   if (fault != std::errc{} || end != digits.data() + digits.size()) return std::nullopt;
   return id;
 }
@@ -72,49 +73,50 @@
 std::optional<Report> parse_report(std::string_view body) {
   json::Document doc;
   if (!json::parse(doc, body)) return std::nullopt;
-  const auto host = json::text(doc, "host");
+  const auto machine_id = json::text(doc, "host");
   const auto address = json::text(doc, "address");
-  const auto build = json::text(doc, "build");
-  const auto district = json::text(doc, "district");
-  const auto tenure = json::count(doc, "tenure");
-  const auto tally = json::count(doc, "tally");
-  const auto warrant = json::count(doc, "warrant");
-  const json::Value* parts = json::list(doc, "parts");
-  if (!host || host->empty() || !address || !build || !district || !tenure || !tally || !warrant ||
-      parts == nullptr) {
+  const auto machine_type = json::text(doc, "build");
+  const auto zone = json::text(doc, "district");
+  const auto session = json::count(doc, "tenure");
+  const auto sequence = json::count(doc, "tally");
+  const auto token = json::count(doc, "warrant");
+  const json::Value* tasks = json::list(doc, "parts");
+  if (!machine_id || machine_id->empty() || !address || !machine_type || !zone || !session ||
+      !sequence || !token || tasks == nullptr) {
     return std::nullopt;
   }
   Report report;
-  report.host = HostId(*host);
+  report.machine_id = MachineId(*machine_id);
   report.address = *address;
-  report.build = *build;
-  report.district = ZoneId(*district);
-  report.loaners = json::flag(doc, "loaners").value_or(false);
-  report.tenure = Tenure(*tenure);
-  report.tally = Tally(*tally);
-  report.warrant = Warrant(*warrant);
-  if (const auto recall = json::number(doc, "recall_s")) report.recall = from_seconds(*recall);
-  report.parts.reserve(parts->Size());
-  for (const auto& item : parts->GetArray()) {
+  report.machine_type = *machine_type;
+  report.zone = ZoneId(*zone);
+  report.spot = json::flag(doc, "loaners").value_or(false);
+  report.session = SessionId(*session);
+  report.sequence = ReportSequence(*sequence);
+  report.token = FencingToken(*token);
+  if (const auto reclaim_in = json::number(doc, "recall_s"))
+    report.reclaim_in = from_seconds(*reclaim_in);
+  report.tasks.reserve(tasks->Size());
+  for (const auto& item : tasks->GetArray()) {
     auto task = parse_task(item);
     // A report that can't be read whole must not count as proof that a task is absent.
     if (!task) return std::nullopt;
-    report.parts.push_back(std::move(*task));
+    report.tasks.push_back(std::move(*task));
   }
   return report;
 }
 
-std::string write_answer(Warrant warrant, const std::vector<Order>& orders) {
+std::string write_answer(FencingToken token, const std::vector<Order>& orders) {
   json::Writer out;
-  out.open().put("warrant", warrant.get());
+  out.open().put("warrant", token.get());
   write_orders(out, orders);
   out.close();
   return out.str();
 }
 
-std::string write_direct(Warrant warrant, Tenure tenure, const std::vector<Order>& orders) {
+std::string write_direct(FencingToken token, SessionId session, const std::vector<Order>& orders) {
   json::Writer out;
-  out.open().put("warrant", warrant.get()).put("tenure", tenure.get());
+  out.open().put("warrant", token.get()).put("tenure", session.get());
   write_orders(out, orders);
   out.close();
   return out.str();
--- a/src/wire/worker.hpp
+++ b/src/wire/worker.hpp
@@ -12,10 +12,10 @@
 namespace marblevale {
 
 struct TaskId {
-  Uid uid;
-  std::uint32_t part = 0;
+  JobId job_id;
+  std::uint32_t task_index = 0;
   auto operator<=>(const TaskId&) const = default;
-  [[nodiscard]] std::string str() const { return uid.get() + "/" + std::to_string(part); }
+  [[nodiscard]] std::string str() const { return job_id.get() + "/" + std::to_string(task_index); }
 };
 
 std::optional<TaskId> parse_task_id(std::string_view text);
@@ -31,16 +31,16 @@
 };
 
 struct Report {
-  HostId host;
+  MachineId machine_id;
   std::string address;
-  std::string build;
-  ZoneId district;
-  bool loaners = false;
-  Tenure tenure;
-  Tally tally;
-  Warrant warrant;
-  std::optional<Span> recall;
-  std::vector<ReportedTask> parts;
+  std::string machine_type;
+  ZoneId zone;
+  bool spot = false;
+  SessionId session;
+  ReportSequence sequence;
+  FencingToken token;
+  std::optional<Duration> reclaim_in;
+  std::vector<ReportedTask> tasks;
 };
 
 std::optional<Report> parse_report(std::string_view body);
@@ -51,19 +51,19 @@
   Verb verb = Verb::start;
   TaskId id;
   Attempt attempt;
-  Span leeway;  // of a kill
+  Duration grace_period;  // of a kill
 };
 
 /// The answer to a report.
-std::string write_answer(Warrant warrant, const std::vector<Order>& orders);
+std::string write_answer(FencingToken token, const std::vector<Order>& orders);
 /// The body of POST /orders.
-std::string write_direct(Warrant warrant, Tenure tenure, const std::vector<Order>& orders);
+std::string write_direct(FencingToken token, SessionId session, const std::vector<Order>& orders);
 
 }  // namespace marblevale
 
 template <>
 struct std::hash<marblevale::TaskId> {
   std::size_t operator()(const marblevale::TaskId& id) const noexcept {
-    return std::hash<marblevale::Uid>{}(id.uid) * 31 + id.part;
+    return std::hash<marblevale::JobId>{}(id.job_id) * 31 + id.task_index;
   }
 };
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -30,19 +30,19 @@
 
 class AdmissionTest : public ::testing::Test {
  protected:
-  AdmissionTest() : mirror_(loop_, clock_, store_, 1), cancellations_(clock_, mirror_) {
+  AdmissionTest() : cache_(loop_, clock_, store_, 1), cancellations_(clock_, cache_) {
     Team team;
     team.name = TeamId("vision");
     team.gpus_max = 4;
     settings_.teams.push_back(team);
     MachineType type;
     type.name = "g8";
-    type.room = {96, 8, 768};
+    type.resources = {96, 8, 768};
     type.zones = {ZoneId("a")};
     store_.put(keys::kTypes, encode(std::vector<MachineType>{type}));
-    mirror_.begin();
+    cache_.begin();
     admission_ =
-        std::make_unique<Admission>(loop_, clock_, settings_, store_, mirror_, cancellations_);
+        std::make_unique<Admission>(loop_, clock_, settings_, store_, cache_, cancellations_);
   }
 
   UserAnswer submit(const std::string& body) {
@@ -52,51 +52,51 @@
     settle(out);
     return out;
   }
-  UserAnswer query(const std::string& uid) {
+  UserAnswer query(const std::string& job_id) {
     UserAnswer out;
     out.status = 0;
-    admission_->query(uid, [&out](const UserAnswer& a) { out = a; });
+    admission_->query(job_id, [&out](const UserAnswer& a) { out = a; });
     settle(out);
     return out;
   }
-  UserAnswer abort(const std::string& uid) {
+  UserAnswer abort(const std::string& job_id) {
     UserAnswer out;
     out.status = 0;
-    admission_->abort(uid, [&out](const UserAnswer& a) { out = a; });
+    admission_->abort(job_id, [&out](const UserAnswer& a) { out = a; });
     settle(out);
     return out;
   }
   /// Time passes, and the watch tells what there is, until the answer has come.
   void settle(const UserAnswer& out) {
     for (int i = 0; i < 20 && out.status == 0; ++i) {
-      clock_.advance(Span{50});
+      clock_.advance(Duration{50});
       store_.tell_watch();
     }
   }
   /// The answer to one of the users' requests.
   enum class Ask { question, submission, cancellation, why };
-  void ask(Ask what, const std::string& uid, Answer then, Admission* of = nullptr) {
+  void ask(Ask what, const std::string& job_id, Answer then, Admission* of = nullptr) {
     Admission& admission = of == nullptr ? *admission_ : *of;
     switch (what) {
       case Ask::question:
-        admission.query(uid, std::move(then));
+        admission.query(job_id, std::move(then));
         return;
       case Ask::submission:
-        admission.submit(changed("req-000412", uid), std::move(then));
+        admission.submit(changed("req-000412", job_id), std::move(then));
         return;
       case Ask::cancellation:
-        admission.abort(uid, std::move(then));
+        admission.abort(job_id, std::move(then));
         return;
       case Ask::why:
-        admission.why(uid, std::move(then));
+        admission.why(job_id, std::move(then));
         return;
     }
   }
-  UserAnswer ask(Ask what, const std::string& uid, Admission* of = nullptr) {
+  UserAnswer ask(Ask what, const std::string& job_id, Admission* of = nullptr) {
     UserAnswer out;
     out.status = 0;
     ask(
-        what, uid, [&out](const UserAnswer& a) { out = a; }, of);
+        what, job_id, [&out](const UserAnswer& a) { out = a; }, of);
     settle(out);
     return out;
   }
@@ -106,36 +106,37 @@
     return json::text(doc, "status").value_or("");
   }
   /// What another controller accepts.
-  Stamp accept_elsewhere(const std::string& uid, std::optional<Wall> cancelled = std::nullopt) {
+  ModRevision accept_elsewhere(const std::string& job_id,
+                               std::optional<WallTime> cancelled = std::nullopt) {
     json::Document doc;
     std::string why;
-    EXPECT_TRUE(json::parse(doc, changed("req-000412", uid)));
-    return store_.put(keys::job(Uid(uid)),
+    EXPECT_TRUE(json::parse(doc, changed("req-000412", job_id)));
+    return store_.put(keys::job(JobId(job_id)),
                       encode(JobRecord{*parse_job(doc, why), clock_.wall(), cancelled}));
   }
-  /// Whoever holds the last task ends the job, as it knows it: with the stamp that it has of the
+  /// Whoever holds the last task ends the job, as it knows it: with the revision that it has of the
   /// job's record. One that loses against a cancellation reads again, and ends it as cancelled.
-  void end_job(const std::string& uid, Stamp known) {
+  void end_job(const std::string& job_id, ModRevision known) {
     FinalRecord record;
-    record.uid = Uid(uid);
-    record.parts = 2;
+    record.job_id = JobId(job_id);
+    record.task_count = 2;
     record.ended = clock_.wall();
-    const auto commit = [&](Stamp stamp, FinalState state) {
+    const auto commit = [&](ModRevision mod_revision, FinalState state) {
       record.state = state;
       Txn txn;
-      txn.guard(keys::job(record.uid), stamp);
-      txn.put(keys::final_job(record.uid), encode(record)).remove(keys::job(record.uid));
-      store_.commit(Rank::binding, txn, [](const CommitResult&) {});
+      txn.guard(keys::job(record.job_id), mod_revision);
+      txn.put(keys::final_job(record.job_id), encode(record)).remove(keys::job(record.job_id));
+      store_.commit(RequestPriority::binding, txn, [](const CommitResult&) {});
     };
     commit(known, FinalState::done);
-    if (const auto still = store_.get(keys::job(record.uid))) {
-      commit(still->stamp, FinalState::cancelled);
+    if (const auto still = store_.get(keys::job(record.job_id))) {
+      commit(still->mod_revision, FinalState::cancelled);
     }
   }
-  std::string final_state(const std::string& uid) const {
+  std::string final_state(const std::string& job_id) const {
     json::Document doc;
     FinalRecord record;
-    const auto entry = store_.get(keys::final_job(Uid(uid)));
+    const auto entry = store_.get(keys::final_job(JobId(job_id)));
     if (!entry || !json::parse(doc, entry->value) || !decode(doc, record)) return "";
     return record.state == FinalState::done ? "done" : "cancelled";
   }
@@ -147,25 +148,25 @@
       next();
       return;
     }
-    clock_.advance(Span{50});
+    clock_.advance(Duration{50});
     store_.tell_watch();
   }
   void finish(FinalState state) {
     FinalRecord record;
-    record.uid = Uid("req-000412");
+    record.job_id = JobId("req-000412");
     record.state = state;
-    record.parts = 2;
+    record.task_count = 2;
     record.ended = clock_.wall();
     Txn txn;
-    txn.put(keys::final_job(record.uid), encode(record)).remove(keys::job(record.uid));
-    store_.commit(Rank::binding, txn, [](const CommitResult&) {});
+    txn.put(keys::final_job(record.job_id), encode(record)).remove(keys::job(record.job_id));
+    store_.commit(RequestPriority::binding, txn, [](const CommitResult&) {});
   }
 
   FakeTime clock_;
   Loop loop_{&clock_};
   Settings settings_;
   ScriptedStore store_;
-  Mirror mirror_;
+  WatchCache cache_;
   Cancellations cancellations_;
   std::unique_ptr<Admission> admission_;
 };
@@ -177,7 +178,7 @@
   EXPECT_EQ(status, 0);
   store_.deliver_all();
   EXPECT_EQ(status, 201);
-  EXPECT_TRUE(store_.get(keys::job(Uid("req-000412"))));
+  EXPECT_TRUE(store_.get(keys::job(JobId("req-000412"))));
 }
 
 TEST_F(AdmissionTest, ARefusedCommitIs503WithATimeToComeBack) {
@@ -185,7 +186,7 @@
   const auto answer = submit(kJob);
   EXPECT_EQ(answer.status, 503);
   EXPECT_GT(answer.retry_after_s, 0);
-  EXPECT_FALSE(store_.get(keys::job(Uid("req-000412"))));
+  EXPECT_FALSE(store_.get(keys::job(JobId("req-000412"))));
 }
 
 TEST_F(AdmissionTest, AnUnknownCommitIsSettledByRepeatingIt) {
@@ -201,8 +202,8 @@
   store_.scripts = {Script::arrive_late};
   EXPECT_EQ(submit(kJob).status, 201);  // the repetition was accepted
   finish(FinalState::done);
-  EXPECT_EQ(store_.arrive().fate, Fate::conflict);
-  EXPECT_FALSE(store_.get(keys::job(Uid("req-000412"))));
+  EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
+  EXPECT_FALSE(store_.get(keys::job(JobId("req-000412"))));
 }
 
 TEST_F(AdmissionTest, AKnownJobGets200BeforeItsBodyIsJudged) {
@@ -227,7 +228,7 @@
         changed("[\"g8\"]", "[8]"), std::string(70'000, ' ')}) {
     EXPECT_EQ(submit(body).status, 400) << body.substr(0, 120);
   }
-  EXPECT_TRUE(mirror_.records().jobs.empty());
+  EXPECT_TRUE(cache_.records().jobs.empty());
 }
 
 TEST_F(AdmissionTest, AFieldThatIsMissingOrOfTheWrongTypeIsNamed) {
@@ -259,7 +260,7 @@
       EXPECT_NE(answer.body.find("\"" + name + ":"), std::string::npos) << answer.body;
     }
   }
-  EXPECT_TRUE(mirror_.records().jobs.empty());
+  EXPECT_TRUE(cache_.records().jobs.empty());
   // What may be null may be absent as well.
   for (const char* name : {"builds", "district", "due_s"}) {
     EXPECT_EQ(submit(with(name, &list)).status, 400) << name;
@@ -304,7 +305,7 @@
   std::string why;
   ASSERT_TRUE(json::parse(doc, kJob));
   // Accepted by another controller a moment ago: this one's copy does not have it yet.
-  store_.put(keys::job(Uid("req-000412")),
+  store_.put(keys::job(JobId("req-000412")),
              encode(JobRecord{*parse_job(doc, why), clock_.wall(), std::nullopt}));
   store_.hold = true;
   std::string first;
@@ -321,7 +322,7 @@
 
 TEST_F(AdmissionTest, AQuestionWaitsForAWatchThatWasOpenedAfterIt) {
   EXPECT_EQ(submit(kJob).status, 201);
-  clock_.advance(Span{10});
+  clock_.advance(Duration{10});
   UserAnswer out;
   out.status = 0;
   admission_->query("req-000412", [&](const UserAnswer& a) { out = a; });
@@ -335,7 +336,7 @@
   late.status = 0;
   EXPECT_EQ(submit(changed("req-000412", "req-000413")).status, 201);
   admission_->query("req-000413", [&](const UserAnswer& a) { late = a; });
-  clock_.advance(Span{2000});
+  clock_.advance(Duration{2000});
   EXPECT_EQ(late.status, 503);
   EXPECT_GT(late.retry_after_s, 0);
 }
@@ -361,10 +362,10 @@
 TEST_F(AdmissionTest, WhyTellsTheGuaranteeAndItsHistory) {
   submit(kJob);
   GrantRecord grant;
-  grant.uid = Uid("req-000412");
-  grant.guarantees = {{0, clock_.wall() + Span{5000}, clock_.wall() + Span{9000}, {}}};
+  grant.job_id = JobId("req-000412");
+  grant.guarantees = {{0, clock_.wall() + Duration{5000}, clock_.wall() + Duration{9000}, {}}};
   grant.note(clock_.wall(), "displaced for req-7 (urgent)");
-  store_.put(keys::grant(grant.uid), encode(grant));
+  store_.put(keys::grant(grant.job_id), encode(grant));
   store_.tell_watch();
   UserAnswer out;
   out.status = 0;
@@ -384,19 +385,19 @@
   json::Document doc;
   std::string why;
   for (int i = 0; i < 2 * kJobs; ++i) {
-    const std::string uid = "req-" + std::to_string(i);
-    ASSERT_TRUE(json::parse(doc, changed("req-000412", uid)));
+    const std::string job_id = "req-" + std::to_string(i);
+    ASSERT_TRUE(json::parse(doc, changed("req-000412", job_id)));
     if (i < kJobs) {
-      store_.put(keys::job(Uid(uid)),
+      store_.put(keys::job(JobId(job_id)),
                  encode(JobRecord{*parse_job(doc, why), clock_.wall(), std::nullopt}));
     } else {
       FinalRecord record;
-      record.uid = Uid(uid);
-      store_.put(keys::final_job(record.uid), encode(record));
+      record.job_id = JobId(job_id);
+      store_.put(keys::final_job(record.job_id), encode(record));
     }
   }
   for (int i = 0; i < 10; ++i) {
-    clock_.advance(Span{50});
+    clock_.advance(Duration{50});
     store_.tell_watch();
   }
   store_.down = true;
@@ -409,7 +410,7 @@
   };
   for (int i = 0; i < 2 * kJobs; ++i) ask(i);
   store_.deliver_all();
-  clock_.advance(Span{5000});
+  clock_.advance(Duration{5000});
   for (const int s : status) EXPECT_EQ(s, 503);
   store_.down = store_.hold = false;
   for (int round = 0; round < 3; ++round) {
@@ -417,7 +418,7 @@
       if (status[static_cast<std::size_t>(i)] != 200) ask(i);
     }
     for (int i = 0; i < 10; ++i) {
-      clock_.advance(Span{100});
+      clock_.advance(Duration{100});
       store_.tell_watch();
     }
   }
@@ -428,18 +429,18 @@
 // the job's last task ends, and whether this controller knew the job or another had accepted it.
 TEST_F(AdmissionTest, EveryAnswerFollowsTheDecidingRecordWhereverTheEndFalls) {
   // Another controller, which must read all that it tells.
-  Mirror blind(loop_, clock_, store_, 2);
-  Cancellations others(clock_, blind);
-  Admission other(loop_, clock_, settings_, store_, blind, others);
+  WatchCache stale(loop_, clock_, store_, 2);
+  Cancellations others(clock_, stale);
+  Admission other(loop_, clock_, settings_, store_, stale, others);
   int number = 0;
   for (const Ask what : {Ask::question, Ask::submission, Ask::cancellation, Ask::why}) {
     for (const bool known : {true, false}) {
       for (int end_after = 0; end_after < 8; ++end_after) {
-        const std::string uid = "req-" + std::to_string(++number);
-        SCOPED_TRACE(uid + ": request " + std::to_string(static_cast<int>(what)) +
+        const std::string job_id = "req-" + std::to_string(++number);
+        SCOPED_TRACE(job_id + ": request " + std::to_string(static_cast<int>(what)) +
                      (known ? ", known" : ", accepted elsewhere") + ", ends after step " +
                      std::to_string(end_after));
-        Stamp stamp = accept_elsewhere(uid);
+        ModRevision mod_revision = accept_elsewhere(job_id);
         if (known) {
           for (int i = 0; i < 3; ++i) step();
         }
@@ -447,19 +448,19 @@
         UserAnswer out;
         out.status = 0;
         int answers = 0;
-        ask(what, uid, [&](const UserAnswer& a) {
+        ask(what, job_id, [&](const UserAnswer& a) {
           out = a;
           ++answers;
         });
         for (int i = 0; i < 20; ++i) {
-          if (i == end_after) end_job(uid, stamp);
+          if (i == end_after) end_job(job_id, mod_revision);
           step();
         }
         store_.hold = false;
         store_.deliver_all();
         EXPECT_EQ(answers, 1);
         EXPECT_EQ(out.status, 200) << out.body;
-        const std::string final = final_state(uid);
+        const std::string final = final_state(job_id);
         if (what == Ask::cancellation) {
           EXPECT_EQ(status_in(out), final) << "a cancellation has one of two ends";
         } else {
@@ -468,7 +469,7 @@
         }
         for (Admission* of : {admission_.get(), &other}) {
           for (const Ask again : {Ask::question, Ask::submission, Ask::cancellation, Ask::why}) {
-            EXPECT_EQ(status_in(ask(again, uid, of)), final);
+            EXPECT_EQ(status_in(ask(again, job_id, of)), final);
           }
         }
       }
@@ -477,13 +478,13 @@
 }
 
 TEST_F(AdmissionTest, ACancellationThatLosesAgainstTheEndReadsAgainAndTellsDone) {
-  const Stamp stamp = accept_elsewhere("req-000412");
+  const ModRevision mod_revision = accept_elsewhere("req-000412");
   for (int i = 0; i < 3; ++i) step();
   // The end falls between the word of the watch that the cancellation follows and its commit.
   bool ended = false;
-  mirror_.listen([&](Topic topic, const std::string&) {
-    if (topic == Topic::grant && !ended) end_job("req-000412", stamp);
-    ended = ended || topic == Topic::grant;
+  cache_.listen([&](RecordKind topic, const std::string&) {
+    if (topic == RecordKind::grant && !ended) end_job("req-000412", mod_revision);
+    ended = ended || topic == RecordKind::grant;
   });
   const std::size_t commits = store_.commits.size();
   UserAnswer out;
@@ -491,8 +492,8 @@
   admission_->abort("req-000412", [&out](const UserAnswer& a) { out = a; });
   step();  // the watch that was open when it came, which it can't go by
   GrantRecord grant;
-  grant.uid = Uid("req-000412");
-  store_.put(keys::grant(grant.uid), encode(grant));
+  grant.job_id = JobId("req-000412");
+  store_.put(keys::grant(grant.job_id), encode(grant));
   settle(out);
   EXPECT_TRUE(ended);
   EXPECT_EQ(store_.commits.size(), commits + 2) << "the end, and the cancellation that lost";
@@ -504,12 +505,12 @@
 // A question about a job whose record has moved between its two reads, in the order in which they
 // are sent: first the job, then its end. The other way round would make it unknown.
 TEST_F(AdmissionTest, AJobThatEndsBetweenTheTwoReadsOfAQuestionIsNeverUnknown) {
-  const Stamp stamp = accept_elsewhere("req-000412");
+  const ModRevision mod_revision = accept_elsewhere("req-000412");
   store_.hold = true;
   UserAnswer out;
   out.status = 0;
   admission_->query("req-000412", [&out](const UserAnswer& a) { out = a; });
-  end_job("req-000412", stamp);
+  end_job("req-000412", mod_revision);
   store_.hold = false;
   store_.deliver_all();
   EXPECT_EQ(out.status, 200);
@@ -530,13 +531,13 @@
   store_.hold = true;
   admission_->submit(kJob, [](const UserAnswer&) {});
   store_.hold = false;
-  end_job("req-000412", store_.get(keys::job(Uid("req-000412")))->stamp);
+  end_job("req-000412", store_.get(keys::job(JobId("req-000412")))->mod_revision);
   for (int i = 0; i < 3; ++i) {
-    clock_.advance(Span{50});
+    clock_.advance(Duration{50});
     store_.tell_watch();
   }
   store_.deliver_all();
-  EXPECT_FALSE(mirror_.records().jobs.contains(Uid("req-000412")));
+  EXPECT_FALSE(cache_.records().jobs.contains(JobId("req-000412")));
   EXPECT_EQ(status_in(query("req-000412")), "done");
 }
 
@@ -545,16 +546,16 @@
 TEST_F(AdmissionTest, ASlowStateServiceCostsA503InTime) {
   int number = 0;
   for (const Ask what : {Ask::question, Ask::submission, Ask::cancellation, Ask::why}) {
-    const Span patience{what == Ask::question || what == Ask::why ? 2000 : 5000};
+    const Duration patience{what == Ask::question || what == Ask::why ? 2000 : 5000};
     for (const bool ended : {false, true}) {
-      const std::string uid = "req-" + std::to_string(++number);
-      SCOPED_TRACE(uid + ": request " + std::to_string(static_cast<int>(what)));
-      const Stamp stamp = accept_elsewhere(uid);
-      if (ended) end_job(uid, stamp);
+      const std::string job_id = "req-" + std::to_string(++number);
+      SCOPED_TRACE(job_id + ": request " + std::to_string(static_cast<int>(what)));
+      const ModRevision mod_revision = accept_elsewhere(job_id);
+      if (ended) end_job(job_id, mod_revision);
       store_.hold = true;
       std::vector<UserAnswer> answers;
       const auto take = [&](const UserAnswer& a) { answers.push_back(a); };
-      ask(what, uid, take);
+      ask(what, job_id, take);
       clock_.advance(patience * 0.5);
       EXPECT_TRUE(answers.empty()) << "there is time left";
       clock_.advance(patience * 0.45);
@@ -564,7 +565,7 @@
       store_.hold = false;
       store_.deliver_all();
       EXPECT_EQ(answers.size(), 1U);
-      EXPECT_EQ(ask(what, uid).status, 200);
+      EXPECT_EQ(ask(what, job_id).status, 200);
     }
   }
 }
@@ -576,7 +577,7 @@
   store_.hold = true;
   int status = 0;
   admission_->query("req-000412", [&status](const UserAnswer& a) { status = a.status; });
-  clock_.advance(Span{2000});
+  clock_.advance(Duration{2000});
   EXPECT_EQ(status, 503);
   store_.deliver_all();
   admission_->query("req-000412", [&status](const UserAnswer& a) { status = a.status; });
@@ -602,22 +603,22 @@
   int number = 0;
   for (const Case& c : cases) {
     for (const bool known : {true, false}) {
-      const std::string uid = "req-" + std::to_string(++number);
-      SCOPED_TRACE(uid);
-      accept_elsewhere(uid);
+      const std::string job_id = "req-" + std::to_string(++number);
+      SCOPED_TRACE(job_id);
+      accept_elsewhere(job_id);
       if (known) {
         for (int i = 0; i < 3; ++i) step();
       }
       const auto cancelled = [&] {
         json::Document doc;
         JobRecord record;
-        const auto entry = store_.get(keys::job(Uid(uid)));
+        const auto entry = store_.get(keys::job(JobId(job_id)));
         return entry && json::parse(doc, entry->value) && decode(doc, record) && record.cancelled;
       };
       store_.scripts = c.scripts;
       UserAnswer out;
       out.status = 0;
-      admission_->abort(uid, [&](const UserAnswer& a) {
+      admission_->abort(job_id, [&](const UserAnswer& a) {
         out = a;
         EXPECT_EQ(a.status == 200, cancelled()) << "told before it was so, or not told";
       });
@@ -627,41 +628,41 @@
       EXPECT_TRUE(store_.scripts.empty());
       // What was told stays, when late commits arrive as well.
       while (!store_.late.empty()) {
-        const Fate expected = cancelled() ? Fate::conflict : Fate::done;
-        EXPECT_EQ(store_.arrive().fate, expected);
+        const Outcome expected = cancelled() ? Outcome::conflict : Outcome::done;
+        EXPECT_EQ(store_.arrive().outcome, expected);
       }
-      EXPECT_EQ(status_in(ask(Ask::question, uid)), cancelled() ? "cancelled" : "queued");
+      EXPECT_EQ(status_in(ask(Ask::question, job_id)), cancelled() ? "cancelled" : "queued");
     }
   }
 }
 
 // A late commit of this controller comes after newer ones. A job's record is deleted when it ends,
-// so that a stamp of 0 holds for it again: the record of its end, which is never deleted, stands in
-// the way of a submission; a cancellation names the stamp of what it changes.
+// so that a revision of 0 holds for it again: the record of its end, which is never deleted, stands
+// in the way of a submission; a cancellation names the revision of what it changes.
 TEST_F(AdmissionTest, WhatIsCarriedOutLateChangesNothingThatWasToldSince) {
   for (const bool cancelled : {false, true}) {
-    const std::string uid = cancelled ? "req-1" : "req-2";
+    const std::string job_id = cancelled ? "req-1" : "req-2";
     store_.scripts = {Script::arrive_late};
-    EXPECT_EQ(ask(Ask::submission, uid).status, 201) << "by the second commit";
-    const Stamp stamp = store_.get(keys::job(Uid(uid)))->stamp;
+    EXPECT_EQ(ask(Ask::submission, job_id).status, 201) << "by the second commit";
+    const ModRevision mod_revision = store_.get(keys::job(JobId(job_id)))->mod_revision;
     store_.scripts = {Script::arrive_late, Script::arrive_late, Script::arrive_late};
-    EXPECT_EQ(ask(Ask::cancellation, uid).status, 503);
+    EXPECT_EQ(ask(Ask::cancellation, job_id).status, 503);
     if (cancelled) {
-      EXPECT_EQ(status_in(ask(Ask::cancellation, uid)), "cancelled");
+      EXPECT_EQ(status_in(ask(Ask::cancellation, job_id)), "cancelled");
     }
     // The submission comes late once while the job is there, and the rest when it has ended.
     ASSERT_EQ(store_.late.size(), 4U);
     const Txn submission = store_.late.front();
-    EXPECT_EQ(store_.arrive().fate, Fate::conflict);
-    end_job(uid, stamp);
+    EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
+    end_job(job_id, mod_revision);
     const std::string final = cancelled ? "cancelled" : "done";
-    EXPECT_EQ(final_state(uid), final);
+    EXPECT_EQ(final_state(job_id), final);
     store_.late.push_back(submission);
-    while (!store_.late.empty()) EXPECT_EQ(store_.arrive().fate, Fate::conflict);
-    EXPECT_FALSE(store_.get(keys::job(Uid(uid))));
-    EXPECT_EQ(final_state(uid), final);
+    while (!store_.late.empty()) EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
+    EXPECT_FALSE(store_.get(keys::job(JobId(job_id))));
+    EXPECT_EQ(final_state(job_id), final);
     for (const Ask what : {Ask::question, Ask::submission, Ask::cancellation, Ask::why}) {
-      EXPECT_EQ(status_in(ask(what, uid)), final);
+      EXPECT_EQ(status_in(ask(what, job_id)), final);
     }
   }
 }
@@ -670,14 +671,14 @@
 // not have it: accepted elsewhere a moment ago, or over for long.
 TEST_F(AdmissionTest, ASubmissionThatFindsItsJobKnownTellsItsState) {
   for (const Script script : {Script::normal, Script::lose_request}) {
-    const std::string uid = "req-" + std::to_string(static_cast<int>(script));
-    const Stamp stamp = accept_elsewhere(uid);
+    const std::string job_id = "req-" + std::to_string(static_cast<int>(script));
+    const ModRevision mod_revision = accept_elsewhere(job_id);
     store_.scripts = {script};
-    EXPECT_EQ(status_in(ask(Ask::submission, uid)), "queued");
-    end_job(uid, stamp);
+    EXPECT_EQ(status_in(ask(Ask::submission, job_id)), "queued");
+    end_job(job_id, mod_revision);
     for (int i = 0; i < 3; ++i) step();
     store_.scripts = {script};
-    const auto answer = ask(Ask::submission, uid);
+    const auto answer = ask(Ask::submission, job_id);
     EXPECT_EQ(answer.status, 200);
     EXPECT_EQ(status_in(answer), "done");
     EXPECT_TRUE(store_.scripts.empty());
@@ -686,27 +687,27 @@
 
 // Peers vouch for one another by what they list: whatever tells a user "cancelled" lists it first.
 TEST_F(AdmissionTest, WhateverTellsACancellationHasListedIt) {
-  const auto listed = [&](const std::string& uid) {
+  const auto listed = [&](const std::string& job_id) {
     const auto list = cancellations_.list();
     return std::any_of(list.items.begin(), list.items.end(),
-                       [&](const auto& item) { return item.uid == uid; });
+                       [&](const auto& item) { return item.job_id == job_id; });
   };
   int number = 0;
   for (const Ask what : {Ask::question, Ask::submission, Ask::cancellation, Ask::why}) {
     for (const bool known : {true, false}) {
-      const std::string uid = "req-" + std::to_string(++number);
-      SCOPED_TRACE(uid + ": request " + std::to_string(static_cast<int>(what)));
-      accept_elsewhere(uid, clock_.wall());  // cancelled there, too
+      const std::string job_id = "req-" + std::to_string(++number);
+      SCOPED_TRACE(job_id + ": request " + std::to_string(static_cast<int>(what)));
+      accept_elsewhere(job_id, clock_.wall());  // cancelled there, too
       if (known) {
         for (int i = 0; i < 3; ++i) step();
       }
-      clock_.advance(Span{60'000});
-      EXPECT_EQ(listed(uid), known);
+      clock_.advance(Duration{60'000});
+      EXPECT_EQ(listed(job_id), known);
       UserAnswer out;
       out.status = 0;
-      ask(what, uid, [&](const UserAnswer& a) {
+      ask(what, job_id, [&](const UserAnswer& a) {
         out = a;
-        EXPECT_TRUE(listed(uid));
+        EXPECT_TRUE(listed(job_id));
       });
       settle(out);
       EXPECT_EQ(status_in(out), "cancelled");
@@ -721,7 +722,7 @@
   store_.scripts = {Script::arrive_late, Script::arrive_late, Script::arrive_late};
   EXPECT_EQ(ask(Ask::cancellation, "req-000412").status, 503);
   EXPECT_TRUE(cancellations_.list().items.empty());
-  EXPECT_EQ(store_.arrive().fate, Fate::done);
+  EXPECT_EQ(store_.arrive().outcome, Outcome::done);
   EXPECT_EQ(status_in(ask(Ask::question, "req-000412")), "cancelled");
   EXPECT_EQ(cancellations_.list().items.size(), 1U);
 }
@@ -754,7 +755,7 @@
       {"req-7", "cancelled"},  // the same, not yet in the copy
   };
   accept_elsewhere("req-1");
-  const Stamp ending = accept_elsewhere("req-2");
+  const ModRevision ending = accept_elsewhere("req-2");
   end_job("req-4", accept_elsewhere("req-4"));
   end_job("req-5", accept_elsewhere("req-5"));
   accept_elsewhere("req-6", clock_.wall());
@@ -768,21 +769,21 @@
   const std::vector<Ask> asks{Ask::question, Ask::why, Ask::submission, Ask::cancellation};
   for (int poll = 0; poll < 20; ++poll) {
     std::vector<UserAnswer> answers;
-    for (const auto& [uid, state] : expected) {
+    for (const auto& [job_id, state] : expected) {
       for (const Ask what : asks) {
-        ask(what, uid, [&answers](const UserAnswer& a) { answers.push_back(a); });
+        ask(what, job_id, [&answers](const UserAnswer& a) { answers.push_back(a); });
       }
     }
-    clock_.advance(Span{5000});
+    clock_.advance(Duration{5000});
     ASSERT_EQ(answers.size(), expected.size() * asks.size());
     for (const auto& a : answers) EXPECT_TRUE(a.status == 503 || status_in(a) == "done") << a.body;
   }
   store_.down = false;
   store_.scripts.clear();
-  for (const auto& [uid, state] : expected) {
-    SCOPED_TRACE(uid);
+  for (const auto& [job_id, state] : expected) {
+    SCOPED_TRACE(job_id);
     for (const Ask what : asks) {
-      const auto answer = ask(what, uid);
+      const auto answer = ask(what, job_id);
       EXPECT_EQ(answer.status, 200);
       const bool ends = what == Ask::cancellation && state == "queued";
       EXPECT_EQ(status_in(answer), ends ? "cancelled" : state);
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_outage_test.cpp
@@ -4,15 +4,15 @@
 
 #include "cancellations/cancellations.hpp"
 #include "holder_fixture.hpp"
-#include "peers/pulse.hpp"
+#include "peers/heartbeat.hpp"
 
 namespace marblevale {
 namespace {
 
-using testing::HolderTest;
+using testing::BlockHolderTest;
 using testing::Script;
 
-CancellationWord word(Steady asked, Wall asked_wall, Wall began, Wall fresh) {
+CancellationWord word(SteadyTime asked, WallTime asked_wall, WallTime began, WallTime fresh) {
   CancellationWord out{asked, asked_wall, {}};
   out.list.began_ms = began.ms;
   out.list.fresh_ms = fresh.ms;
@@ -24,15 +24,17 @@
  protected:
   // Two peers that began long ago; our records are fresh up to 10 s, theirs up to 12 s.
   std::vector<std::optional<CancellationWord>> words_{
-      word(Steady{14'000}, Wall{14'000}, Wall{1'000}, Wall{12'000}),
-      word(Steady{14'500}, Wall{14'500}, Wall{2'000}, Wall{12'000})};
-  std::optional<Steady> until() {
-    return vouching_.until(Steady{15'000}, Wall{15'000}, Wall{10'000}, words_);
+      word(SteadyTime{14'000}, WallTime{14'000}, WallTime{1'000}, WallTime{12'000}),
+      word(SteadyTime{14'500}, WallTime{14'500}, WallTime{2'000}, WallTime{12'000})};
+  std::optional<SteadyTime> until() {
+    return vouching_.until(SteadyTime{15'000}, WallTime{15'000}, WallTime{10'000}, words_);
   }
-  Vouching vouching_{Span{50}};
+  Vouching vouching_{Duration{50}};
 };
 
-TEST_F(VouchingTest, CountsFromTheQuestionThatWasSentFirst) { EXPECT_EQ(until(), Steady{14'000}); }
+TEST_F(VouchingTest, CountsFromTheQuestionThatWasSentFirst) {
+  EXPECT_EQ(until(), SteadyTime{14'000});
+}
 
 TEST_F(VouchingTest, OnePeerThatIsSilentOrCutItsListIsEnoughToDenyIt) {
   words_[1]->list.complete = false;
@@ -54,8 +56,8 @@
 TEST_F(VouchingTest, GoesOnFromRoundToRoundAsLongAsAllAnswer) {
   ASSERT_TRUE(until());
   // The second peer restarts after what all had vouched for: not known any more from then on.
-  words_[0]->asked = Steady{15'000};
-  words_[1]->asked = Steady{15'000};
+  words_[0]->asked = SteadyTime{15'000};
+  words_[1]->asked = SteadyTime{15'000};
   words_[1]->list.began_ms = 13'800;
   EXPECT_TRUE(until()) << "nothing was confirmed beyond our knowledge before it began";
   words_[1]->list.began_ms = 14'600;
@@ -64,21 +66,21 @@
 
 TEST_F(VouchingTest, AControllerWithoutPeersKnowsAllItHasConfirmed) {
   words_.clear();
-  EXPECT_EQ(until(), Steady{15'000});
+  EXPECT_EQ(until(), SteadyTime{15'000});
 }
 
 /// A worker by the protocol: its lease, its session, its tasks; what it does with a `kill` is up to
 /// the test. It is asked to report once a second of the fake time.
 class Worker {
  public:
-  explicit Worker(std::string host, std::string task) : host_(std::move(host)) {
+  explicit Worker(std::string machine_id, std::string task) : machine_id_(std::move(machine_id)) {
     tasks_.push_back(std::move(task));
   }
 
-  void report(Holder& holder, Steady now, Span lease, std::uint64_t& tally) {
+  void report(BlockHolder& holder, SteadyTime now, Duration lease, std::uint64_t& sequence) {
     if (now - answered_ > lease) {
       tasks_.clear();
-      ++tenure_;
+      ++session_;
       answered_ = now;
     }
     if (hangs) return;
@@ -87,11 +89,11 @@
       parts +=
           (parts.empty() ? "" : ",") + (R"({"part":")" + task + R"(","try":1,"status":"running"})");
     }
-    const HelloAnswer answer =
-        holder.hello(R"({"host":")" + host_ + R"(","address":"10.1.0.1:9000","build":"g8",)" +
-                     R"("district":"a","loaners":false,"tenure":)" + std::to_string(tenure_) +
-                     R"(,"tally":)" + std::to_string(++tally) + R"(,"warrant":)" +
-                     std::to_string(seen_) + R"(,"recall_s":null,"parts":[)" + parts + "]}");
+    const ReportAnswer answer = holder.handle_report(
+        R"({"host":")" + machine_id_ + R"(","address":"10.1.0.1:9000","build":"g8",)" +
+        R"("district":"a","loaners":false,"tenure":)" + std::to_string(session_) + R"(,"tally":)" +
+        std::to_string(++sequence) + R"(,"warrant":)" + std::to_string(seen_) +
+        R"(,"recall_s":null,"parts":[)" + parts + "]}");
     if (answer.status != 200) return;
     answered_ = now;
     json::Document doc;
@@ -106,66 +108,67 @@
     }
   }
   [[nodiscard]] bool has_tasks() const { return !tasks_.empty(); }
-  [[nodiscard]] std::uint64_t tenure() const { return tenure_; }
+  [[nodiscard]] std::uint64_t session() const { return session_; }
 
   bool obeys = true;
   bool hangs = false;
   int starts = 0;
 
  private:
-  std::string host_;
+  std::string machine_id_;
   std::vector<std::string> tasks_;
-  std::uint64_t tenure_ = 1;
+  std::uint64_t session_ = 1;
   std::uint64_t seen_ = 0;
-  Steady answered_{10'000'000};
+  SteadyTime answered_{10'000'000};
 };
 
 /// The holder of a block is refused by the state service; a peer confirms the cancellation of
 /// req-1; a second later nobody has the state service, for longer than `cancel_s`.
-class GapTest : public HolderTest {
+class CancellationOutageTest : public BlockHolderTest {
  protected:
-  GapTest() {
-    cancellations_.on_heard([this](const Uid& uid) { holder_.cancelled(uid); });
+  CancellationOutageTest() {
+    cancellations_.on_heard([this](const JobId& job_id) { holder_.cancelled(job_id); });
   }
 
   /// req-1 runs on vm-1, req-2 on vm-2, both seen; then the state service is lost here.
   void both_run() {
-    for (const char* host : {"vm-1", "vm-2"}) place("req-" + std::string(host + 3), host);
-    run(Span{100});
-    pass(Span{6'000});
+    for (const char* machine_id : {"vm-1", "vm-2"})
+      place("req-" + std::string(machine_id + 3), machine_id);
+    run(Duration{100});
+    pass(Duration{6'000});
     ASSERT_TRUE(first_.has_tasks());
     ASSERT_TRUE(second_.has_tasks());
     informed_ = false;
-    pass(Span{1'000});
+    pass(Duration{1'000});
     confirmed_ = time_.steady();
     confirmed_wall_ = time_.wall();
   }
 
-  void place(const std::string& uid, const std::string& host) {
+  void place(const std::string& job_id, const std::string& machine_id) {
     JobRecord job;
-    job.spec = testing::gang(uid, 1, 1, 1000);
+    job.spec = testing::gang(job_id, 1, 1, 1000);
     job.accepted = time_.wall();
-    store_.put(keys::job(job.spec.uid), encode(job));
+    store_.put(keys::job(job.spec.job_id), encode(job));
     SliceRecord slice;
-    slice.uid = job.spec.uid;
+    slice.job_id = job.spec.job_id;
     slice.tasks.resize(1);
     slice.tasks[0].state = TaskState::bound;
     slice.tasks[0].attempt = Attempt(1);
     slice.tasks[0].zone = ZoneId("a");
-    slice.tasks[0].host = HostId(host);
-    slice.tasks[0].tenure = Tenure(1);
-    store_.put(keys::slice(slice.uid, 0), encode(slice));
+    slice.tasks[0].machine_id = MachineId(machine_id);
+    slice.tasks[0].session = SessionId(1);
+    store_.put(keys::slice(slice.job_id, 0), encode(slice));
   }
 
-  /// Workers report; the state service refuses this controller; the peer answers pulses, if it
+  /// Workers report; the state service refuses this controller; the peer answers heartbeats, if it
   /// does.
-  void pass(Span span) {
-    for (std::int64_t at = 0; at < span.ms; at += 1'000) {
+  void pass(Duration duration) {
+    for (std::int64_t at = 0; at < duration.ms; at += 1'000) {
       if (!informed_) store_.scripts.assign(50, Script::refuse);
       if (peer_) ask_peer();
-      run(Span{1'000});
-      first_.report(holder_, time_.steady(), settings_.workers.lease, tally_);
-      second_.report(holder_, time_.steady(), settings_.workers.lease, tally_);
+      run(Duration{1'000});
+      first_.report(holder_, time_.steady(), settings_.workers.lease, sequence_);
+      second_.report(holder_, time_.steady(), settings_.workers.lease, sequence_);
     }
     if (informed_) store_.scripts.clear();
   }
@@ -174,7 +177,7 @@
     cancellations_.hear(*peer_);
     CancellationWord answer{time_.steady(), time_.wall(), *peer_};
     const auto until =
-        vouching_.until(time_.steady(), time_.wall(), mirror_.fresh_until_wall(), {answer});
+        vouching_.until(time_.steady(), time_.wall(), cache_.fresh_until_wall(), {answer});
     if (until) holder_.extend_freshness(*until);
   }
 
@@ -191,37 +194,37 @@
   /// Whether req-1's task is gone when `cancel_s` has passed since the confirmation.
   [[nodiscard]] bool gone_in_time() {
     while (first_.has_tasks() && time_.steady() - confirmed_ <= settings_.workers.cancel) {
-      pass(Span{1'000});
+      pass(Duration{1'000});
     }
     return !first_.has_tasks() && time_.steady() - confirmed_ <= settings_.workers.cancel;
   }
 
   Worker first_{"vm-1", "req-1/0"};
   Worker second_{"vm-2", "req-2/0"};
-  Vouching vouching_{Span{50}};
+  Vouching vouching_{Duration{50}};
   std::optional<CancellationList> peer_;
-  Steady confirmed_;
-  Wall confirmed_wall_;
+  SteadyTime confirmed_;
+  WallTime confirmed_wall_;
 };
 
-TEST_F(GapTest, AToldCancellationEndsItsTaskAtOnceAndCostsNobodyElse) {
+TEST_F(CancellationOutageTest, AToldCancellationEndsItsTaskAtOnceAndCostsNobodyElse) {
   both_run();
   peer_ = peer_list();
-  pass(Span{2'000});
+  pass(Duration{2'000});
   EXPECT_FALSE(first_.has_tasks());
   pass(settings_.workers.cancel * 2.0);
   EXPECT_TRUE(second_.has_tasks()) << "all peers vouch that nothing else was cancelled";
-  EXPECT_EQ(second_.tenure(), 1U);
+  EXPECT_EQ(second_.session(), 1U);
 }
 
-TEST_F(GapTest, WithoutAWordOfThePeersAllLeasesLapseInTime) {
+TEST_F(CancellationOutageTest, WithoutAWordOfThePeersAllLeasesLapseInTime) {
   both_run();
   EXPECT_TRUE(gone_in_time());
-  pass(Span{3'000});
+  pass(Duration{3'000});
   EXPECT_FALSE(second_.has_tasks());
 }
 
-TEST_F(GapTest, APeerThatRestartedAfterItConfirmedDoesNotVouch) {
+TEST_F(CancellationOutageTest, APeerThatRestartedAfterItConfirmedDoesNotVouch) {
   both_run();
   peer_ = peer_list();
   peer_->began_ms = time_.wall().ms + 500;
@@ -230,18 +233,18 @@
   EXPECT_TRUE(gone_in_time());
 }
 
-TEST_F(GapTest, APeerThatFallsSilentAfterItHasToldLeavesWhatItTold) {
+TEST_F(CancellationOutageTest, APeerThatFallsSilentAfterItHasToldLeavesWhatItTold) {
   both_run();
   peer_ = peer_list();
-  pass(Span{1'000});
+  pass(Duration{1'000});
   peer_.reset();
-  pass(Span{2'000});
+  pass(Duration{2'000});
   EXPECT_FALSE(first_.has_tasks());
   EXPECT_TRUE(second_.has_tasks());
 }
 
 // A machine that renews its lease and does not do as it is told, for whatever reason.
-TEST_F(GapTest, AMachineThatKeepsACancelledTaskLosesItsLeaseInTime) {
+TEST_F(CancellationOutageTest, AMachineThatKeepsACancelledTaskLosesItsLeaseInTime) {
   first_.obeys = false;
   both_run();
   peer_ = peer_list();
@@ -250,20 +253,20 @@
 }
 
 // What hangs does not even notice that its lease has lapsed.
-TEST_F(GapTest, AMachineIsOverdueOnlyWhereItsCancelledTaskIsNotKnownToHaveEnded) {
+TEST_F(CancellationOutageTest, AMachineIsOverdueOnlyWhereItsCancelledTaskIsNotKnownToHaveEnded) {
   both_run();
   first_.hangs = true;
   peer_ = peer_list();
-  pass(Span{20'000});
+  pass(Duration{20'000});
   EXPECT_TRUE(holder_.overdue().empty()) << "it may still be ended in the ordinary way";
-  pass(Span{5'000});
-  EXPECT_EQ(holder_.overdue(), std::vector<HostId>{HostId("vm-1")});
+  pass(Duration{5'000});
+  EXPECT_EQ(holder_.overdue(), std::vector<MachineId>{MachineId("vm-1")});
   first_.hangs = false;
-  hello(2, warrant());  // in a new session
+  handle_report(2, token());  // in a new session
   EXPECT_TRUE(holder_.overdue().empty()) << "though it can't be recorded";
 }
 
-TEST_F(GapTest, SoItDoesWhenTheStateServiceIsThere) {
+TEST_F(CancellationOutageTest, SoItDoesWhenTheStateServiceIsThere) {
   first_.obeys = false;
   both_run();
   informed_ = true;
@@ -273,77 +276,77 @@
   EXPECT_TRUE(second_.has_tasks());
 }
 
-TEST_F(GapTest, AMachineThatHangsAndResumesJustInsideItsLeaseIsNotKeptAlive) {
+TEST_F(CancellationOutageTest, AMachineThatHangsAndResumesJustInsideItsLeaseIsNotKeptAlive) {
   first_.obeys = false;
   both_run();
   peer_ = peer_list();
-  pass(Span{20'000});  // the last answer but few
+  pass(Duration{20'000});  // the last answer but few
   first_.hangs = true;
-  pass(settings_.workers.lease - Span{2'000});
+  pass(settings_.workers.lease - Duration{2'000});
   first_.hangs = false;
   EXPECT_TRUE(gone_in_time());
 }
 
-TEST_F(GapTest, AHolderThatHasJustTakenTheBlockRefusesByTheTimeOfTheCancellation) {
+TEST_F(CancellationOutageTest, AHolderThatHasJustTakenTheBlockRefusesByTheTimeOfTheCancellation) {
   first_.obeys = false;
   both_run();
   informed_ = true;
   store_.scripts.clear();
   cancel();
-  pass(Span{22'000});
+  pass(Duration{22'000});
   give_block("other", 9);
-  pass(Span{2'000});
+  pass(Duration{2'000});
   give_block("me", 7);  // without memory
   informed_ = false;
   EXPECT_TRUE(gone_in_time());
 }
 
-TEST_F(GapTest, NothingIsStartedWhileACancellationMayBeUnknown) {
-  hello(1, warrant(), "", "vm-1");
+TEST_F(CancellationOutageTest, NothingIsStartedWhileACancellationMayBeUnknown) {
+  handle_report(1, token(), "", "vm-1");
   place("req-1", "vm-1");
-  run(Span{20});
-  ASSERT_TRUE(mirror_.records().placed.contains(HostId("vm-1")));
+  run(Duration{20});
+  ASSERT_TRUE(cache_.records().placed.contains(MachineId("vm-1")));
   informed_ = false;  // its binding is the last that this controller hears
-  run(Span{3'000});
+  run(Duration{3'000});
   workers_.sent.clear();
-  const auto answer = hello(1, warrant(), "", "vm-1");
+  const auto answer = handle_report(1, token(), "", "vm-1");
   EXPECT_EQ(answer.status, 200);
   EXPECT_EQ(answer.body.find("start"), std::string::npos);
   holder_.extend_freshness(time_.steady());
-  EXPECT_NE(hello(1, warrant(), "", "vm-1").body.find("start"), std::string::npos)
+  EXPECT_NE(handle_report(1, token(), "", "vm-1").body.find("start"), std::string::npos)
       << "all peers vouch that it was not cancelled";
 }
 
-TEST_F(GapTest, WhatAPeerTellsIsKilledByADirectOrderAndNotStarted) {
+TEST_F(CancellationOutageTest, WhatAPeerTellsIsKilledByADirectOrderAndNotStarted) {
   both_run();
   // The introductions got no answer; nothing is on its way any more.
   const auto introductions = std::move(workers_.sent);
   workers_.sent.clear();
   for (const auto& order : introductions) order.then({});
   cancellations_.hear(peer_list());
-  run(Span{50});
+  run(Duration{50});
   EXPECT_TRUE(sent("kill"));
-  hello(1, warrant(), "", "vm-1");
+  handle_report(1, token(), "", "vm-1");
   EXPECT_FALSE(sent("start"));
 }
 
-TEST_F(GapTest, WhereCancelLeavesNoTimeBeyondTheLeaseNobodyVouches) {
-  settings_.workers.cancel = settings_.workers.lease + Span{5'000};
-  EXPECT_EQ(hello(1, warrant()).status, 200);
+TEST_F(CancellationOutageTest, WhereCancelLeavesNoTimeBeyondTheLeaseNobodyVouches) {
+  settings_.workers.cancel = settings_.workers.lease + Duration{5'000};
+  EXPECT_EQ(handle_report(1, token()).status, 200);
   informed_ = false;
-  run(Span{2'000});
-  EXPECT_EQ(hello(1, warrant()).status, 200);
+  run(Duration{2'000});
+  EXPECT_EQ(handle_report(1, token()).status, 200);
   holder_.extend_freshness(time_.steady());
-  run(Span{1'000});
-  EXPECT_EQ(hello(1, warrant()).status, 421);
+  run(Duration{1'000});
+  EXPECT_EQ(handle_report(1, token()).status, 421);
 }
 
-class CancellationsTest : public HolderTest {
+class CancellationsTest : public BlockHolderTest {
  protected:
-  [[nodiscard]] bool listed(const std::string& uid) {
+  [[nodiscard]] bool listed(const std::string& job_id) {
     const auto list = cancellations_.list();
     return std::any_of(list.items.begin(), list.items.end(),
-                       [&](const auto& item) { return item.uid == uid; });
+                       [&](const auto& item) { return item.job_id == job_id; });
   }
 };
 
@@ -351,12 +354,12 @@
   release();
   cancel();
   EXPECT_FALSE(listed("req-1"));
-  run(Span{20});
+  run(Duration{20});
   EXPECT_TRUE(listed("req-1"));
-  cancellations_.tell(Uid("req-5"), time_.wall());
+  cancellations_.tell(JobId("req-5"), time_.wall());
   EXPECT_TRUE(listed("req-5"));
-  EXPECT_EQ(cancellations_.cancelled_at(Uid("req-5")), time_.wall());
-  run(Span{1'000});
+  EXPECT_EQ(cancellations_.cancelled_at(JobId("req-5")), time_.wall());
+  run(Duration{1'000});
   EXPECT_FALSE(listed("req-5")) << "fresher records lack it: it is over";
 }
 
@@ -365,32 +368,32 @@
   cancellations_.on_told([&] { ++news; });
   release();
   cancel();
-  run(Span{20});
-  for (int i = 0; i < 3; ++i) cancellations_.tell(Uid("req-1"), time_.wall());
+  run(Duration{20});
+  for (int i = 0; i < 3; ++i) cancellations_.tell(JobId("req-1"), time_.wall());
   EXPECT_EQ(news, 1);
 }
 
 TEST_F(CancellationsTest, AListThatIsCutOrNotAllKeptDoesNotVouch) {
   EXPECT_TRUE(cancellations_.list().complete);
   CancellationList storm;
-  for (std::size_t i = 0; i < Cancellations::kMostListed + 1; ++i) {
+  for (std::size_t i = 0; i < Cancellations::kMaxListed + 1; ++i) {
     storm.items.push_back({"req-" + std::to_string(100'000 + i), 1});
   }
   cancellations_.hear(storm);
   EXPECT_FALSE(cancellations_.list().complete);
-  EXPECT_LE(cancellations_.list().items.size(), Cancellations::kMostListed);
-  Pulse pulse;
-  pulse.cancellations = cancellations_.list();
-  EXPECT_TRUE(decode_pulse(encode(pulse))) << "the longest list fits into a message";
+  EXPECT_LE(cancellations_.list().items.size(), Cancellations::kMaxListed);
+  Heartbeat heartbeat;
+  heartbeat.cancellations = cancellations_.list();
+  EXPECT_TRUE(decode_heartbeat(encode(heartbeat))) << "the longest list fits into a message";
   EXPECT_TRUE(cancellations_.kept_all());
-  for (std::size_t i = 0; i < Cancellations::kMostKept; ++i) {
+  for (std::size_t i = 0; i < Cancellations::kMaxKept; ++i) {
     storm.items.push_back({"req-" + std::to_string(200'000 + i), 1});
   }
   informed_ = false;
   cancellations_.hear(storm);
   EXPECT_FALSE(cancellations_.kept_all());
   informed_ = true;
-  run(Span{1'000});
+  run(Duration{1'000});
   EXPECT_TRUE(cancellations_.kept_all()) << "the records are fresher again";
 }
 
@@ -399,7 +402,7 @@
   list.items = {{"", 1}, {"x y", 1}, {"req-7", time_.wall().ms + 1'000'000}};
   cancellations_.hear(list);
   EXPECT_EQ(cancellations_.list().items.size(), 1U);
-  EXPECT_EQ(cancellations_.cancelled_at(Uid("req-7")), time_.wall()) << "never in the future";
+  EXPECT_EQ(cancellations_.cancelled_at(JobId("req-7")), time_.wall()) << "never in the future";
 }
 
 }  // namespace
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -1,9 +1,9 @@
-// Settings, records, reports and pulses: what is read back is what was written; bad input is
+// Settings, records, reports and heartbeats: what is read back is what was written; bad input is
 // refused with the field's name, and never crashes.
 #include "app/settings.hpp"
 #include "fleet/demand.hpp"
 #include "helpers.hpp"
-#include "peers/pulse.hpp"
+#include "peers/heartbeat.hpp"
 #include "store/records.hpp"
 
 namespace marblevale {
@@ -70,8 +70,8 @@
   const Settings s = parse_settings(kSettings);
   EXPECT_EQ(s.node, NodeId("n0"));
   EXPECT_EQ(s.peers.at(0).address.port, 8081);
-  EXPECT_EQ(s.workers.cancel, Span{49'000});
-  EXPECT_EQ(s.objectives.at(0).within, Span{18'000});
+  EXPECT_EQ(s.workers.cancel, Duration{49'000});
+  EXPECT_EQ(s.objectives.at(0).within, Duration{18'000});
   EXPECT_EQ(s.team(TeamId("t"))->limit().gpus, 24);
   EXPECT_GT(s.team(TeamId("t"))->limit().cpus, 1e9) << "no limit on CPUs is given";
 }
@@ -107,27 +107,27 @@
 
 TEST(Records, ComeBackAsTheyWereWritten) {
   SliceRecord slice;
-  slice.uid = Uid("req-1");
+  slice.job_id = JobId("req-1");
   slice.number = 3;
   slice.tasks.resize(2);
   TaskRecord& t = slice.tasks[1];
   t.state = TaskState::bound;
   t.attempt = Attempt(4);
   t.zone = ZoneId("a");
-  t.host = HostId("vm-1");
-  t.tenure = Tenure(2);
+  t.machine_id = MachineId("vm-1");
+  t.session = SessionId(2);
   t.since = {5};
   t.running = {6};
   t.progress = {7};
   t.faults = 1;
-  t.stop = StopOrder{Span{9}, "why"};
+  t.stop = StopOrder{Duration{9}, "why"};
   const SliceRecord back = again(slice);
   EXPECT_EQ(back.number, 3U);
   const TaskRecord& b = back.tasks.at(1);
   EXPECT_EQ(b.state, t.state);
   EXPECT_EQ(b.attempt, t.attempt);
-  EXPECT_EQ(b.host, t.host);
-  EXPECT_EQ(b.tenure, t.tenure);
+  EXPECT_EQ(b.machine_id, t.machine_id);
+  EXPECT_EQ(b.session, t.session);
   EXPECT_EQ(b.running, t.running);
   EXPECT_EQ(b.progress, t.progress);
   EXPECT_EQ(b.faults, t.faults);
@@ -136,38 +136,38 @@
 
   JobRecord job;
   job.spec = testing::gang("req-1", 3, 2, 50);
-  job.spec.due = Span{90'000};
-  job.spec.builds = {"g8"};
+  job.spec.deadline = Duration{90'000};
+  job.spec.machine_types = {"g8"};
   job.accepted = {11};
-  job.cancelled = Wall{12};
+  job.cancelled = WallTime{12};
   const JobRecord job_back = again(job);
-  EXPECT_EQ(job_back.spec.parts, 3U);
-  EXPECT_EQ(job_back.spec.due, job.spec.due);
+  EXPECT_EQ(job_back.spec.task_count, 3U);
+  EXPECT_EQ(job_back.spec.deadline, job.spec.deadline);
   EXPECT_EQ(job_back.cancelled, job.cancelled);
 
   MachineRecord machine;
-  machine.host = HostId("vm-1");
+  machine.machine_id = MachineId("vm-1");
   machine.zone = ZoneId("a");
   machine.state = MachineState::suspect;
-  machine.blamed = Uid("req-1");
+  machine.blamed = JobId("req-1");
   EXPECT_EQ(again(machine).blamed, machine.blamed);
   EXPECT_EQ(again(machine).state, machine.state);
 }
 
 TEST(Records, ASliceFitsTheSmallestValue) {
   SliceRecord slice;
-  slice.uid = Uid("req-" + std::string(32, 'x'));
+  slice.job_id = JobId("req-" + std::string(32, 'x'));
   slice.tasks.resize(kSliceTasks);
   for (TaskRecord& t : slice.tasks) {
     t.state = TaskState::bound;
     t.attempt = Attempt(1000);
     t.zone = ZoneId("laurentides");
-    t.host = t.failed_on = HostId("vm-000231");
-    t.tenure = Tenure(1000);
+    t.machine_id = t.failed_on = MachineId("vm-000231");
+    t.session = SessionId(1000);
     t.since = t.running = {1'800'000'000'000};
-    t.progress = Span{1'000'000};
+    t.progress = Duration{1'000'000};
     t.faults = 100;
-    t.stop = StopOrder{Span{100'000}, "displaced for req-000412 (guarantee)"};
+    t.stop = StopOrder{Duration{100'000}, "displaced for req-000412 (guarantee)"};
   }
   EXPECT_LE(encode(slice).size(), 8192U);
 }
@@ -176,26 +176,26 @@
   MachinePage page;
   for (std::uint64_t i = 0; i < kPageMachines; ++i) {
     MachineRecord m;
-    m.host = HostId("vm-00" + std::to_string(1000 + i));
+    m.machine_id = MachineId("vm-00" + std::to_string(1000 + i));
     m.address = "10.100.100.100:65535";
-    m.build = "olive-node-large";
+    m.machine_type = "olive-node-large";
     m.zone = ZoneId("laurentides");
     m.state = MachineState::quarantined;
     m.since = {1'800'000'000'000};
-    m.recall = m.since;
-    m.blamed = Uid("req-" + std::string(20, 'x'));
+    m.reclaim_at = m.since;
+    m.blamed = JobId("req-" + std::string(20, 'x'));
     for (int k = 0; k < 20; ++k) note_image(m.images, ImageId("img-" + std::to_string(k)), 6, 150);
     page.machines.push_back(m);
   }
   EXPECT_LE(encode(page, 8192).size(), 8192U);
-  EXPECT_EQ(keys::machine_page(ZoneId("a"), HostId("vm-000023")), "mv/machines/a/vm-0");
-  EXPECT_EQ(keys::machine_page(ZoneId("a"), HostId("vm-000024")), "mv/machines/a/vm-1");
-  EXPECT_EQ(keys::machine_page(ZoneId("a"), HostId("odd")), "mv/machines/a/odd");
+  EXPECT_EQ(keys::machine_page(ZoneId("a"), MachineId("vm-000023")), "mv/machines/a/vm-0");
+  EXPECT_EQ(keys::machine_page(ZoneId("a"), MachineId("vm-000024")), "mv/machines/a/vm-1");
+  EXPECT_EQ(keys::machine_page(ZoneId("a"), MachineId("odd")), "mv/machines/a/odd");
 }
 
 TEST(Images, TheLatestWithinTheCacheAreKept) {
   MachineRecord machine;
-  machine.host = HostId("vm-1");
+  machine.machine_id = MachineId("vm-1");
   machine.zone = ZoneId("a");
   EXPECT_TRUE(note_image(machine.images, ImageId("a"), 6, 15));
   EXPECT_TRUE(note_image(machine.images, ImageId("b"), 6, 15));
@@ -232,9 +232,9 @@
           "parts":[{"part":"req-1/3","try":2,"status":"ended","cause":"halted","saved":true}]})";
   const auto report = parse_report(good);
   ASSERT_TRUE(report);
-  EXPECT_EQ(report->recall, Span{7500});
-  EXPECT_EQ(report->parts.at(0).id.part, 3U);
-  EXPECT_TRUE(report->parts.at(0).saved);
+  EXPECT_EQ(report->reclaim_in, Duration{7500});
+  EXPECT_EQ(report->tasks.at(0).id.task_index, 3U);
+  EXPECT_TRUE(report->tasks.at(0).saved);
   for (std::size_t cut = 0; cut < good.size(); cut += 7) {
     EXPECT_FALSE(parse_report(good.substr(0, cut)));
   }
@@ -243,7 +243,7 @@
   EXPECT_FALSE(parse_task_id("req-1/99999999999"));
 }
 
-TEST(Pulses, AControllerThatIsCutOffSendsUsersElsewhere) {
+TEST(HeartbeatExchange, AControllerThatIsCutOffSendsUsersElsewhere) {
   EXPECT_FALSE(takes_users(false, true, PeersSay::state)) << "it has not loaded the records";
   EXPECT_TRUE(takes_users(true, true, PeersSay::nothing));
   EXPECT_FALSE(takes_users(true, false, PeersSay::state)) << "it alone lacks the state service";
@@ -252,67 +252,67 @@
   EXPECT_TRUE(takes_users(true, false, PeersSay::no_peers));
 }
 
-TEST(Pulses, ALateCopyIsNoNews) {
-  PulseOrder order;
-  Pulse pulse;
-  pulse.node = "n1";
-  pulse.nonce = 7;
-  pulse.serial = 5;
-  EXPECT_TRUE(order.newer(pulse));
-  EXPECT_FALSE(order.newer(pulse)) << "the same again";
-  pulse.serial = 4;
-  EXPECT_FALSE(order.newer(pulse)) << "sent before it";
-  pulse.serial = 6;
-  EXPECT_TRUE(order.newer(pulse));
-  pulse.nonce = 8;
-  pulse.serial = 1;
-  EXPECT_TRUE(order.newer(pulse)) << "another life counts anew";
+TEST(HeartbeatExchange, ALateCopyIsNoNews) {
+  HeartbeatOrder order;
+  Heartbeat heartbeat;
+  heartbeat.node = "n1";
+  heartbeat.nonce = 7;
+  heartbeat.serial = 5;
+  EXPECT_TRUE(order.newer(heartbeat));
+  EXPECT_FALSE(order.newer(heartbeat)) << "the same again";
+  heartbeat.serial = 4;
+  EXPECT_FALSE(order.newer(heartbeat)) << "sent before it";
+  heartbeat.serial = 6;
+  EXPECT_TRUE(order.newer(heartbeat));
+  heartbeat.nonce = 8;
+  heartbeat.serial = 1;
+  EXPECT_TRUE(order.newer(heartbeat)) << "another life counts anew";
 }
 
-TEST(Pulses, SurviveCutAndTwistedBytes) {
-  Pulse pulse;
-  pulse.node = "n1";
-  pulse.complaints = {"a", "b"};
-  pulse.cancellations.items = {{"req-1", 17}};
-  const std::string bytes = encode(pulse);
-  ASSERT_TRUE(decode_pulse(bytes));
-  EXPECT_EQ(decode_pulse(bytes)->complaints.size(), 2U);
-  EXPECT_EQ(decode_pulse(bytes)->cancellations.items.at(0).at_ms, 17);
+TEST(HeartbeatExchange, SurviveCutAndTwistedBytes) {
+  Heartbeat heartbeat;
+  heartbeat.node = "n1";
+  heartbeat.misdirected_zones = {"a", "b"};
+  heartbeat.cancellations.items = {{"req-1", 17}};
+  const std::string bytes = encode(heartbeat);
+  ASSERT_TRUE(decode_heartbeat(bytes));
+  EXPECT_EQ(decode_heartbeat(bytes)->misdirected_zones.size(), 2U);
+  EXPECT_EQ(decode_heartbeat(bytes)->cancellations.items.at(0).at_ms, 17);
   for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
-    EXPECT_FALSE(decode_pulse(bytes.substr(0, cut)));
+    EXPECT_FALSE(decode_heartbeat(bytes.substr(0, cut)));
   }
-  pulse.format += 1;
-  EXPECT_FALSE(decode_pulse(encode(pulse))) << "of another version";
+  heartbeat.format += 1;
+  EXPECT_FALSE(decode_heartbeat(encode(heartbeat))) << "of another version";
 }
 
 TEST(Demand, RentsTheCheapestKindThatSavesWaiting) {
   MachineType type;
   type.name = "g8";
-  type.room = {96, 8, 768};
+  type.resources = {96, 8, 768};
   type.price = 10;
   type.spot_price = 4;
-  type.boot = Span{30'000};
+  type.boot = Duration{30'000};
   type.zones = {ZoneId("a"), ZoneId("b")};
   JobSpec job = testing::batch("req-1", 12, 1, 60);
-  job.loaners = true;
-  const auto any = [](const Offer&) { return true; };
-  const std::map<TeamId, Room> rich{{TeamId("crew"), {1e9, 100, 1e9}}};
-  const auto rented = machines_for({{&job, 12, job.expect, Span{100'000}, std::nullopt}}, {type},
-                                   any, {{ZoneId("a"), 3}}, rich);
+  job.allows_spot = true;
+  const auto any = [](const MachineOffering&) { return true; };
+  const std::map<TeamId, Resources> rich{{TeamId("crew"), {1e9, 100, 1e9}}};
+  const auto rented = machines_for({{&job, 12, job.estimated_run, Duration{100'000}, std::nullopt}},
+                                   {type}, any, {{ZoneId("a"), 3}}, rich);
   std::uint32_t count = 0;
   for (const auto& [offer, n] : rented) {
     EXPECT_TRUE(offer.spot);
     count += n;
   }
   EXPECT_EQ(count, 2U);
-  EXPECT_TRUE(
-      machines_for({{&job, 12, job.expect, Span{20'000}, std::nullopt}}, {type}, any, {}, rich)
-          .empty())
+  EXPECT_TRUE(machines_for({{&job, 12, job.estimated_run, Duration{20'000}, std::nullopt}}, {type},
+                           any, {}, rich)
+                  .empty())
       << "it would start before a machine is up";
-  const std::map<TeamId, Room> poor{{TeamId("crew"), {1e9, 0, 1e9}}};
-  EXPECT_TRUE(
-      machines_for({{&job, 12, job.expect, Span{100'000}, std::nullopt}}, {type}, any, {}, poor)
-          .empty())
+  const std::map<TeamId, Resources> poor{{TeamId("crew"), {1e9, 0, 1e9}}};
+  EXPECT_TRUE(machines_for({{&job, 12, job.estimated_run, Duration{100'000}, std::nullopt}}, {type},
+                           any, {}, poor)
+                  .empty())
       << "the team's limit forbids it";
 }
 
