--- a/tests/granting_test.cpp
+++ b/tests/granting_test.cpp
@@ -12,12 +12,12 @@
   machine("vm-1");
   begin();
   submit(testing::gang("req-1", 1, 1, 60));
-  run(Span{200});
+  run(Duration{200});
   ASSERT_EQ(tasks("req-1").size(), 1U);
   EXPECT_EQ(tasks("req-1")[0].state, TaskState::released);
   EXPECT_EQ(tasks("req-1")[0].attempt, Attempt(1));
   for (const Txn& txn : store_.commits) {
-    if (txn.puts.empty() || txn.puts[0].key != keys::slice(Uid("req-1"), 0)) continue;
+    if (txn.puts.empty() || txn.puts[0].key != keys::slice(JobId("req-1"), 0)) continue;
     EXPECT_EQ(txn.guards[0].first, keys::kLeader);
   }
 }
@@ -31,32 +31,32 @@
 TEST_F(LeaderTest, AnotherLeaderIsRespectedUntilItsRecordIsGone) {
   store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), Nonce(3)}));
   begin();
-  run(Span{3000});
+  run(Duration{3000});
   EXPECT_FALSE(election_.in_charge());
   Txn txn;
   txn.remove(keys::kLeader);
-  store_.commit(Rank::lease, txn, [](const CommitResult&) {});
-  run(Span{500});
+  store_.commit(RequestPriority::lease, txn, [](const CommitResult&) {});
+  run(Duration{500});
   EXPECT_TRUE(election_.in_charge());
 }
 
 TEST_F(LeaderTest, TheOnlyControllerOfAZoneLetsThoseElsewhereStandFirst) {
   settings_.peers = {{NodeId("n1"), ZoneId("b"), {}}, {NodeId("n2"), ZoneId("b"), {}}};
   begin();
-  run(Span{200});
+  run(Duration{200});
   EXPECT_FALSE(election_.in_charge());
-  run(Span{1000});
+  run(Duration{1000});
   EXPECT_TRUE(election_.in_charge()) << "nobody else did";
 }
 
 TEST_F(LeaderTest, ALostSessionEndsLeadership) {
   begin();
   ASSERT_TRUE(election_.in_charge());
-  store_.end_permit(Permit(1));
-  run(Span{1500});
-  EXPECT_NE(election_.term(), Stamp{});  // a new session, and the record is still its own
+  store_.end_lease(LeaseId(1));
+  run(Duration{1500});
+  EXPECT_NE(election_.term(), ModRevision{});  // a new session, and the record is still its own
   store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), Nonce(3)}));
-  run(Span{500});
+  run(Duration{500});
   EXPECT_FALSE(election_.in_charge());
 }
 
@@ -66,7 +66,7 @@
   set_task("req-old", bound("vm-1"));
   begin();
   submit(testing::gang("req-new", 1, 1, 60));
-  run(Span{1000});
+  run(Duration{1000});
   EXPECT_TRUE(tasks("req-new").empty()) << "the team's two GPUs are taken";
 }
 
@@ -75,13 +75,13 @@
   begin();
   submit(testing::gang("req-1", 1, 2, 60));
   store_.scripts = {Script::arrive_late};
-  run(Span{60});
+  run(Duration{60});
   ASSERT_EQ(store_.late.size(), 1U);
   submit(testing::gang("req-2", 1, 1, 30));
-  run(Span{200});
+  run(Duration{200});
   // The late one may still come: no second release may use the same quota.
   store_.arrive();
-  run(Span{2000});
+  run(Duration{2000});
   EXPECT_EQ(tasks("req-1").at(0).state, TaskState::released);
   EXPECT_TRUE(tasks("req-2").empty());
 }
@@ -93,10 +93,10 @@
   submit(testing::gang("req-1", 1, 1, 60));
   store_.scripts.assign(100, Script::refuse);
   const auto before = store_.commits.size();
-  run(Span{1000});
+  run(Duration{1000});
   EXPECT_LE(store_.commits.size() - before, 10U);
   store_.scripts.clear();
-  run(Span{1000});
+  run(Duration{1000});
   EXPECT_EQ(tasks("req-1").at(0).state, TaskState::released);
 }
 
@@ -105,9 +105,9 @@
   for (int i = 0; i < 30; ++i) machine("vm-" + std::to_string(100 + i));
   begin();
   submit(testing::batch("req-1", 200, 1, 60));
-  run(Span{1000});
+  run(Duration{1000});
   std::size_t released = 0;
-  for (const auto& [key, slice] : mirror_.records().slices) {
+  for (const auto& [key, slice] : cache_.records().slices) {
     for (const TaskRecord& t : slice.record.tasks) released += t.placed() ? 1 : 0;
   }
   EXPECT_EQ(released, 200U) << "not one slice after the other";
@@ -116,10 +116,10 @@
 TEST_F(LeaderTest, AReasonIsKeptUntilItIsRecorded) {
   begin();
   submit(testing::gang("req-1", 1, 1, 60));
-  run(Span{200});
-  GrantWriter writer(time_, settings_, mirror_, election_);
+  run(Duration{200});
+  GrantWriter writer(time_, settings_, cache_, election_);
   Reservations none;
-  writer.note(Uid("req-1"), "displaced for req-7 (urgent)");
+  writer.note(JobId("req-1"), "displaced for req-7 (urgent)");
   store_.scripts = {Script::refuse};
   writer.flush(none);
   EXPECT_EQ(notes("req-1"), std::vector<std::string>{});
@@ -131,10 +131,10 @@
   machine("vm-1");
   submit(testing::gang("req-1", 1, 1, 60));
   TaskRecord task = bound("vm-1");
-  task.stop = StopOrder{Span{5'000}, "displaced for req-7 (urgent)"};
+  task.stop = StopOrder{Duration{5'000}, "displaced for req-7 (urgent)"};
   set_task("req-1", task);
   begin();
-  run(Span{6'000});
+  run(Duration{6'000});
   EXPECT_EQ(notes("req-1"), std::vector<std::string>{"displaced for req-7 (urgent)"});
 }
 
@@ -155,7 +155,7 @@
     urgent.urgency = Urgency::urgent;
     submit(urgent);
   }
-  run(Span{1'500});
+  run(Duration{1'500});
   EXPECT_TRUE(tasks("req-1").at(0).stop);
   EXPECT_TRUE(tasks("req-2").at(0).stop) << "what is vacated for one job is not the other's";
 }
@@ -165,13 +165,13 @@
   settings_.teams[0].gpus = settings_.teams[0].gpus_max = 100;
   MachineType type;
   type.name = "g8";
-  type.room = {96, 8, 768};
+  type.resources = {96, 8, 768};
   type.zones = settings_.zones;
   store_.put(keys::kTypes, encode(std::vector<MachineType>{type}));
   for (const std::string zone : {"a", "b"}) {
     MachineRecord m;
-    m.host = HostId("vm-" + zone);
-    m.build = "g8";
+    m.machine_id = MachineId("vm-" + zone);
+    m.machine_type = "g8";
     m.zone = ZoneId(zone);
     m.since = time_.wall();
     store_.put_machine(m);
@@ -181,25 +181,25 @@
   begin();
   granting_.out_of_reach(NodeId("me"), {ZoneId("a"), ZoneId("b")});
   submit(testing::gang("req-1", 1, 8, 60));
-  run(Span{100});
+  run(Duration{100});
   submit(testing::gang("req-2", 1, 8, 60));  // as long, accepted later
-  run(Span{500});
+  run(Duration{500});
   granting_.out_of_reach(NodeId("me"), {ZoneId("a")});
-  run(Span{1'000});
+  run(Duration{1'000});
   ASSERT_EQ(tasks("req-1").size(), 1U) << "whichever zone is back first, its room is the older's";
   EXPECT_EQ(tasks("req-1")[0].zone, ZoneId("b"));
   EXPECT_TRUE(tasks("req-2").empty());
   granting_.out_of_reach(NodeId("me"), {});
-  run(Span{1'000});
+  run(Duration{1'000});
   ASSERT_EQ(tasks("req-2").size(), 1U);
   EXPECT_EQ(tasks("req-2")[0].zone, ZoneId("a"));
 }
 
 TEST_F(LeaderTest, ManyThatFallSilentTogetherAreWaitedForLonger) {
-  const auto silent = [&](const std::string& host) {
+  const auto silent = [&](const std::string& machine_id) {
     MachineRecord m;
-    m.host = HostId(host);
-    m.build = "g8";
+    m.machine_id = MachineId(machine_id);
+    m.machine_type = "g8";
     m.zone = ZoneId("a");
     m.state = MachineState::silent;
     m.since = time_.wall();
@@ -207,25 +207,25 @@
   };
   for (int i = 0; i < 12; ++i) silent("vm-" + std::to_string(100 + i));
   begin();
-  run(Span{24'000});
+  run(Duration{24'000});
   EXPECT_TRUE(cloud_.removed.empty()) << "they may be back";
-  run(Span{8'000});
+  run(Duration{8'000});
   EXPECT_EQ(cloud_.removed.size(), 12U);
 }
 
 TEST_F(LeaderTest, OnlyAListThatMustBeNewerShowsThatAMachineIsGone) {
-  settings_.list_lag = Span{4'000};
+  settings_.list_lag = Duration{4'000};
   machine("vm-1");
   cloud_.listing.emplace();
   cloud_.listing->machines.push_back(
-      {HostId("vm-1"), "", "g8", ZoneId("a"), false, RentalStatus::running, Span{60'000}});
+      {MachineId("vm-1"), "", "g8", ZoneId("a"), false, RentalStatus::running, Duration{60'000}});
   begin();
-  run(Span{3'000});
+  run(Duration{3'000});
   cloud_.listing->machines.clear();
-  run(Span{7'000});
+  run(Duration{7'000});
   EXPECT_TRUE(cloud_.removed.empty()) << "the list may be older than the one that had it";
-  run(Span{5'000});
-  EXPECT_EQ(cloud_.removed, std::vector<HostId>{HostId("vm-1")});
+  run(Duration{5'000});
+  EXPECT_EQ(cloud_.removed, std::vector<MachineId>{MachineId("vm-1")});
 }
 
 TEST_F(LeaderTest, NothingIsReleasedToAZoneThatItsHolderDoesNotReach) {
@@ -234,11 +234,11 @@
   begin();
   granting_.out_of_reach(NodeId("me"), {ZoneId("a")});
   submit(testing::gang("req-1", 1, 1, 60));
-  run(Span{1000});
+  run(Duration{1000});
   EXPECT_TRUE(tasks("req-1").empty());
   granting_.out_of_reach(NodeId("other"), {ZoneId("a")});  // not the holder: its word is nothing
   granting_.out_of_reach(NodeId("me"), {});
-  run(Span{1000});
+  run(Duration{1000});
   ASSERT_EQ(tasks("req-1").size(), 1U);
   EXPECT_EQ(tasks("req-1")[0].state, TaskState::released);
 }
@@ -248,8 +248,8 @@
   begin();
   submit(testing::batch("req-1", 100'000, 1, 60));
   const auto before = store_.commits.size();
-  run(Span{3000});
-  EXPECT_EQ(mirror_.records().slices.size(), 1U);
+  run(Duration{3000});
+  EXPECT_EQ(cache_.records().slices.size(), 1U);
   EXPECT_LE(store_.commits.size() - before, 20U);
   std::size_t released = 0;
   for (const TaskRecord& t : tasks("req-1")) released += t.state == TaskState::released ? 1 : 0;
@@ -263,16 +263,16 @@
   JobSpec spec = testing::gang("req-1", 2, 1, 60);
   submit(spec);
   SliceRecord slice;
-  slice.uid = spec.uid;
+  slice.job_id = spec.job_id;
   slice.tasks = {bound("vm-1"), bound("vm-2")};
   slice.tasks[0].state = TaskState::idle;
-  store_.put(keys::slice(spec.uid, 0), encode(slice));
+  store_.put(keys::slice(spec.job_id, 0), encode(slice));
   begin();
-  run(Span{3000});
+  run(Duration{3000});
   EXPECT_EQ(tasks("req-1").at(0).state, TaskState::idle);
   slice.tasks[1].state = TaskState::idle;
-  store_.put(keys::slice(spec.uid, 0), encode(slice));
-  run(Span{1000});
+  store_.put(keys::slice(spec.job_id, 0), encode(slice));
+  run(Duration{1000});
   EXPECT_EQ(tasks("req-1").at(0).state, TaskState::released);
   EXPECT_EQ(tasks("req-1").at(0).attempt, Attempt(2));
   EXPECT_EQ(tasks("req-1").at(1).attempt, Attempt(2));
@@ -285,81 +285,82 @@
   set_task("req-1", bound("vm-1"));
   begin();
   JobRecord job{spec, time_.wall(), time_.wall()};
-  store_.put(keys::job(spec.uid), encode(job));
-  run(Span{10'000});
+  store_.put(keys::job(spec.job_id), encode(job));
+  run(Duration{10'000});
   EXPECT_TRUE(cloud_.removed.empty());
-  run(Span{15'000});
+  run(Duration{15'000});
   ASSERT_EQ(cloud_.removed.size(), 1U);
-  EXPECT_EQ(mirror_.records().machines.at(HostId("vm-1")).record.state, MachineState::gone);
+  EXPECT_EQ(cache_.records().machines.at(MachineId("vm-1")).record.state, MachineState::gone);
 }
 
 TEST_F(LeaderTest, AnUnansweredDeletionProvesNothing) {
   machine("vm-1");
   cloud_.removes = false;
   begin();
-  run(Span{100});
-  fleet_.condemn(HostId("vm-1"), "test");
-  run(Span{3000});
-  EXPECT_EQ(mirror_.records().machines.at(HostId("vm-1")).record.state, MachineState::deleting);
+  run(Duration{100});
+  fleet_.request_deletion(MachineId("vm-1"), "test");
+  run(Duration{3000});
+  EXPECT_EQ(cache_.records().machines.at(MachineId("vm-1")).record.state, MachineState::deleting);
   cloud_.removes = true;
-  run(Span{3000});
-  EXPECT_EQ(mirror_.records().machines.at(HostId("vm-1")).record.state, MachineState::gone);
+  run(Duration{3000});
+  EXPECT_EQ(cache_.records().machines.at(MachineId("vm-1")).record.state, MachineState::gone);
 }
 
 // Found by a rough day: the task failed twice on the same sick machine, which was then absolved.
 TEST_F(LeaderTest, AMachineIsAbsolvedOnlyByAFailureElsewhere) {
   MachineRecord m;
-  m.host = HostId("vm-1");
-  m.build = "g8";
+  m.machine_id = MachineId("vm-1");
+  m.machine_type = "g8";
   m.zone = ZoneId("a");
   m.state = MachineState::suspect;
-  m.blamed = Uid("req-1");
+  m.blamed = JobId("req-1");
   m.since = time_.wall();
   store_.put_machine(m);
   submit(testing::gang("req-1", 1, 1, 60));
   TaskRecord failed;
   failed.attempt = Attempt(2);
   failed.faults = 2;
-  failed.failed_on = HostId("vm-1");
+  failed.failed_on = MachineId("vm-1");
   set_task("req-1", failed);
   begin();
-  run(Span{5000});
-  EXPECT_EQ(mirror_.records().machines.at(m.host).record.state, MachineState::suspect);
-  failed.failed_on = HostId("vm-2");
+  run(Duration{5000});
+  EXPECT_EQ(cache_.records().machines.at(m.machine_id).record.state, MachineState::suspect);
+  failed.failed_on = MachineId("vm-2");
   set_task("req-1", failed);
-  run(Span{2000});
-  EXPECT_EQ(mirror_.records().machines.at(m.host).record.state, MachineState::up);
+  run(Duration{2000});
+  EXPECT_EQ(cache_.records().machines.at(m.machine_id).record.state, MachineState::up);
 }
 
 TEST_F(LeaderTest, AMachineIsCondemnedWhenItsTaskRunsElsewhere) {
   MachineRecord m;
-  m.host = HostId("vm-1");
-  m.build = "g8";
+  m.machine_id = MachineId("vm-1");
+  m.machine_type = "g8";
   m.zone = ZoneId("a");
   m.state = MachineState::suspect;
-  m.blamed = Uid("req-1");
+  m.blamed = JobId("req-1");
   m.since = time_.wall();
   store_.put_machine(m);
   machine("vm-2");
   submit(testing::gang("req-1", 1, 1, 60));
   TaskRecord task = bound("vm-2");
   task.faults = 1;
-  task.failed_on = HostId("vm-1");
-  task.running = time_.wall() + Span{500};
+  task.failed_on = MachineId("vm-1");
+  task.running = time_.wall() + Duration{500};
   set_task("req-1", task);
   begin();
-  run(Span{10'000});
+  run(Duration{10'000});
   ASSERT_EQ(cloud_.removed.size(), 1U);
-  EXPECT_EQ(cloud_.removed[0], HostId("vm-1"));
+  EXPECT_EQ(cloud_.removed[0], MachineId("vm-1"));
 }
 
 TEST_F(LeaderTest, RentsUnderNamesThatAreNeverUsedTwice) {
   begin();
   submit(testing::gang("req-1", 1, 1, 60));
-  run(Span{60'000});
-  ASSERT_GE(cloud_.hires.size(), 2U);  // refused for want of capacity, asked again under a new name
-  const std::set<std::string> names(cloud_.hires.begin(), cloud_.hires.end());
-  EXPECT_EQ(names.size(), cloud_.hires.size());
+  run(Duration{60'000});
+  ASSERT_GE(cloud_.rentals.size(),
+            2U);  // refused for want of capacity, asked again under a new name
+  const std::set<std::string> names(cloud_.rentals.begin(), cloud_.rentals.end());
+  EXPECT_EQ(names.size(), cloud_.rentals.size());
 }
 
 TEST_F(LeaderTest, StoredGuaranteesSurviveAChangeOfLeader) {
@@ -370,13 +371,13 @@
   set_task("req-old", running);
   submit(testing::gang("req-1", 1, 1, 60));
   GrantRecord grant;
-  grant.uid = Uid("req-1");
-  const Wall promised = time_.wall() + Span{700'000};
-  grant.guarantees = {{0, promised, promised, promised + Span{60'000}}};
-  store_.put(keys::grant(grant.uid), encode(grant));
+  grant.job_id = JobId("req-1");
+  const WallTime promised = time_.wall() + Duration{700'000};
+  grant.guarantees = {{0, promised, promised, promised + Duration{60'000}}};
+  store_.put(keys::grant(grant.job_id), encode(grant));
   begin();
-  run(Span{1000});
-  const auto& kept = mirror_.records().grants.at(Uid("req-1")).record.guarantees.at(0);
+  run(Duration{1000});
+  const auto& kept = cache_.records().grants.at(JobId("req-1")).record.guarantees.at(0);
   EXPECT_EQ(kept.first, promised);
   EXPECT_LE(kept.start, promised);
 }
@@ -384,13 +385,13 @@
 class ScriptedChannel : public OfferChannel {
  public:
   void offer(const NodeId& holder, const ReleaseOffer& offer,
-             std::function<void(OfferFate)> then) override {
+             std::function<void(OfferOutcome)> then) override {
     offers.push_back(offer);
     EXPECT_EQ(holder, NodeId("other"));
     if (answer) then(*answer);
   }
   std::vector<ReleaseOffer> offers;
-  std::optional<OfferFate> answer;
+  std::optional<OfferOutcome> answer;
 };
 
 class OfferingLeaderTest : public LeaderTest {
@@ -398,7 +399,7 @@
   void begin_offering() {
     machine("vm-1");
     store_.put(keys::node(NodeId("other")),
-               encode(NodeRecord{NodeId("other"), Nonce(5), Permit(9)}));
+               encode(NodeRecord{NodeId("other"), Nonce(5), LeaseId(9)}));
     store_.put(keys::block(ZoneId("a")),
                encode(BlockRecord{ZoneId("a"), NodeId("other"), Nonce(5), 1}));
     granting_.release_through(channel_);
@@ -410,18 +411,18 @@
 TEST_F(OfferingLeaderTest, AnOfferCountsAgainstTheLimitUntilItIsSettled) {
   begin_offering();
   submit(testing::gang("req-1", 1, 2, 60));
-  run(Span{200});
+  run(Duration{200});
   ASSERT_EQ(channel_.offers.size(), 1U);
   EXPECT_EQ(channel_.offers[0].term, election_.term().get());
   EXPECT_TRUE(tasks("req-1").empty()) << "nothing is committed by the leader yet";
   // No word from the holder, and the state service refuses the leader: the binding may come yet.
   submit(testing::gang("req-2", 1, 1, 30));
   store_.scripts.assign(300, Script::refuse);
-  run(Span{4000});
+  run(Duration{4000});
   EXPECT_TRUE(tasks("req-2").empty());
-  for (const auto& offer : channel_.offers) EXPECT_NE(offer.uid, "req-2");
+  for (const auto& offer : channel_.offers) EXPECT_NE(offer.job_id, "req-2");
   store_.scripts.clear();
-  run(Span{5000});
+  run(Duration{5000});
   ASSERT_EQ(tasks("req-1").size(), 1U);
   EXPECT_EQ(tasks("req-1").at(0).state, TaskState::released) << "by the ordinary way";
 }
@@ -429,19 +430,19 @@
 TEST_F(OfferingLeaderTest, ABindingSettlesItsOffer) {
   begin_offering();
   submit(testing::gang("req-1", 1, 1, 60));
-  run(Span{200});
+  run(Duration{200});
   ASSERT_EQ(channel_.offers.size(), 1U);
   set_task("req-1", bound("vm-1"));
-  run(Span{4000});
+  run(Duration{4000});
   EXPECT_EQ(tasks("req-1").at(0).state, TaskState::bound) << "and is not released again";
   EXPECT_EQ(channel_.offers.size(), 1U);
 }
 
 TEST_F(OfferingLeaderTest, WhatIsDeclinedIsPlannedAnew) {
-  channel_.answer = OfferFate::declined;
+  channel_.answer = OfferOutcome::declined;
   begin_offering();
   submit(testing::gang("req-1", 1, 1, 60));
-  run(Span{3000});
+  run(Duration{3000});
   EXPECT_GT(channel_.offers.size(), 2U);
   EXPECT_LT(channel_.offers.size(), 12U) << "not at once";
   EXPECT_TRUE(tasks("req-1").empty());
@@ -453,29 +454,29 @@
   submit(testing::gang("req-1", 1, 1, 60));
   set_task("req-1", bound("vm-lost"));
   begin();
-  run(Span{10'000});
+  run(Duration{10'000});
   EXPECT_TRUE(cloud_.removed.empty());
-  run(Span{20'000});
+  run(Duration{20'000});
   ASSERT_FALSE(cloud_.removed.empty());
-  EXPECT_EQ(cloud_.removed[0], HostId("vm-lost"));
-  EXPECT_EQ(mirror_.records().machines.at(HostId("vm-lost")).record.state, MachineState::gone);
+  EXPECT_EQ(cloud_.removed[0], MachineId("vm-lost"));
+  EXPECT_EQ(cache_.records().machines.at(MachineId("vm-lost")).record.state, MachineState::gone);
 }
 
 // A process that is back within a fraction of a second, in the middle of an election, with commits
 // of its earlier life still on their way.
 TEST_F(LeaderTest, ALateCommitOfItsEarlierLifeDoesNotUnseatAController) {
   Txn stand;
-  stand.guard(keys::kLeader, Stamp{});
+  stand.guard(keys::kLeader, ModRevision{});
   stand.put(keys::kLeader, encode(LeaderRecord{NodeId("me"), Nonce(3)}));
   store_.scripts = {Script::arrive_late};
-  store_.commit(Rank::lease, stand, [](const CommitResult&) {});
+  store_.commit(RequestPriority::lease, stand, [](const CommitResult&) {});
   ASSERT_EQ(store_.late.size(), 1U);
   begin();
-  run(Span{500});
+  run(Duration{500});
   ASSERT_TRUE(election_.in_charge());
-  const Stamp term = election_.term();
-  EXPECT_EQ(store_.arrive().fate, Fate::conflict);
-  run(Span{1000});
+  const ModRevision term = election_.term();
+  EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
+  run(Duration{1000});
   EXPECT_EQ(election_.term(), term);
 }
 
@@ -484,12 +485,12 @@
   store_.scripts = {Script::refuse, Script::refuse, Script::refuse};
   begin();
   store_.put(keys::kLeader, encode(LeaderRecord{NodeId("me"), Nonce(3)}));
-  store_.put(keys::node(NodeId("me")), encode(NodeRecord{NodeId("me"), Nonce(3), Permit(1)}));
-  run(Span{3000});
+  store_.put(keys::node(NodeId("me")), encode(NodeRecord{NodeId("me"), Nonce(3), LeaseId(1)}));
+  run(Duration{3000});
   EXPECT_TRUE(election_.in_charge());
-  LeaderRecord leader = mirror_.records().leader->record;
+  LeaderRecord leader = cache_.records().leader->record;
   EXPECT_EQ(leader.nonce, Nonce(7));
-  EXPECT_TRUE(mirror_.records().alive(NodeId("me"), Nonce(7)));
+  EXPECT_TRUE(cache_.records().alive(NodeId("me"), Nonce(7)));
 }
 
 }  // namespace
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -10,47 +10,50 @@
 
 namespace marblevale::testing {
 
-inline Wall at(double seconds) { return {static_cast<std::int64_t>(seconds * 1000)}; }
+inline WallTime at(double seconds) { return {static_cast<std::int64_t>(seconds * 1000)}; }
 
-inline JobSpec gang(const std::string& uid, std::uint32_t parts, double gpus, double seconds) {
+inline JobSpec gang(const std::string& job_id, std::uint32_t task_count, double gpus,
+                    double seconds) {
   JobSpec job;
-  job.uid = Uid(uid);
-  job.workclass = "solve";
-  job.crew = TeamId("crew");
-  job.shape = Shape::ensemble;
-  job.parts = parts;
+  job.job_id = JobId(job_id);
+  job.job_class = "solve";
+  job.team = TeamId("crew");
+  job.shape = JobShape::gang;
+  job.task_count = task_count;
   job.need = {1, gpus, 1};
-  job.bundle = ImageId("img");
-  job.expect = from_seconds(seconds);
-  job.snapshot = from_seconds(10);
-  job.stash = from_seconds(2);
+  job.image = ImageId("img");
+  job.estimated_run = from_seconds(seconds);
+  job.checkpoint_interval = from_seconds(10);
+  job.save_time = from_seconds(2);
   return job;
 }
 
-inline JobSpec batch(const std::string& uid, std::uint32_t parts, double gpus, double seconds) {
-  JobSpec job = gang(uid, parts, gpus, seconds);
-  job.shape = Shape::batch;
+inline JobSpec batch(const std::string& job_id, std::uint32_t task_count, double gpus,
+                     double seconds) {
+  JobSpec job = gang(job_id, task_count, gpus, seconds);
+  job.shape = JobShape::array;
   return job;
 }
 
-inline PlanMachine machine(const std::string& host, double gpus, const std::string& zone = "a") {
+inline PlanMachine machine(const std::string& machine_id, double gpus,
+                           const std::string& zone = "a") {
   PlanMachine m;
-  m.host = HostId(host);
-  m.build = "g8";
+  m.machine_id = MachineId(machine_id);
+  m.machine_type = "g8";
   m.zone = ZoneId(zone);
-  m.room = {100, gpus, 1000};
+  m.resources = {100, gpus, 1000};
   m.images.insert(ImageId("img"));
   return m;
 }
 
 inline QueueItem item(const JobSpec& job, std::uint64_t owner, double accepted = 0) {
   QueueItem out;
-  out.uid = job.uid;
+  out.job_id = job.job_id;
   out.owner = Owner(owner);
   out.demand.job = &job;
-  out.demand.tasks = job.parts;
-  out.demand.run = job.expect;
-  for (std::uint32_t i = 0; i < job.parts; ++i) out.parts.push_back(i);
+  out.demand.tasks = job.task_count;
+  out.demand.run = job.estimated_run;
+  for (std::uint32_t i = 0; i < job.task_count; ++i) out.task_indices.push_back(i);
   out.accepted = at(accepted);
   return out;
 }
--- a/tests/holder_fixture.hpp
+++ b/tests/holder_fixture.hpp
@@ -22,22 +22,22 @@
   std::vector<Sent> sent;
 };
 
-class HolderTest : public ::testing::Test {
+class BlockHolderTest : public ::testing::Test {
  protected:
-  HolderTest()
-      : mirror_(loop_, time_, store_, 1),
-        election_(loop_, settings(), store_, mirror_, Nonce(7)),
-        cancellations_(time_, mirror_),
-        holder_(loop_, time_, settings_, mirror_, election_, workers_, cancellations_) {
+  BlockHolderTest()
+      : cache_(loop_, time_, store_, 1),
+        election_(loop_, settings(), store_, cache_, Nonce(7)),
+        cancellations_(time_, cache_),
+        holder_(loop_, time_, settings_, cache_, election_, workers_, cancellations_) {
     MachineType type;
     type.name = "g8";
-    type.room = {96, 8, 768};
+    type.resources = {96, 8, 768};
     type.zones = {ZoneId("a")};
     store_.put(keys::kTypes, encode(std::vector<MachineType>{type}));
-    mirror_.begin();
+    cache_.begin();
     election_.begin();
     holder_.begin();
-    run(Span{10});
+    run(Duration{10});
     give_block("me", 7);
   }
 
@@ -46,40 +46,43 @@
     settings_.zone = ZoneId("a");
     settings_.zones = {ZoneId("a")};
     settings_.peers.push_back({NodeId("other"), ZoneId("b"), {"10.0.0.2", 1}});
-    settings_.workers = {Span{3000}, Span{24'000}, Span{35'000}, Span{8000}, Span{49'000}};
+    settings_.workers = {Duration{3000}, Duration{24'000}, Duration{35'000}, Duration{8000},
+                         Duration{49'000}};
     return settings_;
   }
 
   /// Time passes while the state service keeps the watch informed.
-  void run(Span span) {
-    for (std::int64_t at = 0; at < span.ms; at += 10) {
-      time_.advance(Span{10});
+  void run(Duration duration) {
+    for (std::int64_t at = 0; at < duration.ms; at += 10) {
+      time_.advance(Duration{10});
       if (informed_) store_.tell_watch();
     }
   }
 
   void give_block(const std::string& node, std::uint64_t nonce) {
-    warrant_ = Warrant(store_
-                           .put(keys::block(ZoneId("a")),
-                                encode(BlockRecord{ZoneId("a"), NodeId(node), Nonce(nonce), 1}))
-                           .get());
-    run(Span{20});
+    token_ = FencingToken(store_
+                              .put(keys::block(ZoneId("a")),
+                                   encode(BlockRecord{ZoneId("a"), NodeId(node), Nonce(nonce), 1}))
+                              .get());
+    run(Duration{20});
   }
 
-  [[nodiscard]] std::uint64_t warrant() const {
-    return store_.get(keys::block(ZoneId("a")))->stamp.get();
+  [[nodiscard]] std::uint64_t token() const {
+    return store_.get(keys::block(ZoneId("a")))->mod_revision.get();
   }
 
-  HelloAnswer hello(std::uint64_t tenure, std::uint64_t seen, const std::string& parts = "",
-                    const std::string& host = "vm-1") {
-    return holder_.hello(R"({"host":")" + host + R"(","address":"10.1.0.1:9000","build":"g8",)" +
-                         R"("district":"a","loaners":false,"tenure":)" + std::to_string(tenure) +
-                         R"(,"tally":)" + std::to_string(++tally_) + R"(,"warrant":)" +
-                         std::to_string(seen) + R"(,"recall_s":null,"parts":[)" + parts + "]}");
+  ReportAnswer handle_report(std::uint64_t session, std::uint64_t seen,
+                             const std::string& parts = "",
+                             const std::string& machine_id = "vm-1") {
+    return holder_.handle_report(
+        R"({"host":")" + machine_id + R"(","address":"10.1.0.1:9000","build":"g8",)" +
+        R"("district":"a","loaners":false,"tenure":)" + std::to_string(session) + R"(,"tally":)" +
+        std::to_string(++sequence_) + R"(,"warrant":)" + std::to_string(seen) +
+        R"(,"recall_s":null,"parts":[)" + parts + "]}");
   }
 
-  static std::string part(const std::string& status, const std::string& cause = "",
-                          const std::string& saved = "false", std::uint64_t attempt = 1) {
+  static std::string task_index(const std::string& status, const std::string& cause = "",
+                                const std::string& saved = "false", std::uint64_t attempt = 1) {
     return R"({"part":"req-1/0","try":)" + std::to_string(attempt) + R"(,"status":")" + status +
            R"(","cause":")" + cause + R"(","saved":)" + saved + "}";
   }
@@ -89,21 +92,21 @@
     JobRecord job;
     job.spec = gang ? testing::gang("req-1", 1, 1, 100) : testing::batch("req-1", 1, 1, 100);
     job.accepted = time_.wall();
-    store_.put(keys::job(job.spec.uid), encode(job));
+    store_.put(keys::job(job.spec.job_id), encode(job));
     SliceRecord slice;
-    slice.uid = job.spec.uid;
+    slice.job_id = job.spec.job_id;
     TaskRecord task;
     task.state = TaskState::released;
     task.attempt = Attempt(1);
     task.zone = ZoneId("a");
-    task.host = HostId("vm-1");
+    task.machine_id = MachineId("vm-1");
     task.since = time_.wall();
     slice.tasks = {task};
-    store_.put(keys::slice(slice.uid, 0), encode(slice));
+    store_.put(keys::slice(slice.job_id, 0), encode(slice));
   }
 
   [[nodiscard]] TaskRecord task() const {
-    const auto entry = store_.get(keys::slice(Uid("req-1"), 0));
+    const auto entry = store_.get(keys::slice(JobId("req-1"), 0));
     SliceRecord slice;
     json::Document doc;
     if (!entry || !json::parse(doc, entry->value) || !decode(doc, slice)) return {};
@@ -113,10 +116,10 @@
   void cancel() {
     JobRecord job;
     json::Document doc;
-    EXPECT_TRUE(json::parse(doc, store_.get(keys::job(Uid("req-1")))->value));
+    EXPECT_TRUE(json::parse(doc, store_.get(keys::job(JobId("req-1")))->value));
     EXPECT_TRUE(decode(doc, job));
     job.cancelled = time_.wall();
-    store_.put(keys::job(Uid("req-1")), encode(job));
+    store_.put(keys::job(JobId("req-1")), encode(job));
   }
 
   [[nodiscard]] bool sent(const std::string& verb) const {
@@ -126,9 +129,9 @@
   }
 
   void bind_and_start() {
-    hello(1, warrant());
+    handle_report(1, token());
     release();
-    run(Span{50});
+    run(Duration{50});
     ASSERT_EQ(task().state, TaskState::bound);
     ASSERT_TRUE(sent("start"));
   }
@@ -138,12 +141,12 @@
   Settings settings_;
   ScriptedStore store_;
   ScriptedWorkers workers_;
-  Mirror mirror_;
+  WatchCache cache_;
   Election election_;
   Cancellations cancellations_;
-  Holder holder_;
-  Warrant warrant_;
-  std::uint64_t tally_ = 0;
+  BlockHolder holder_;
+  FencingToken token_;
+  std::uint64_t sequence_ = 0;
   bool informed_ = true;
 };
 
--- a/tests/leader_fixture.hpp
+++ b/tests/leader_fixture.hpp
@@ -12,40 +12,42 @@
   void types(std::function<void(std::optional<std::vector<MachineType>>)> then) override {
     then(machine_types);
   }
-  void list(const HostId&, std::function<void(std::optional<MachineList>)> then) override {
+  void list(const MachineId&, std::function<void(std::optional<MachineList>)> then) override {
     then(listing);
   }
-  void hire(const std::string& name, const std::string&, const ZoneId& zone, bool,
-            std::uint32_t how_many,
-            std::function<void(HireFate, std::vector<HostId>)> then) override {
-    hires.push_back(name);
-    hired_in.push_back(zone);
-    std::vector<HostId>& hosts = rented[name];
-    while (rents && hosts.size() < how_many) {
-      hosts.emplace_back("vm-" + name + "-" + std::to_string(hosts.size()));
+  void rental(const std::string& name, const std::string&, const ZoneId& zone, bool,
+              std::uint32_t how_many,
+              std::function<void(RentalOutcome, std::vector<MachineId>)> then) override {
+    rentals.push_back(name);
+    rented_in.push_back(zone);
+    std::vector<MachineId>& machine_ids = rented[name];
+    while (rents && machine_ids.size() < how_many) {
+      machine_ids.emplace_back("vm-" + name + "-" + std::to_string(machine_ids.size()));
     }
-    const HireFate fate = hosts.empty() ? HireFate::no_capacity : HireFate::rented;
-    held_hires.push_back([then = std::move(then), fate, hosts] { then(fate, hosts); });
-    if (!hold_hires) answer_hires();
+    const RentalOutcome outcome =
+        machine_ids.empty() ? RentalOutcome::no_capacity : RentalOutcome::rented;
+    held_rentals.push_back(
+        [then = std::move(then), outcome, machine_ids] { then(outcome, machine_ids); });
+    if (!hold_rentals) answer_rentals();
   }
-  void remove(const std::vector<HostId>& hosts, std::function<void(bool)> then) override {
-    removed.insert(removed.end(), hosts.begin(), hosts.end());
+  void remove(const std::vector<MachineId>& machine_ids, std::function<void(bool)> then) override {
+    removed.insert(removed.end(), machine_ids.begin(), machine_ids.end());
     then(removes);
   }
-  void answer_hires() {
-    while (!held_hires.empty()) {
-      const auto next = std::move(held_hires.front());
-      held_hires.pop_front();
+  void answer_rentals() {
+    while (!held_rentals.empty()) {
+      const auto next = std::move(held_rentals.front());
+      held_rentals.pop_front();
       next();
     }
   }
-  std::vector<std::string> hires;
-  std::vector<ZoneId> hired_in;
+  std::vector<std::string> rentals;
+  std::vector<ZoneId> rented_in;
   bool rents = false;
-  std::map<std::string, std::vector<HostId>> rented;  // by the request's name
-  bool hold_hires = false;
-  std::deque<std::function<void()>> held_hires;
-  std::vector<HostId> removed;
+  std::map<std::string, std::vector<MachineId>> rented;  // by the request's name
+  bool hold_rentals = false;
+  std::deque<std::function<void()>> held_rentals;
+  std::vector<MachineId> removed;
   bool removes = true;
   std::optional<MachineList> listing;                     // none: no answer
   std::optional<std::vector<MachineType>> machine_types;  // none: no answer
@@ -54,14 +56,14 @@
 class LeaderTest : public ::testing::Test {
  protected:
   LeaderTest()
-      : mirror_(loop_, time_, store_, 1),
-        election_(loop_, settings(), store_, mirror_, Nonce(7)),
-        fleet_(loop_, time_, settings_, mirror_, election_, cloud_),
-        granting_(loop_, time_, settings_, mirror_, election_, fleet_) {
+      : cache_(loop_, time_, store_, 1),
+        election_(loop_, settings(), store_, cache_, Nonce(7)),
+        fleet_(loop_, time_, settings_, cache_, election_, cloud_),
+        granting_(loop_, time_, settings_, cache_, election_, fleet_) {
     MachineType type;
     type.name = "g8";
-    type.room = {96, 8, 768};
-    type.boot = Span{30'000};
+    type.resources = {96, 8, 768};
+    type.boot = Duration{30'000};
     type.zones = {ZoneId("a")};
     store_.put(keys::kTypes, encode(std::vector<MachineType>{type}));
   }
@@ -70,7 +72,8 @@
     settings_.node = NodeId("me");
     settings_.zone = ZoneId("a");
     settings_.zones = {ZoneId("a")};
-    settings_.workers = {Span{3000}, Span{24'000}, Span{35'000}, Span{8000}, Span{49'000}};
+    settings_.workers = {Duration{3000}, Duration{24'000}, Duration{35'000}, Duration{8000},
+                         Duration{49'000}};
     Team team;
     team.name = TeamId("crew");
     team.gpus = 2;
@@ -80,24 +83,24 @@
   }
 
   void begin() {
-    mirror_.begin();
+    cache_.begin();
     election_.begin();
     fleet_.begin();
     granting_.begin();
-    run(Span{20});
+    run(Duration{20});
   }
 
-  void run(Span span) {
-    for (std::int64_t at = 0; at < span.ms; at += 10) {
-      time_.advance(Span{10});
+  void run(Duration duration) {
+    for (std::int64_t at = 0; at < duration.ms; at += 10) {
+      time_.advance(Duration{10});
       store_.tell_watch();
     }
   }
 
-  void machine(const std::string& host) {
+  void machine(const std::string& machine_id) {
     MachineRecord m;
-    m.host = HostId(host);
-    m.build = "g8";
+    m.machine_id = MachineId(machine_id);
+    m.machine_type = "g8";
     m.zone = ZoneId("a");
     m.since = time_.wall();
     store_.put_machine(m);
@@ -105,39 +108,39 @@
 
   void submit(const JobSpec& spec) {
     JobRecord job{spec, time_.wall(), std::nullopt};
-    store_.put(keys::job(spec.uid), encode(job));
+    store_.put(keys::job(spec.job_id), encode(job));
   }
 
-  [[nodiscard]] std::vector<TaskRecord> tasks(const std::string& uid) const {
-    const auto entry = store_.get(keys::slice(Uid(uid), 0));
+  [[nodiscard]] std::vector<TaskRecord> tasks(const std::string& job_id) const {
+    const auto entry = store_.get(keys::slice(JobId(job_id), 0));
     SliceRecord slice;
     json::Document doc;
     if (!entry || !json::parse(doc, entry->value) || !decode(doc, slice)) return {};
     return slice.tasks;
   }
 
-  [[nodiscard]] std::vector<std::string> notes(const std::string& uid) const {
+  [[nodiscard]] std::vector<std::string> notes(const std::string& job_id) const {
     std::vector<std::string> out;
-    const auto grant = mirror_.records().grants.find(Uid(uid));
-    if (grant == mirror_.records().grants.end()) return out;
+    const auto grant = cache_.records().grants.find(JobId(job_id));
+    if (grant == cache_.records().grants.end()) return out;
     for (const Note& n : grant->second.record.notes) out.push_back(n.what);
     return out;
   }
 
-  void set_task(const std::string& uid, const TaskRecord& task) {
+  void set_task(const std::string& job_id, const TaskRecord& task) {
     SliceRecord slice;
-    slice.uid = Uid(uid);
+    slice.job_id = JobId(job_id);
     slice.tasks = {task};
-    store_.put(keys::slice(slice.uid, 0), encode(slice));
+    store_.put(keys::slice(slice.job_id, 0), encode(slice));
   }
 
-  [[nodiscard]] static TaskRecord bound(const std::string& host) {
+  [[nodiscard]] static TaskRecord bound(const std::string& machine_id) {
     TaskRecord task;
     task.state = TaskState::bound;
     task.attempt = Attempt(1);
     task.zone = ZoneId("a");
-    task.host = HostId(host);
-    task.tenure = Tenure(1);
+    task.machine_id = MachineId(machine_id);
+    task.session = SessionId(1);
     return task;
   }
 
@@ -146,7 +149,7 @@
   Settings settings_;
   ScriptedStore store_;
   ScriptedCloud cloud_;
-  Mirror mirror_;
+  WatchCache cache_;
   Election election_;
   Fleet fleet_;
   Granting granting_;
--- a/tests/occupancy_test.cpp
+++ b/tests/occupancy_test.cpp
@@ -20,11 +20,11 @@
   OccupancyTest() : random_(GetParam()) {
     MachineType type;
     type.name = "g8";
-    type.room = {64, 8, 512};
+    type.resources = {64, 8, 512};
     type.cache_gb = 20;
     type.pull_gb_per_s = 0.5;
     type.zones = {ZoneId("a"), ZoneId("b")};
-    records_.types = Stored<std::vector<MachineType>>{{type}, Stamp(1)};
+    records_.types = Versioned<std::vector<MachineType>>{{type}, ModRevision(1)};
     Team team;
     team.name = TeamId("crew");
     team.gpus_max = 200;
@@ -34,47 +34,47 @@
   std::size_t draw(std::size_t below) { return random_() % below; }
 
   void change_machine() {
-    const HostId host("vm-" + std::to_string(draw(kMachines)));
-    occupancy_.touch_machine(host);
+    const MachineId machine_id("vm-" + std::to_string(draw(kMachines)));
+    occupancy_.touch_machine(machine_id);
     if (draw(5) == 0) {
-      records_.machines.erase(host);
+      records_.machines.erase(machine_id);
       return;
     }
-    MachineRecord& m = records_.machines[host].record;
-    m.host = host;
-    m.build = "g8";
+    MachineRecord& m = records_.machines[machine_id].record;
+    m.machine_id = machine_id;
+    m.machine_type = "g8";
     // A machine does not move: its zone follows from its name.
-    m.zone = ZoneId(std::hash<HostId>{}(host) % 2 == 0 ? "a" : "b");
+    m.zone = ZoneId(std::hash<MachineId>{}(machine_id) % 2 == 0 ? "a" : "b");
     m.state = draw(4) == 0 ? MachineState::silent : MachineState::up;
     m.since = at(1);
   }
 
   void change_slice() {
-    const Uid uid("req-" + std::to_string(draw(kJobs)));
-    const SliceKey key{uid, 0};
+    const JobId job_id("req-" + std::to_string(draw(kJobs)));
+    const SliceKey key{job_id, 0};
     if (draw(6) == 0) {
       forget(key);
-      records_.jobs.erase(uid);
+      records_.jobs.erase(job_id);
       return;
     }
-    if (!records_.jobs.contains(uid)) {
-      records_.jobs[uid].record.spec =
-          draw(2) == 0 ? gang(uid.get(), 4, 1, 20 + static_cast<double>(draw(60)))
-                       : batch(uid.get(), 8, 1, 20);
-      records_.jobs[uid].record.spec.image_gb = 3;
+    if (!records_.jobs.contains(job_id)) {
+      records_.jobs[job_id].record.spec =
+          draw(2) == 0 ? gang(job_id.get(), 4, 1, 20 + static_cast<double>(draw(60)))
+                       : batch(job_id.get(), 8, 1, 20);
+      records_.jobs[job_id].record.spec.image_gb = 3;
     }
     forget(key);
     SliceRecord& slice = records_.slices[key].record;
-    slice.uid = uid;
-    slice.tasks.resize(records_.jobs[uid].record.spec.parts);
+    slice.job_id = job_id;
+    slice.tasks.resize(records_.jobs[job_id].record.spec.task_count);
     for (std::size_t i = 0; i < slice.tasks.size(); ++i) {
       TaskRecord& t = slice.tasks[i];
       if (draw(3) == 0) continue;
       t.state = draw(2) == 0 ? TaskState::released : TaskState::bound;
-      t.host = HostId("vm-" + std::to_string(draw(kMachines)));
+      t.machine_id = MachineId("vm-" + std::to_string(draw(kMachines)));
       t.since = now_;
       if (draw(2) == 0) t.running = now_;
-      records_.placed[t.host][{uid, static_cast<std::uint32_t>(i)}] = Attempt(1);
+      records_.placed[t.machine_id][{job_id, static_cast<std::uint32_t>(i)}] = Attempt(1);
     }
   }
 
@@ -85,8 +85,8 @@
     for (std::size_t i = 0; i < old->second.record.tasks.size(); ++i) {
       const TaskRecord& t = old->second.record.tasks[i];
       if (!t.placed()) continue;
-      records_.placed[t.host].erase({key.first, static_cast<std::uint32_t>(i)});
-      if (records_.placed[t.host].empty()) records_.placed.erase(t.host);
+      records_.placed[t.machine_id].erase({key.first, static_cast<std::uint32_t>(i)});
+      if (records_.placed[t.machine_id].empty()) records_.placed.erase(t.machine_id);
     }
     records_.slices.erase(old);
   }
@@ -95,7 +95,7 @@
   Records records_;
   std::vector<Team> teams_;
   Occupancy occupancy_;
-  Wall now_ = at(100);
+  WallTime now_ = at(100);
 };
 
 TEST_P(OccupancyTest, IsWhatOneMadeAnewWouldBe) {
@@ -104,11 +104,11 @@
     for (std::size_t n = draw(6); n > 0; --n) change_machine();
     for (std::size_t n = draw(6); n > 0; --n) change_slice();
     if (draw(8) == 0) {
-      booting.push_back(
-          {HostId("new-" + std::to_string(step)), "g8", ZoneId("a"), false, now_ + Span{30'000}});
+      booting.push_back({MachineId("new-" + std::to_string(step)), "g8", ZoneId("a"), false,
+                         now_ + Duration{30'000}});
     }
     if (draw(8) == 0 && !booting.empty()) booting.erase(booting.begin());
-    now_ = now_ + Span{static_cast<std::int64_t>(draw(9000))};
+    now_ = now_ + Duration{static_cast<std::int64_t>(draw(9000))};
     occupancy_.sync(records_, teams_, {}, booting, now_);
     Occupancy fresh;
     fresh.sync(records_, teams_, {}, booting, now_);
@@ -116,23 +116,24 @@
     Profile& anew = fresh.profile();
     ASSERT_EQ(kept.count(), anew.count()) << "step " << step;
     for (const PlanMachine& m : anew.machines()) {
-      const auto there = kept.find(m.host);
-      ASSERT_TRUE(there) << m.host.get();
+      const auto there = kept.find(m.machine_id);
+      ASSERT_TRUE(there) << m.machine_id.get();
       ASSERT_EQ(kept.machines()[*there].zone, m.zone);
       const Lane& a = kept.lane(*there);
-      const Lane& b = anew.lane(*anew.find(m.host));
-      ASSERT_EQ(a.taken().size(), b.taken().size()) << m.host.get() << " step " << step;
+      const Lane& b = anew.lane(*anew.find(m.machine_id));
+      ASSERT_EQ(a.allocations().size(), b.allocations().size())
+          << m.machine_id.get() << " step " << step;
       for (int s = 0; s < 200; s += 7) {
-        const Wall from = now_ + Span{s * 1000};
-        ASSERT_NEAR(a.free(from, from + Span{5000}).gpus, b.free(from, from + Span{5000}).gpus,
-                    1e-6)
-            << m.host.get() << " step " << step << " at +" << s;
+        const WallTime from = now_ + Duration{s * 1000};
+        ASSERT_NEAR(a.free(from, from + Duration{5000}).gpus,
+                    b.free(from, from + Duration{5000}).gpus, 1e-6)
+            << m.machine_id.get() << " step " << step << " at +" << s;
       }
     }
     for (int s = 0; s < 200; s += 7) {
-      const Wall from = now_ + Span{s * 1000};
-      ASSERT_NEAR(kept.team(TeamId("crew"))->free(from, from + Span{5000}).gpus,
-                  anew.team(TeamId("crew"))->free(from, from + Span{5000}).gpus, 1e-6);
+      const WallTime from = now_ + Duration{s * 1000};
+      ASSERT_NEAR(kept.team(TeamId("crew"))->free(from, from + Duration{5000}).gpus,
+                  anew.team(TeamId("crew"))->free(from, from + Duration{5000}).gpus, 1e-6);
     }
   }
 }
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -17,9 +17,10 @@
 
 bool never(double) { return false; }
 
-Reservation reserved(double start, double end, std::vector<std::string> hosts = {"m"}) {
+Reservation reserved(double start, double end, std::vector<std::string> machine_ids = {"m"}) {
   Reservation r;
-  for (const auto& host : hosts) r.places.push_back({HostId(host), at(start), at(end)});
+  for (const auto& machine_id : machine_ids)
+    r.places.push_back({MachineId(machine_id), at(start), at(end)});
   r.first = r.start = at(start);
   r.end = at(end);
   r.changed = false;
@@ -34,7 +35,7 @@
 
 std::vector<std::string> names(const std::vector<Start>& starts) {
   std::vector<std::string> out;
-  for (const Start& s : starts) out.push_back(s.uid.get());
+  for (const Start& s : starts) out.push_back(s.job_id.get());
   return out;
 }
 
@@ -43,7 +44,7 @@
 TEST(Compression, ReturnsToTheFrontAfterEachMove) {
   const JobSpec c = gang("req-c", 1, 2, 10);
   const JobSpec e = gang("req-e", 1, 2, 10);
-  Reservations r{{c.uid, reserved(4, 14)}, {e.uid, reserved(14, 24)}};
+  Reservations r{{c.job_id, reserved(4, 14)}, {e.job_id, reserved(14, 24)}};
   Profile p = one_machine(2);
   std::vector<QueueItem> queue{item(e, 1, 0), item(c, 2, 1)};
   Planner planner(std::move(p), queue, r, at(0), never);
@@ -60,7 +61,7 @@
   // at 2, moves to now and frees the place that kept `high` out.
   const JobSpec high = gang("req-high", 1, 1, 8);
   const JobSpec low = gang("req-low", 1, 2, 9);
-  Reservations r{{high.uid, reserved(20, 28)}, {low.uid, reserved(2, 11)}};
+  Reservations r{{high.job_id, reserved(20, 28)}, {low.job_id, reserved(2, 11)}};
   Profile p = one_machine(3);
   p.take(0, TeamId("x"), {at(0), at(1), {0, 0, 0}, Owner{77}});
   Planner planner(std::move(p), {item(high, 1), item(low, 2)}, r, at(0), never);
@@ -74,14 +75,14 @@
 TEST(DelayedCompression, LeavesHolesThatNoJobCanBeginIn) {
   const JobSpec d = gang("req-d", 1, 1, 10);
   const JobSpec f = gang("req-f", 1, 3, 10);
-  Reservations r{{d.uid, reserved(6, 16)}, {f.uid, reserved(16, 26)}};
+  Reservations r{{d.job_id, reserved(6, 16)}, {f.job_id, reserved(16, 26)}};
   Profile p = one_machine(3);
   p.take(0, TeamId("x"), {at(0), at(4), {0, 1, 0}, Owner{99}});  // C still runs until 4
   Planner planner(std::move(p), {item(d, 1), item(f, 2)}, r, at(0), never);
   planner.restore();
   std::size_t cursor = 0;
   EXPECT_EQ(names(planner.compress(cursor)), std::vector<std::string>{"req-d"});
-  EXPECT_EQ(r.at(f.uid).start, at(16));
+  EXPECT_EQ(r.at(f.job_id).start, at(16));
 }
 
 // Section 2.2: a new job of lower priority must not take a hole that a higher one could move into.
@@ -89,45 +90,45 @@
   JobSpec f = gang("req-f", 1, 3, 10);
   f.urgency = Urgency::urgent;
   const JobSpec fresh = gang("req-new", 1, 3, 8);
-  Reservations r{{f.uid, reserved(16, 26)}};
+  Reservations r{{f.job_id, reserved(16, 26)}};
   Profile p = one_machine(3);
   p.take(0, TeamId("x"), {at(0), at(4), {0, 1, 0}, Owner{99}});
   Planner planner(std::move(p), {item(f, 1), item(fresh, 2)}, r, at(0), never);
   planner.restore();
   EXPECT_TRUE(planner.admit_arrivals());
-  EXPECT_EQ(r.at(f.uid).start, at(4));
-  EXPECT_EQ(r.at(fresh.uid).start, at(14));
+  EXPECT_EQ(r.at(f.job_id).start, at(4));
+  EXPECT_EQ(r.at(fresh.job_id).start, at(14));
 }
 
 TEST(DelayedCompression, ArrivalOfHigherPriorityTakesTheHole) {
   const JobSpec f = gang("req-f", 1, 3, 10);
   JobSpec fresh = gang("req-new", 1, 3, 8);
   fresh.urgency = Urgency::urgent;
-  Reservations r{{f.uid, reserved(16, 26)}};
+  Reservations r{{f.job_id, reserved(16, 26)}};
   Profile p = one_machine(3);
   p.take(0, TeamId("x"), {at(0), at(4), {0, 1, 0}, Owner{99}});
   Planner planner(std::move(p), {item(f, 1), item(fresh, 2)}, r, at(0), never);
   planner.restore();
   planner.admit_arrivals();
-  EXPECT_EQ(r.at(fresh.uid).start, at(4));
-  EXPECT_EQ(r.at(f.uid).start, at(16));
+  EXPECT_EQ(r.at(fresh.job_id).start, at(4));
+  EXPECT_EQ(r.at(f.job_id).start, at(16));
 }
 
 TEST(Guarantee, NoArrivalDelaysAGrantedStart) {
   const JobSpec granted = gang("req-a", 1, 2, 100);
   JobSpec rush = gang("req-b", 1, 2, 50);
   rush.urgency = Urgency::production;
-  Reservations r{{granted.uid, reserved(10, 110)}};
+  Reservations r{{granted.job_id, reserved(10, 110)}};
   Planner planner(one_machine(2), {item(granted, 1), item(rush, 2)}, r, at(0), never);
   planner.restore();
   planner.admit_arrivals();
-  EXPECT_EQ(r.at(granted.uid).start, at(10));
-  EXPECT_GE(r.at(rush.uid).start, at(110));
+  EXPECT_EQ(r.at(granted.job_id).start, at(10));
+  EXPECT_GE(r.at(rush.job_id).start, at(110));
 }
 
 TEST(Guarantee, OnlyOverrunsMoveItLaterAndThatIsReported) {
   const JobSpec a = gang("req-a", 1, 2, 10);
-  Reservations r{{a.uid, reserved(5, 15)}};
+  Reservations r{{a.job_id, reserved(5, 15)}};
   Profile p = one_machine(2);
   p.take(0, TeamId("x"), {at(0), at(8), {0, 2, 0}, Owner{99}});
   Planner planner(std::move(p), {item(a, 1)}, r, at(0), never);
@@ -142,7 +143,7 @@
 TEST(Guarantee, ALaterReservationGivesWayToAnEarlierOneThatMoves) {
   const JobSpec a = gang("req-a", 1, 2, 10);
   const JobSpec b = gang("req-b", 1, 2, 10);
-  Reservations r{{a.uid, reserved(5, 15)}, {b.uid, reserved(15, 25)}};
+  Reservations r{{a.job_id, reserved(5, 15)}, {b.job_id, reserved(15, 25)}};
   Profile p = one_machine(2);
   p.take(0, TeamId("x"), {at(0), at(5), {0, 2, 0}, Owner{99}});
   Planner before(std::move(p), {item(a, 1), item(b, 2)}, r, at(1), never);
@@ -152,8 +153,8 @@
   p.take(0, TeamId("x"), {at(0), at(8), {0, 2, 0}, Owner{99}});  // it overruns
   Planner after(std::move(p), {item(a, 1), item(b, 2)}, r, at(2), never);
   after.restore();
-  EXPECT_EQ(r.at(a.uid).start, at(8));
-  EXPECT_EQ(r.at(b.uid).start, at(18));
+  EXPECT_EQ(r.at(a.job_id).start, at(8));
+  EXPECT_EQ(r.at(b.job_id).start, at(18));
 }
 
 TEST(Guarantee, EveryJobIsReservedEvenIfNoMachineCanTakeIt) {
@@ -161,7 +162,7 @@
   Reservations r;
   Planner planner(one_machine(2), {item(wide, 1)}, r, at(0), never);
   planner.admit_arrivals();
-  EXPECT_GT(r.at(wide.uid).start, at(0));
+  EXPECT_GT(r.at(wide.job_id).start, at(0));
 }
 
 // Found by a quiet day: tasks were displaced for a job, and the room went to another whose place
@@ -175,11 +176,11 @@
   p.take(0, TeamId("x"),
          {at(0), at(6), {0, 1, 0}, Owner{98}});  // being stopped; its place is half free
   p.take(1, TeamId("x"), {at(0), at(3), {0, 2, 0}, Owner{99}});  // predicted to end sooner
-  Reservations r{{wide.uid, reserved(40, 100)}, {other.uid, reserved(30, 90)}};
+  Reservations r{{wide.job_id, reserved(40, 100)}, {other.job_id, reserved(30, 90)}};
   Planner planner(std::move(p), {item(wide, 1), item(other, 2)}, r, at(0), never);
-  planner.restore({{wide.uid, {HostId("m")}}});
-  EXPECT_EQ(r.at(wide.uid).places.at(0).host, HostId("m"));
-  EXPECT_EQ(r.at(wide.uid).start, at(6));
+  planner.restore({{wide.job_id, {MachineId("m")}}});
+  EXPECT_EQ(r.at(wide.job_id).places.at(0).machine_id, MachineId("m"));
+  EXPECT_EQ(r.at(wide.job_id).start, at(6));
   std::size_t cursor = 0;
   EXPECT_TRUE(planner.compress(cursor).empty());
 }
@@ -188,7 +189,7 @@
   std::vector<JobSpec> jobs;
   for (int i = 0; i < 4; ++i) jobs.push_back(gang("req-" + std::to_string(i), 1, 1, 10 + i));
   Reservations r;
-  for (const auto& job : jobs) r.emplace(job.uid, reserved(50, 60));
+  for (const auto& job : jobs) r.emplace(job.job_id, reserved(50, 60));
   int left = 1;
   const auto spent = [&left](double) { return left-- <= 0; };
   std::vector<QueueItem> queue;
@@ -215,50 +216,50 @@
   g.guaranteed = true;
   std::vector<QueueItem> queue{item(lengthy, 2), item(brief, 3), g, item(urgent, 4)};
   std::sort(queue.begin(), queue.end(), before);
-  EXPECT_EQ(queue[0].uid, urgent.uid);
-  EXPECT_EQ(queue[1].uid, within.uid);
-  EXPECT_EQ(queue[2].uid, brief.uid);
-  EXPECT_EQ(queue[3].uid, lengthy.uid);
+  EXPECT_EQ(queue[0].job_id, urgent.job_id);
+  EXPECT_EQ(queue[1].job_id, within.job_id);
+  EXPECT_EQ(queue[2].job_id, brief.job_id);
+  EXPECT_EQ(queue[3].job_id, lengthy.job_id);
 }
 
 TEST(Queue, AJobThatHasNeverBegunIsOverdueAfterAWhileAndGoesFirstOfItsRank) {
   Records records;
   Settings settings;
   Objective wait;
-  wait.workclass = "solve";
+  wait.job_class = "solve";
   wait.within = from_seconds(60);
   settings.objectives = {wait};
   settings.zones = {ZoneId("a")};
-  const auto add = [&](const std::string& uid, double accepted) {
-    JobRecord job{gang(uid, 8, 2, 150), at(accepted), std::nullopt};
-    records.jobs[Uid(uid)] = {job, Stamp(1)};
+  const auto add = [&](const std::string& job_id, double accepted) {
+    JobRecord job{gang(job_id, 8, 2, 150), at(accepted), std::nullopt};
+    records.jobs[JobId(job_id)] = {job, ModRevision(1)};
   };
   add("req-old", 0);    // its objective is missed
   add("req-begun", 1);  // older than the next, but it has run before
   add("req-new", 190);
   SliceRecord slice;
-  slice.uid = Uid("req-begun");
+  slice.job_id = JobId("req-begun");
   slice.tasks.resize(8);
   for (TaskRecord& task : slice.tasks) task.attempt = Attempt(1);
-  records.slices[{slice.uid, 0}] = {slice, Stamp(2)};
-  const auto current = [&](const Uid& uid, std::uint32_t number) -> const SliceRecord* {
-    const auto* stored = records.slice(uid, number);
+  records.slices[{slice.job_id, 0}] = {slice, ModRevision(2)};
+  const auto current = [&](const JobId& job_id, std::uint32_t number) -> const SliceRecord* {
+    const auto* stored = records.slice(job_id, number);
     return stored == nullptr ? nullptr : &stored->record;
   };
   auto queue = build_queue(records, settings, current, at(200), false);
   std::sort(queue.begin(), queue.end(), before);
   ASSERT_EQ(queue.size(), 3U);
-  EXPECT_EQ(queue[0].uid.get(), "req-old");
-  EXPECT_EQ(queue[1].uid.get(), "req-new");
-  EXPECT_EQ(queue[2].uid.get(), "req-begun");
+  EXPECT_EQ(queue[0].job_id.get(), "req-old");
+  EXPECT_EQ(queue[1].job_id.get(), "req-new");
+  EXPECT_EQ(queue[2].job_id.get(), "req-begun");
   // A low one that is overdue goes before standard ones that are not.
-  records.jobs[Uid("req-old")].record.spec.urgency = Urgency::low;
+  records.jobs[JobId("req-old")].record.spec.urgency = Urgency::low;
   queue = build_queue(records, settings, current, at(200), false);
   std::sort(queue.begin(), queue.end(), before);
-  EXPECT_EQ(queue[0].uid.get(), "req-old");
+  EXPECT_EQ(queue[0].job_id.get(), "req-old");
   queue = build_queue(records, settings, current, at(100), false);
   std::sort(queue.begin(), queue.end(), before);
-  EXPECT_EQ(queue[2].uid.get(), "req-old") << "not yet";
+  EXPECT_EQ(queue[2].job_id.get(), "req-old") << "not yet";
 }
 
 // Found by an operators' day: a gang with a mistake, one of whose tasks failed while the other
@@ -268,16 +269,16 @@
   Settings settings;
   settings.zones = {ZoneId("a")};
   const JobRecord job{gang("req-1", 2, 1, 60), at(0), std::nullopt};
-  records.jobs[job.spec.uid] = {job, Stamp(1)};
+  records.jobs[job.spec.job_id] = {job, ModRevision(1)};
   SliceRecord slice;
-  slice.uid = job.spec.uid;
+  slice.job_id = job.spec.job_id;
   slice.tasks.resize(2);
   for (TaskRecord& task : slice.tasks) {
     task.attempt = Attempt(4);
     task.since = at(100);
   }
   slice.tasks[0].faults = 4;
-  const auto current = [&](const Uid&, std::uint32_t) { return &slice; };
+  const auto current = [&](const JobId&, std::uint32_t) { return &slice; };
   auto queue = build_queue(records, settings, current, at(105), false);
   ASSERT_EQ(queue.size(), 1U);
   EXPECT_EQ(queue[0].not_before, at(130));
@@ -290,7 +291,7 @@
   queue = build_queue(records, settings, current, at(131), false);
   ASSERT_EQ(queue.size(), 1U);
   EXPECT_LE(queue[0].not_before, at(131));
-  EXPECT_EQ(queue[0].parts, (std::vector<std::uint32_t>{0, 1}));
+  EXPECT_EQ(queue[0].task_indices, (std::vector<std::uint32_t>{0, 1}));
 }
 
 // Found by an operators' day: an array of 14 tasks with a mistake failed 68 times in 90 s.
@@ -299,30 +300,30 @@
   Settings settings;
   settings.zones = {ZoneId("a")};
   JobSpec spec = gang("req-1", 6, 1, 60);
-  spec.shape = Shape::batch;
+  spec.shape = JobShape::array;
   const JobRecord job{spec, at(0), std::nullopt};
-  records.jobs[spec.uid] = {job, Stamp(1)};
+  records.jobs[spec.job_id] = {job, ModRevision(1)};
   SliceRecord slice;
-  slice.uid = spec.uid;
+  slice.job_id = spec.job_id;
   slice.tasks.resize(6);
-  const auto fail = [&](std::size_t i, const char* host) {
+  const auto fail = [&](std::size_t i, const char* machine_id) {
     TaskRecord& task = slice.tasks[i];
     task.attempt = Attempt(1);
     task.since = at(100);
     ++task.faults;
-    task.failed_on = HostId(host);
+    task.failed_on = MachineId(machine_id);
   };
-  const auto current = [&](const Uid&, std::uint32_t) { return &slice; };
+  const auto current = [&](const JobId&, std::uint32_t) { return &slice; };
   const auto queue = [&](double now) {
     return build_queue(records, settings, current, at(now), false);
   };
   fail(0, "vm-1");
   fail(1, "vm-2");
   fail(2, "vm-2");
-  EXPECT_EQ(queue(101).at(0).parts.size(), 6U) << "two machines may be faulty";
+  EXPECT_EQ(queue(101).at(0).task_indices.size(), 6U) << "two machines may be faulty";
   fail(2, "vm-3");
   ASSERT_EQ(queue(101).size(), 1U);
-  EXPECT_EQ(queue(101)[0].parts, (std::vector<std::uint32_t>{2}));
+  EXPECT_EQ(queue(101)[0].task_indices, (std::vector<std::uint32_t>{2}));
   EXPECT_EQ(queue(101)[0].not_before, at(104));
   // While one tries, the others wait.
   TaskRecord& trying = slice.tasks[2];
@@ -330,9 +331,9 @@
   trying.running = at(105);
   EXPECT_TRUE(queue(106).empty());
   // It works: all go on.
-  EXPECT_EQ(queue(110).at(0).parts, (std::vector<std::uint32_t>{0, 1, 3, 4, 5}));
+  EXPECT_EQ(queue(110).at(0).task_indices, (std::vector<std::uint32_t>{0, 1, 3, 4, 5}));
   trying.state = TaskState::done;
-  EXPECT_EQ(queue(110).at(0).parts.size(), 5U);
+  EXPECT_EQ(queue(110).at(0).task_indices.size(), 5U);
 }
 
 TEST(Profile, TheTeamsLimitIsADimension) {
@@ -348,18 +349,19 @@
 TEST(Profile, ATaskGoesWhereItStrandsNoAccelerators) {
   Profile p;
   PlanMachine lean = machine("lean", 4);
-  lean.room = {24, 4, 96};
+  lean.resources = {24, 4, 96};
   PlanMachine broad = machine("broad", 8);
-  broad.room = {64, 8, 512};
+  broad.resources = {64, 8, 512};
   const std::size_t first = p.add_machine(lean);
   const std::size_t second = p.add_machine(broad);
   // The lean one is the fuller, which would decide between equals.
-  p.take(first, TeamId("crew"), {Wall{0}, at(100), {6, 1, 24}, Owner{99}});
+  p.take(first, TeamId("crew"), {WallTime{0}, at(100), {6, 1, 24}, Owner{99}});
   JobSpec job = batch("req-a", 1, 1, 60);
   job.need = {6, 1, 48};
   const Plan plan = p.fit_some(item(job, 1).demand, at(0));
-  ASSERT_EQ(plan.spots.size(), 1U);
-  EXPECT_EQ(plan.spots[0].machine, second) << "two of these fill the lean one and leave GPUs idle";
+  ASSERT_EQ(plan.placements.size(), 1U);
+  EXPECT_EQ(plan.placements[0].machine, second)
+      << "two of these fill the lean one and leave GPUs idle";
 }
 
 TEST(Profile, TogetherSpreadDistrictBuildsAndLoanersAreKept) {
@@ -371,26 +373,27 @@
   job.together = true;
   auto plan = p.earliest(item(job, 1).demand, at(0));
   ASSERT_TRUE(plan);
-  for (const Spot& s : plan->spots) EXPECT_EQ(p.machines()[s.machine].zone, ZoneId("b"));
+  for (const Placement& s : plan->placements) EXPECT_EQ(p.machines()[s.machine].zone, ZoneId("b"));
 
   job.together = false;
   job.spread = true;
   plan = p.earliest(item(job, 1).demand, at(0));
   ASSERT_TRUE(plan);
   std::size_t in_b = 0;
-  for (const Spot& s : plan->spots) in_b += p.machines()[s.machine].zone == ZoneId("b") ? 1 : 0;
+  for (const Placement& s : plan->placements)
+    in_b += p.machines()[s.machine].zone == ZoneId("b") ? 1 : 0;
   EXPECT_EQ(in_b, 2U);
 
   PlanMachine spot = machine("c1", 8, "c");
   spot.spot = true;
   job = gang("req-b", 1, 1, 10);
   EXPECT_FALSE(Profile::allowed(job, spot));
-  job.loaners = true;
+  job.allows_spot = true;
   EXPECT_TRUE(Profile::allowed(job, spot));
-  job.builds = {"other"};
+  job.machine_types = {"other"};
   EXPECT_FALSE(Profile::allowed(job, spot));
-  job.builds.clear();
-  job.district = ZoneId("a");
+  job.machine_types.clear();
+  job.required_zone = ZoneId("a");
   EXPECT_FALSE(Profile::allowed(job, spot));
 }
 
@@ -407,7 +410,7 @@
 class Days {
  public:
   explicit Days(int machines) {
-    for (int i = 0; i < machines; ++i) hosts_.push_back("m" + std::to_string(i));
+    for (int i = 0; i < machines; ++i) machine_ids_.push_back("m" + std::to_string(i));
   }
   void submit(JobSpec job) {
     jobs_.push_back(std::make_unique<JobSpec>(std::move(job)));
@@ -416,43 +419,45 @@
   void second() {
     std::erase_if(running_, [&](const auto& t) { return t.second.to <= at(now_); });
     Profile p;
-    for (const auto& host : hosts_) p.add_machine(machine(host, 4));
-    for (const auto& [host, taken] : running_) p.take(*p.find(host), TeamId("x"), taken);
+    for (const auto& machine_id : machine_ids_) p.add_machine(machine(machine_id, 4));
+    for (const auto& [machine_id, allocation] : running_)
+      p.take(*p.find(machine_id), TeamId("x"), allocation);
     Planner planner(std::move(p), queue_, reservations_, at(now_), never);
     planner.restore();
     planner.admit_arrivals();
     std::size_t cursor = 0;
     for (const Start& start : planner.compress(cursor)) {
       const auto entry = std::find_if(queue_.begin(), queue_.end(),
-                                      [&](const auto& i) { return i.uid == start.uid; });
-      began_.try_emplace(start.uid.get(), now_);
-      for (const Spot& s : start.plan.spots) {
-        running_.emplace_back(planner.profile().machines()[s.machine].host,
-                              Taken{Wall{0}, s.end, entry->demand.job->need, Owner{++serial_}});
+                                      [&](const auto& i) { return i.job_id == start.job_id; });
+      began_.try_emplace(start.job_id.get(), now_);
+      for (const Placement& s : start.plan.placements) {
+        running_.emplace_back(
+            planner.profile().machines()[s.machine].machine_id,
+            Allocation{WallTime{0}, s.end, entry->demand.job->need, Owner{++serial_}});
       }
-      entry->demand.tasks -= static_cast<std::uint32_t>(start.parts.size());
-      entry->parts.resize(entry->demand.tasks);
+      entry->demand.tasks -= static_cast<std::uint32_t>(start.task_indices.size());
+      entry->task_indices.resize(entry->demand.tasks);
       if (entry->demand.tasks == 0) {
-        reservations_.erase(start.uid);
+        reservations_.erase(start.job_id);
         queue_.erase(entry);
       }
     }
     now_ += 1;
   }
-  [[nodiscard]] double granted(const std::string& uid) const {
-    return static_cast<double>(reservations_.at(Uid(uid)).first.ms) / 1000;
+  [[nodiscard]] double granted(const std::string& job_id) const {
+    return static_cast<double>(reservations_.at(JobId(job_id)).first.ms) / 1000;
   }
-  [[nodiscard]] std::optional<double> began(const std::string& uid) const {
-    const auto it = began_.find(uid);
+  [[nodiscard]] std::optional<double> began(const std::string& job_id) const {
+    const auto it = began_.find(job_id);
     return it == began_.end() ? std::nullopt : std::optional(it->second);
   }
   [[nodiscard]] double now() const { return now_; }
 
  private:
-  std::vector<std::string> hosts_;
+  std::vector<std::string> machine_ids_;
   std::vector<std::unique_ptr<JobSpec>> jobs_;
   std::vector<QueueItem> queue_;
-  std::vector<std::pair<HostId, Taken>> running_;
+  std::vector<std::pair<MachineId, Allocation>> running_;
   Reservations reservations_;
   std::map<std::string, double> began_;
   std::uint64_t serial_ = 0;
--- a/tests/proof_test.cpp
+++ b/tests/proof_test.cpp
@@ -6,84 +6,84 @@
 namespace marblevale {
 namespace {
 
-constexpr std::uint64_t kWarrant = 10;
-const TaskId kTask{Uid("req-1"), 0};
+constexpr std::uint64_t kToken = 10;
+const TaskId kTask{JobId("req-1"), 0};
 
 TaskRecord bound() {
   TaskRecord task;
   task.state = TaskState::bound;
   task.attempt = Attempt(2);
   task.zone = ZoneId("a");
-  task.host = HostId("vm-1");
-  task.tenure = Tenure(1);
+  task.machine_id = MachineId("vm-1");
+  task.session = SessionId(1);
   return task;
 }
 
-Report report(std::uint64_t tenure, std::uint64_t tally, std::uint64_t warrant,
+Report report(std::uint64_t session, std::uint64_t sequence, std::uint64_t token,
               std::vector<ReportedTask> parts = {}) {
   Report r;
-  r.host = HostId("vm-1");
-  r.tenure = Tenure(tenure);
-  r.tally = Tally(tally);
-  r.warrant = Warrant(warrant);
-  r.parts = std::move(parts);
+  r.machine_id = MachineId("vm-1");
+  r.session = SessionId(session);
+  r.sequence = ReportSequence(sequence);
+  r.token = FencingToken(token);
+  r.tasks = std::move(parts);
   return r;
 }
 
-Finding look(const WorkerView& view) { return examine(kTask, bound(), view, Warrant(kWarrant)); }
+Finding look(const WorkerView& view) { return examine(kTask, bound(), view, FencingToken(kToken)); }
 
 TEST(Proof, AReportWithoutTheTaskProvesNothingBeforeTheWorkerSawOurWarrant) {
   // An earlier holder's start may still be on its way to the worker.
   WorkerView view;
-  view.take(report(1, 5, kWarrant - 1));
+  view.take(report(1, 5, kToken - 1));
   EXPECT_EQ(look(view), Finding::absent);
-  view.take(report(1, 6, kWarrant));
+  view.take(report(1, 6, kToken));
   EXPECT_EQ(look(view), Finding::never_here);
 }
 
 TEST(Proof, ADirectStartCanArriveLateUntilAHigherWarrantIsSeen) {
   WorkerView view;
-  view.take(report(1, 5, kWarrant));
-  view.direct_starts[{kTask, Attempt(2)}] = Warrant(kWarrant);
-  view.take(report(1, 6, kWarrant));
+  view.take(report(1, 5, kToken));
+  view.direct_starts[{kTask, Attempt(2)}] = FencingToken(kToken);
+  view.take(report(1, 6, kToken));
   view.prune();
   EXPECT_EQ(look(view), Finding::absent);
-  view.take(report(1, 7, kWarrant + 1));
+  view.take(report(1, 7, kToken + 1));
   view.prune();
-  EXPECT_EQ(examine(kTask, bound(), view, Warrant(kWarrant + 1)), Finding::never_here);
+  EXPECT_EQ(examine(kTask, bound(), view, FencingToken(kToken + 1)), Finding::never_here);
 }
 
 TEST(Proof, AStartInAnAnswerIsSettledByTheNextReport) {
   WorkerView view;
-  view.take(report(1, 5, kWarrant));
-  view.answered_starts[{kTask, Attempt(2)}] = Tally(5);
+  view.take(report(1, 5, kToken));
+  view.answered_starts[{kTask, Attempt(2)}] = ReportSequence(5);
   EXPECT_EQ(look(view), Finding::absent);
-  view.take(report(1, 6, kWarrant));
+  view.take(report(1, 6, kToken));
   EXPECT_EQ(look(view), Finding::never_here);
 }
 
 TEST(Proof, ANewSessionIsProofAndALateReportOfTheOldOneIsDropped) {
   WorkerView view;
   EXPECT_TRUE(
-      view.take(report(1, 5, kWarrant, {{kTask, Attempt(2), TaskStatus::running, "", false}})));
+      view.take(report(1, 5, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}})));
   EXPECT_EQ(look(view), Finding::present);
-  EXPECT_TRUE(view.take(report(2, 6, kWarrant)));
+  EXPECT_TRUE(view.take(report(2, 6, kToken)));
   EXPECT_EQ(look(view), Finding::lost);
   EXPECT_FALSE(
-      view.take(report(1, 9, kWarrant, {{kTask, Attempt(2), TaskStatus::running, "", false}})));
+      view.take(report(1, 9, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}})));
   EXPECT_EQ(look(view), Finding::lost);
 }
 
 TEST(Proof, AnOlderTallyIsDropped) {
   WorkerView view;
-  view.take(report(1, 8, kWarrant, {{kTask, Attempt(2), TaskStatus::running, "", false}}));
-  EXPECT_FALSE(view.take(report(1, 7, kWarrant)));
+  view.take(report(1, 8, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}}));
+  EXPECT_FALSE(view.take(report(1, 7, kToken)));
   EXPECT_EQ(look(view), Finding::present);
 }
 
 TEST(Proof, AnotherAttemptOfTheTaskIsNotThisOne) {
   WorkerView view;
-  view.take(report(1, 5, kWarrant, {{kTask, Attempt(1), TaskStatus::ended, "peers", false}}));
+  view.take(report(1, 5, kToken, {{kTask, Attempt(1), TaskStatus::ended, "peers", false}}));
   EXPECT_EQ(look(view), Finding::never_here);
 }
 
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -22,7 +22,7 @@
 constexpr int kMachines = 620;
 constexpr int kJobs = 200;
 #endif
-constexpr std::uint64_t kMostLooked = 10ULL * kMachines * kJobs;
+constexpr std::uint64_t kMaxLooked = 10ULL * kMachines * kJobs;
 
 /// Machines of 4 and 8 GPUs in three zones.
 Profile large_fleet() {
@@ -30,7 +30,7 @@
   for (int i = 0; i < kMachines; ++i) {
     const std::string zone(1, static_cast<char>('a' + i % 3));
     PlanMachine m = machine("vm-" + std::to_string(i), i % 2 == 0 ? 4 : 8, zone);
-    m.build = i % 2 == 0 ? "g4" : "g8";
+    m.machine_type = i % 2 == 0 ? "g4" : "g8";
     m.spot = i % 5 == 0;
     p.add_machine(std::move(m));
   }
@@ -41,14 +41,14 @@
   std::vector<JobSpec> jobs;
   constexpr std::array<std::uint32_t, 5> kWidths{1, 2, 4, 8, 16};
   for (int i = 0; i < count; ++i) {
-    const std::string uid = "req-" + std::to_string(i);
+    const std::string job_id = "req-" + std::to_string(i);
     if (i % 4 == 0) {
-      jobs.push_back(batch(uid, 60, 1, 60 + i % 50));
+      jobs.push_back(batch(job_id, 60, 1, 60 + i % 50));
     } else {
-      jobs.push_back(gang(uid, kWidths.at(static_cast<std::size_t>(i) % 5), 4, 80 + i % 70));
+      jobs.push_back(gang(job_id, kWidths.at(static_cast<std::size_t>(i) % 5), 4, 80 + i % 70));
       jobs.back().together = true;
     }
-    jobs.back().loaners = i % 2 == 0;
+    jobs.back().allows_spot = i % 2 == 0;
   }
   return jobs;
 }
@@ -66,12 +66,12 @@
   const auto admitted = planner.profile().looked();
   // A place is looked for among the machines once, not once for each moment: a few lanes per
   // machine and job, however full the profile is.
-  EXPECT_LT(admitted, kMostLooked);
+  EXPECT_LT(admitted, kMaxLooked);
   std::size_t cursor = 0;
   const auto starts = planner.compress(cursor);
   EXPECT_EQ(cursor, 0U);
   EXPECT_GT(starts.size(), kJobs / 10);
-  EXPECT_LT(planner.profile().looked() - admitted, kMostLooked);
+  EXPECT_LT(planner.profile().looked() - admitted, kMaxLooked);
 }
 
 }  // namespace
--- a/tests/scripted_store.hpp
+++ b/tests/scripted_store.hpp
@@ -1,4 +1,4 @@
-// A state service in memory, by the published protocol: guards, stamps, leases, watches. What it
+// A state service in memory, by the published protocol: guards, revisions, leases, watches. What it
 // does with the next commits, and when it answers, is scripted by the test.
 #pragma once
 
@@ -19,10 +19,10 @@
 /// Time that stands still until the test moves it; timers fire in their order on the way.
 class FakeTime : public Clock, public TimerQueue {
  public:
-  [[nodiscard]] Steady steady() const override { return {now_}; }
-  [[nodiscard]] Wall wall() const override { return {now_ + 1'000'000}; }
+  [[nodiscard]] SteadyTime steady() const override { return {now_}; }
+  [[nodiscard]] WallTime wall() const override { return {now_ + 1'000'000}; }
 
-  void arm(Timer& timer, Span after) override {
+  void arm(Timer& timer, Duration after) override {
     disarm(timer);
     due_.emplace(std::make_pair(now_ + after.ms, serial_++), &timer);
   }
@@ -34,7 +34,7 @@
                        [&](const auto& entry) { return entry.second == &timer; });
   }
 
-  void advance(Span by) {
+  void advance(Duration by) {
     const std::int64_t until = now_ + by.ms;
     while (!due_.empty() && due_.begin()->first.first <= until) {
       now_ = std::max(now_, due_.begin()->first.first);
@@ -46,7 +46,7 @@
   }
 
   /// The clocks run on, and nothing is done meanwhile: all that was due is late.
-  void stand_still(Span span) { now_ += span.ms; }
+  void stand_still(Duration duration) { now_ += duration.ms; }
 
  private:
   std::int64_t now_ = 10'000'000;
@@ -67,7 +67,7 @@
     ReadResult result;
     result.ok = true;
     if (const auto it = data_.find(key); it != data_.end()) {
-      result.entry = Entry{key, it->second.value, it->second.stamp};
+      result.entry = Entry{key, it->second.value, it->second.mod_revision};
     }
     deliver([then = std::move(then), result] { then(result); });
   }
@@ -82,13 +82,13 @@
       if (key.compare(0, prefix.size(), prefix) != 0 || key <= after) continue;
       result.has_next = result.items.size() >= page;
       if (result.has_next) break;
-      result.items.push_back({key, entry.value, entry.stamp});
+      result.items.push_back({key, entry.value, entry.mod_revision});
     }
     result.revision = Revision(revision_);
     deliver([then = std::move(then), result] { then(result); });
   }
 
-  void commit(Rank, Txn txn, std::function<void(CommitResult)> then) override {
+  void commit(RequestPriority, Txn txn, std::function<void(CommitResult)> then) override {
     commits.push_back(txn);
     const Script script = scripts.empty() ? Script::normal : scripts.front();
     if (!scripts.empty()) scripts.pop_front();
@@ -98,7 +98,7 @@
         result = apply(txn);
         break;
       case Script::refuse:
-        result.fate = Fate::refused;
+        result.outcome = Outcome::refused;
         break;
       case Script::lose_answer:
         apply(txn);
@@ -112,19 +112,19 @@
     deliver([then = std::move(then), result] { then(result); });
   }
 
-  void watch(const std::string& prefix, Revision after, Span,
+  void watch(const std::string& prefix, Revision after, Duration,
              std::function<void(WatchResult)> then) override {
     watches_.push_back({prefix, after, std::move(then)});
   }
 
-  void create_permit(Span, std::function<void(PermitResult)> then) override {
-    const Permit permit(++permits_);
-    deliver([then = std::move(then), permit] { then({Fate::done, permit}); });
+  void create_lease(Duration, std::function<void(LeaseResult)> then) override {
+    const LeaseId lease_id(++leases_);
+    deliver([then = std::move(then), lease_id] { then({Outcome::done, lease_id}); });
   }
 
-  void touch_permit(Permit permit, std::function<void(PermitResult)> then) override {
-    const Fate fate = ended_.contains(permit) ? Fate::no_permit : Fate::done;
-    deliver([then = std::move(then), fate, permit] { then({fate, permit}); });
+  void renew_lease(LeaseId lease_id, std::function<void(LeaseResult)> then) override {
+    const Outcome outcome = ended_.contains(lease_id) ? Outcome::lease_expired : Outcome::done;
+    deliver([then = std::move(then), outcome, lease_id] { then({outcome, lease_id}); });
   }
 
   [[nodiscard]] const StoreLimits& limits() const override { return limits_; }
@@ -138,7 +138,7 @@
       WatchResult result;
       result.kind = WatchResult::Kind::changes;
       for (const Change& change : log_) {
-        if (change.stamp.get() > watch.after.get() &&
+        if (change.mod_revision.get() > watch.after.get() &&
             change.key.compare(0, watch.prefix.size(), watch.prefix) == 0) {
           result.log.push_back(change);
         }
@@ -156,32 +156,32 @@
   }
 
   /// What another controller writes.
-  Stamp put(const std::string& key, const std::string& value) {
+  ModRevision put(const std::string& key, const std::string& value) {
     Txn txn;
     txn.put(key, value);
-    return Stamp(apply(txn).revision.get());
+    return ModRevision(apply(txn).revision.get());
   }
 
   /// A machine's record, in its page with those that are there already.
   void put_machine(const MachineRecord& machine) {
-    const std::string key = keys::machine_page(machine.zone, machine.host);
+    const std::string key = keys::machine_page(machine.zone, machine.machine_id);
     MachinePage page;
     json::Document doc;
     if (const auto entry = get(key); entry && json::parse(doc, entry->value)) decode(doc, page);
-    std::erase_if(page.machines, [&](const auto& m) { return m.host == machine.host; });
+    std::erase_if(page.machines, [&](const auto& m) { return m.machine_id == machine.machine_id; });
     page.machines.push_back(machine);
     put(key, encode(page, limits_.value_bytes));
   }
 
-  void end_permit(Permit permit) { ended_.insert(permit); }
+  void end_lease(LeaseId lease_id) { ended_.insert(lease_id); }
 
   /// The lease on which the key hangs ends, and all its keys go.
   void lapse(const std::string& key) {
-    const Permit permit = data_.at(key).permit;
-    end_permit(permit);
+    const LeaseId lease_id = data_.at(key).lease_id;
+    end_lease(lease_id);
     Txn txn;
     for (const auto& [path, kept] : data_) {
-      if (kept.permit == permit) txn.remove(path);
+      if (kept.lease_id == lease_id) txn.remove(path);
     }
     apply(txn);
   }
@@ -189,7 +189,7 @@
   [[nodiscard]] std::optional<Entry> get(const std::string& key) const {
     const auto it = data_.find(key);
     if (it == data_.end()) return std::nullopt;
-    return Entry{key, it->second.value, it->second.stamp};
+    return Entry{key, it->second.value, it->second.mod_revision};
   }
 
   /// Answers wait here while `hold` is set.
@@ -216,8 +216,8 @@
  private:
   struct Kept {
     std::string value;
-    Stamp stamp;
-    Permit permit;
+    ModRevision mod_revision;
+    LeaseId lease_id;
   };
   struct Watch {
     std::string prefix;
@@ -235,30 +235,31 @@
 
   CommitResult apply(const Txn& txn) {
     CommitResult result;
-    for (const auto& [key, stamp] : txn.guards) {
+    for (const auto& [key, mod_revision] : txn.guards) {
       const auto it = data_.find(key);
-      if ((it == data_.end() ? Stamp{} : it->second.stamp) != stamp) result.failed.push_back(key);
+      if ((it == data_.end() ? ModRevision{} : it->second.mod_revision) != mod_revision)
+        result.failed.push_back(key);
     }
     if (!result.failed.empty()) {
-      result.fate = Fate::conflict;
+      result.outcome = Outcome::conflict;
       result.revision = Revision(revision_);
       return result;
     }
     for (const Put& put : txn.puts) {
-      if (put.permit != Permit{} && ended_.contains(put.permit)) {
-        result.fate = Fate::no_permit;
+      if (put.lease_id != LeaseId{} && ended_.contains(put.lease_id)) {
+        result.outcome = Outcome::lease_expired;
         return result;
       }
     }
-    const Stamp stamp(++revision_);
+    const ModRevision mod_revision(++revision_);
     for (const Put& put : txn.puts) {
-      data_[put.key] = {put.value, stamp, put.permit};
-      log_.push_back({put.key, put.value, stamp});
+      data_[put.key] = {put.value, mod_revision, put.lease_id};
+      log_.push_back({put.key, put.value, mod_revision});
     }
     for (const auto& key : txn.deletes) {
-      if (data_.erase(key) > 0) log_.push_back({key, std::nullopt, stamp});
+      if (data_.erase(key) > 0) log_.push_back({key, std::nullopt, mod_revision});
     }
-    result.fate = Fate::done;
+    result.outcome = Outcome::done;
     result.revision = Revision(revision_);
     return result;
   }
@@ -266,8 +267,8 @@
   std::map<std::string, Kept> data_;
   std::vector<Change> log_;
   std::uint64_t revision_ = 0;
-  std::uint64_t permits_ = 0;
-  std::set<Permit> ended_;
+  std::uint64_t leases_ = 0;
+  std::set<LeaseId> ended_;
   std::vector<Watch> watches_;
   StoreLimits limits_{1e6, 1e6, 8192, 16, 3};  // no pace: tests move time themselves
 };
--- a/tests/added_troubles_test.cpp
+++ b/tests/worker_partition_test.cpp
@@ -5,7 +5,7 @@
 namespace marblevale {
 namespace {
 
-using testing::HolderTest;
+using testing::BlockHolderTest;
 using testing::Script;
 
 TEST(OrderConnections, FollowTheSocketsThatTheMachineHas) {
@@ -25,31 +25,31 @@
   for (int i = 0; i < 35; ++i) {
     JobRecord job;
     job.spec = testing::gang("req-" + std::to_string(100 + i), 1, 1, 100);
-    store.put(keys::job(job.spec.uid), encode(job));
+    store.put(keys::job(job.spec.job_id), encode(job));
   }
-  Mirror mirror(loop, time, store, 1);
+  WatchCache cache(loop, time, store, 1);
   store.hold = true;
-  mirror.begin();
+  cache.begin();
   store.hold = false;
   store.failing_ranges = 1;
   store.deliver_all();
-  time.advance(Span{3000});
-  EXPECT_TRUE(mirror.ready());
-  EXPECT_EQ(mirror.records().jobs.size(), 35U);
+  time.advance(Duration{3000});
+  EXPECT_TRUE(cache.ready());
+  EXPECT_EQ(cache.records().jobs.size(), 35U);
   EXPECT_EQ(store.ranges.size(), 5U) << "four pages, one of them twice";
 }
 
-class Troubles : public HolderTest {
+class WorkerPartitionTest : public BlockHolderTest {
  protected:
-  [[nodiscard]] MachineState machine_state(const std::string& host = "vm-1") const {
-    const auto it = mirror_.records().machines.find(HostId(host));
-    return it == mirror_.records().machines.end() ? MachineState::gone : it->second.record.state;
+  [[nodiscard]] MachineState machine_state(const std::string& machine_id = "vm-1") const {
+    const auto it = cache_.records().machines.find(MachineId(machine_id));
+    return it == cache_.records().machines.end() ? MachineState::gone : it->second.record.state;
   }
   /// Reports as its times have it, each of which is answered.
-  void report_for(Span span, std::uint64_t tenure, const std::string& parts = "") {
-    for (std::int64_t at = 0; at < span.ms; at += 3000) {
-      hello(tenure, warrant(), parts);
-      run(Span{3000});
+  void report_for(Duration duration, std::uint64_t session, const std::string& parts = "") {
+    for (std::int64_t at = 0; at < duration.ms; at += 3000) {
+      handle_report(session, token(), parts);
+      run(Duration{3000});
     }
   }
   void answer_direct(int status) {
@@ -57,66 +57,66 @@
     sent.then({status, false,
                R"({"host":"vm-1","address":"10.1.0.1:9000","build":"g8","district":"a",)"
                R"("loaners":false,"tenure":1,"tally":)" +
-                   std::to_string(++tally_) + R"(,"warrant":)" + std::to_string(warrant()) +
+                   std::to_string(++sequence_) + R"(,"warrant":)" + std::to_string(token()) +
                    R"(,"recall_s":null,"parts":[]})"});
-    run(Span{50});
+    run(Duration{50});
   }
 };
 
-TEST_F(Troubles, NothingIsBoundToAMachineThatHasNotShownThatItHears) {
-  EXPECT_EQ(hello(1, 0).status, 200);
+TEST_F(WorkerPartitionTest, NothingIsBoundToAMachineThatHasNotShownThatItHears) {
+  EXPECT_EQ(handle_report(1, 0).status, 200);
   release();
-  run(Span{500});
+  run(Duration{500});
   EXPECT_EQ(task().state, TaskState::released);
   ASSERT_FALSE(workers_.sent.empty()) << "it is told who speaks for its block";
   answer_direct(200);
-  hello(1, warrant());
-  run(Span{600});
+  handle_report(1, token());
+  run(Duration{600});
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
-TEST_F(Troubles, APauseOfThisProcessIsNotTheSilenceOfItsMachines) {
-  hello(1, warrant(), "", "vm-1");
-  hello(1, warrant(), "", "vm-2");
-  run(Span{600});
+TEST_F(WorkerPartitionTest, APauseOfThisProcessIsNotTheSilenceOfItsMachines) {
+  handle_report(1, token(), "", "vm-1");
+  handle_report(1, token(), "", "vm-2");
+  run(Duration{600});
   ASSERT_EQ(machine_state("vm-1"), MachineState::up);
-  time_.stand_still(Span{51'000});
-  hello(1, warrant(), "", "vm-2");  // the first to be heard again
-  run(Span{1'000});
+  time_.stand_still(Duration{51'000});
+  handle_report(1, token(), "", "vm-2");  // the first to be heard again
+  run(Duration{1'000});
   EXPECT_EQ(machine_state("vm-1"), MachineState::up) << "it has had no time to report";
   for (int i = 0; i < 4; ++i) {
-    hello(1, warrant(), "", "vm-2");
-    run(Span{3'000});
+    handle_report(1, token(), "", "vm-2");
+    run(Duration{3'000});
   }
   EXPECT_EQ(machine_state("vm-1"), MachineState::silent);
 }
 
-TEST_F(Troubles, AHolderThatWasCutOffDoesNotCallItsMachinesSilentWhenItIsBack) {
-  hello(1, warrant(), "", "vm-1");
-  hello(1, warrant(), "", "vm-2");
-  run(Span{600});
+TEST_F(WorkerPartitionTest, AHolderThatWasCutOffDoesNotCallItsMachinesSilentWhenItIsBack) {
+  handle_report(1, token(), "", "vm-1");
+  handle_report(1, token(), "", "vm-2");
+  run(Duration{600});
   ASSERT_EQ(machine_state("vm-1"), MachineState::up);
   // Cut off from the state service; its workers have gone to the block's new holder, but for one.
   informed_ = false;
   for (int i = 0; i < 10; ++i) {
-    hello(1, warrant(), "", "vm-2");
+    handle_report(1, token(), "", "vm-2");
     store_.scripts.assign(20, Script::refuse);
-    run(Span{3000});
+    run(Duration{3000});
   }
   store_.put(keys::block(ZoneId("a")),
              encode(BlockRecord{ZoneId("a"), NodeId("other"), Nonce(9), 2}));
   store_.put(keys::block(ZoneId("a")), encode(BlockRecord{ZoneId("a"), NodeId("me"), Nonce(7), 3}));
   store_.scripts.clear();
   informed_ = true;
-  run(Span{2000});
+  run(Duration{2000});
   EXPECT_EQ(machine_state("vm-1"), MachineState::up) << "it may have reported elsewhere";
 }
 
-TEST_F(Troubles, MachinesThatComeUpTogetherCostAWriteAPage) {
+TEST_F(WorkerPartitionTest, MachinesThatComeUpTogetherCostAWriteAPage) {
   const auto before = store_.commits.size();
-  for (int i = 0; i < 240; ++i) hello(1, warrant(), "", "vm-" + std::to_string(100'000 + i));
-  run(Span{1'000});
-  EXPECT_EQ(mirror_.records().machines.size(), 240U);
+  for (int i = 0; i < 240; ++i) handle_report(1, token(), "", "vm-" + std::to_string(100'000 + i));
+  run(Duration{1'000});
+  EXPECT_EQ(cache_.records().machines.size(), 240U);
   std::size_t puts = 0;
   for (std::size_t i = before; i < store_.commits.size(); ++i) {
     puts += store_.commits[i].puts.size();
@@ -124,180 +124,181 @@
   EXPECT_LE(puts, 240 / kPageMachines + 1) << "each put counts against the rate of writes";
 }
 
-TEST_F(Troubles, AMachineThatHungAndIsBackIsNotTakenForDeaf) {
-  hello(1, warrant());
+TEST_F(WorkerPartitionTest, AMachineThatHungAndIsBackIsNotTakenForDeaf) {
+  handle_report(1, token());
   release();
-  run(Span{50});
+  run(Duration{50});
   ASSERT_EQ(task().state, TaskState::bound);
-  run(Span{20'000});  // it hangs: the start can't show
-  hello(1, warrant());
-  run(Span{600});
-  hello(1, warrant(), part("fetching"));
-  run(Span{600});
+  run(Duration{20'000});  // it hangs: the start can't show
+  handle_report(1, token());
+  run(Duration{600});
+  handle_report(1, token(), task_index("fetching"));
+  run(Duration{600});
   EXPECT_EQ(machine_state(), MachineState::up);
 }
 
-TEST_F(Troubles, AZoneIsDarkUntilOneOfItsMachinesIsHeard) {
+TEST_F(WorkerPartitionTest, AZoneIsDarkUntilOneOfItsMachinesIsHeard) {
   MachineRecord m;
-  m.host = HostId("vm-1");
+  m.machine_id = MachineId("vm-1");
   m.address = "10.1.0.1:9000";
-  m.build = "g8";
+  m.machine_type = "g8";
   m.zone = ZoneId("a");
   store_.put_machine(m);
-  run(Span{20});
-  EXPECT_EQ(holder_.dark(), std::set<ZoneId>{ZoneId("a")});
-  hello(1, warrant());
-  EXPECT_TRUE(holder_.dark().empty());
-  run(Span{8'000});
-  EXPECT_EQ(holder_.dark(), std::set<ZoneId>{ZoneId("a")}) << "no report for 2.5 times";
-  hello(1, warrant(), "", "vm-2");  // the zone is in reach again: the first of its machines
-  run(Span{2'000});
+  run(Duration{20});
+  EXPECT_EQ(holder_.unreachable_zones(), std::set<ZoneId>{ZoneId("a")});
+  handle_report(1, token());
+  EXPECT_TRUE(holder_.unreachable_zones().empty());
+  run(Duration{8'000});
+  EXPECT_EQ(holder_.unreachable_zones(), std::set<ZoneId>{ZoneId("a")})
+      << "no report for 2.5 times";
+  handle_report(1, token(), "", "vm-2");  // the zone is in reach again: the first of its machines
+  run(Duration{2'000});
   EXPECT_EQ(machine_state(), MachineState::up) << "the others have had no time to report";
 }
 
-TEST_F(Troubles, ABlockThatComesTellsMachinesWithWorkFirstAndNotAllAtOnce) {
+TEST_F(WorkerPartitionTest, ABlockThatComesTellsMachinesWithWorkFirstAndNotAllAtOnce) {
   for (int i = 0; i < 300; ++i) {
     MachineRecord m;
-    m.host = HostId("vm-" + std::to_string(1000 + i));
+    m.machine_id = MachineId("vm-" + std::to_string(1000 + i));
     m.address = i == 299 ? "10.1.1.2:9000" : "10.1.1.1:9000";
-    m.build = "g8";
+    m.machine_type = "g8";
     m.zone = ZoneId("a");
     store_.put_machine(m);
   }
   JobRecord job{testing::gang("req-1", 1, 1, 100), time_.wall(), std::nullopt};
-  store_.put(keys::job(job.spec.uid), encode(job));
+  store_.put(keys::job(job.spec.job_id), encode(job));
   SliceRecord slice;
-  slice.uid = job.spec.uid;
+  slice.job_id = job.spec.job_id;
   slice.tasks.resize(1);
   slice.tasks[0].state = TaskState::bound;
   slice.tasks[0].attempt = Attempt(1);
   slice.tasks[0].zone = ZoneId("a");
-  slice.tasks[0].host = HostId("vm-1299");
-  store_.put(keys::slice(slice.uid, 0), encode(slice));
+  slice.tasks[0].machine_id = MachineId("vm-1299");
+  store_.put(keys::slice(slice.job_id, 0), encode(slice));
   store_.put(keys::block(ZoneId("a")),
              encode(BlockRecord{ZoneId("a"), NodeId("other"), Nonce(9), 2}));
-  run(Span{20});
+  run(Duration{20});
   workers_.sent.clear();
   store_.put(keys::block(ZoneId("a")), encode(BlockRecord{ZoneId("a"), NodeId("me"), Nonce(7), 3}));
   for (int i = 0; i < 20 && workers_.sent.empty(); ++i) {
     store_.tell_watch();
-    time_.advance(Span{1});
+    time_.advance(Duration{1});
   }
   ASSERT_FALSE(workers_.sent.empty());
   EXPECT_LT(workers_.sent.size(), 100U);
   EXPECT_EQ(workers_.sent.front().address, "10.1.1.2:9000") << "the one with work";
-  run(Span{200});
+  run(Duration{200});
   EXPECT_EQ(workers_.sent.size(), 300U);
 }
 
-TEST_F(Troubles, AMachineThatReportsButHearsNothingIsGivenUpWithoutFreeingItsTasks) {
+TEST_F(WorkerPartitionTest, AMachineThatReportsButHearsNothingIsGivenUpWithoutFreeingItsTasks) {
   bind_and_start();
-  report_for(Span{12'000}, 1);  // the start does not show in any of its reports
+  report_for(Duration{12'000}, 1);  // the start does not show in any of its reports
   EXPECT_EQ(machine_state(), MachineState::silent);
   EXPECT_EQ(task().state, TaskState::bound) << "its silence about the task proves nothing";
-  report_for(Span{9'000}, 1);
+  report_for(Duration{9'000}, 1);
   EXPECT_EQ(machine_state(), MachineState::silent) << "reports alone do not bring it back";
   // Its lease has lapsed, as it had to: that is the proof.
-  hello(2, warrant());
-  run(Span{100});
+  handle_report(2, token());
+  run(Duration{100});
   EXPECT_EQ(task().state, TaskState::idle);
   EXPECT_EQ(machine_state(), MachineState::silent);
 }
 
-TEST_F(Troubles, ALeaseThatLapsesUnderAnsweredReportsTellsADeafMachine) {
-  hello(1, warrant());
-  run(Span{100});
+TEST_F(WorkerPartitionTest, ALeaseThatLapsesUnderAnsweredReportsTellsADeafMachine) {
+  handle_report(1, token());
+  run(Duration{100});
   ASSERT_EQ(machine_state(), MachineState::up);
-  report_for(Span{24'000}, 1);
-  hello(2, warrant());
-  run(Span{600});
+  report_for(Duration{24'000}, 1);
+  handle_report(2, token());
+  run(Duration{600});
   EXPECT_EQ(machine_state(), MachineState::silent);
   release();
-  run(Span{600});
+  run(Duration{600});
   EXPECT_EQ(task().state, TaskState::released);
   // Once an order has reached it, it is as good as any.
-  run(Span{2'500});
+  run(Duration{2'500});
   answer_direct(200);
-  hello(2, warrant());
-  run(Span{100});
+  handle_report(2, token());
+  run(Duration{100});
   EXPECT_EQ(machine_state(), MachineState::up);
 }
 
-TEST_F(Troubles, ALateCopyProvesNothingToAHolderThatHasJustBegun) {
+TEST_F(WorkerPartitionTest, ALateCopyProvesNothingToAHolderThatHasJustBegun) {
   bind_and_start();
-  hello(1, warrant(), part("running"));
-  run(Span{100});
-  const auto old = warrant();
+  handle_report(1, token(), task_index("running"));
+  run(Duration{100});
+  const auto old = token();
   give_block("other", 9);
   give_block("me", 7);  // it knows nothing of the worker any more
-  ASSERT_GT(warrant(), old);
-  hello(1, old);  // a copy from before the task had started
-  run(Span{200});
+  ASSERT_GT(token(), old);
+  handle_report(1, old);  // a copy from before the task had started
+  run(Duration{200});
   EXPECT_EQ(task().state, TaskState::bound);
-  hello(1, warrant(), part("running"));
-  run(Span{200});
+  handle_report(1, token(), task_index("running"));
+  run(Duration{200});
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
-TEST_F(Troubles, ALateCopyMakesNoMachineAliveAgain) {
-  hello(1, warrant());
-  run(Span{100});
-  const auto last = tally_;
-  const auto others_report = [this](Span span) {
-    for (std::int64_t at = 0; at < span.ms; at += 3000) {
-      hello(1, warrant(), "", "vm-2");
-      run(Span{3000});
+TEST_F(WorkerPartitionTest, ALateCopyMakesNoMachineAliveAgain) {
+  handle_report(1, token());
+  run(Duration{100});
+  const auto last = sequence_;
+  const auto others_report = [this](Duration duration) {
+    for (std::int64_t at = 0; at < duration.ms; at += 3000) {
+      handle_report(1, token(), "", "vm-2");
+      run(Duration{3000});
     }
   };
-  others_report(Span{12'000});
+  others_report(Duration{12'000});
   ASSERT_EQ(machine_state(), MachineState::silent);
-  const auto now = tally_;
-  tally_ = last - 1;
-  hello(1, warrant());  // the same report once more
-  tally_ = now;
-  run(Span{100});
+  const auto now = sequence_;
+  sequence_ = last - 1;
+  handle_report(1, token());  // the same report once more
+  sequence_ = now;
+  run(Duration{100});
   EXPECT_EQ(machine_state(), MachineState::silent) << "known to this holder";
-  const auto old = warrant();
+  const auto old = token();
   give_block("other", 9);
   give_block("me", 7);
-  hello(1, old);
-  run(Span{100});
+  handle_report(1, old);
+  run(Duration{100});
   EXPECT_EQ(machine_state(), MachineState::silent) << "sent under an earlier warrant";
-  hello(1, warrant());
-  run(Span{100});
+  handle_report(1, token());
+  run(Duration{100});
   EXPECT_EQ(machine_state(), MachineState::up);
 }
 
-TEST_F(Troubles, ALateCopyNeitherAdoptsNorBringsBackAMachine) {
-  hello(1, warrant() - 1, "", "vm-7");  // deleted long ago, and its record with it
-  run(Span{1000});
-  EXPECT_FALSE(mirror_.records().machines.contains(HostId("vm-7")));
+TEST_F(WorkerPartitionTest, ALateCopyNeitherAdoptsNorBringsBackAMachine) {
+  handle_report(1, token() - 1, "", "vm-7");  // deleted long ago, and its record with it
+  run(Duration{1000});
+  EXPECT_FALSE(cache_.records().machines.contains(MachineId("vm-7")));
   MachineRecord machine;
-  machine.host = HostId("vm-8");
+  machine.machine_id = MachineId("vm-8");
   machine.zone = ZoneId("a");
-  machine.build = "g8";
+  machine.machine_type = "g8";
   machine.state = MachineState::gone;
   store_.put_machine(machine);
-  run(Span{50});
-  hello(1, warrant(), "", "vm-8");
-  run(Span{1000});
+  run(Duration{50});
+  handle_report(1, token(), "", "vm-8");
+  run(Duration{1000});
   EXPECT_EQ(machine_state("vm-8"), MachineState::gone);
 }
 
-TEST_F(Troubles, AControllerThatIsCutOffGivesWayAsSoonAsAWorkerHasHeardAnother) {
-  hello(1, warrant());
+TEST_F(WorkerPartitionTest, AControllerThatIsCutOffGivesWayAsSoonAsAWorkerHasHeardAnother) {
+  handle_report(1, token());
   informed_ = false;  // neither the state service nor a peer reaches it
-  const auto ours = warrant();
+  const auto ours = token();
   store_.put(keys::block(ZoneId("a")),
              encode(BlockRecord{ZoneId("a"), NodeId("other"), Nonce(9), 2}));
-  run(Span{1000});
-  EXPECT_EQ(hello(1, ours).status, 200) << "it may still be the holder, for all it knows";
+  run(Duration{1000});
+  EXPECT_EQ(handle_report(1, ours).status, 200) << "it may still be the holder, for all it knows";
   // The new holder has introduced itself by a direct order: a 200 would be dropped, and the worker
   // would stay here until its lease is over.
-  EXPECT_EQ(hello(1, warrant()).status, 421);
+  EXPECT_EQ(handle_report(1, token()).status, 421);
 }
 
-class OfferTest : public Troubles {
+class OfferTest : public WorkerPartitionTest {
  protected:
   /// A job of one task that nobody has released yet, and the leader's offer for it.
   ReleaseOffer offered() {
@@ -305,13 +306,13 @@
     JobRecord job;
     job.spec = testing::gang("req-1", 1, 1, 100);
     job.accepted = time_.wall();
-    store_.put(keys::job(job.spec.uid), encode(job));
-    hello(1, warrant());
-    run(Span{100});
+    store_.put(keys::job(job.spec.job_id), encode(job));
+    handle_report(1, token());
+    run(Duration{100});
     ReleaseOffer offer;
-    offer.term = store_.get(keys::kLeader)->stamp.get();
-    offer.uid = "req-1";
-    offer.revision = mirror_.revision().get();
+    offer.term = store_.get(keys::kLeader)->mod_revision.get();
+    offer.job_id = "req-1";
+    offer.revision = cache_.revision().get();
     offer.tasks = {{0, 1, "a", "vm-1"}};
     return offer;
   }
@@ -320,46 +321,46 @@
 TEST_F(OfferTest, IsBoundInOneCommitAndThenStarted) {
   const auto offer = offered();
   const auto before = store_.commits.size();
-  EXPECT_TRUE(holder_.take(offer));
+  EXPECT_TRUE(holder_.accept_offer(offer));
   EXPECT_EQ(store_.commits.size(), before + 1);
   EXPECT_EQ(task().state, TaskState::bound);
-  run(Span{50});
+  run(Duration{50});
   EXPECT_TRUE(sent("start"));
-  EXPECT_FALSE(holder_.take(offer)) << "a copy finds the slice changed";
+  EXPECT_FALSE(holder_.accept_offer(offer)) << "a copy finds the slice changed";
 }
 
 TEST_F(OfferTest, WaitsForWhatTheLeaderKnew) {
   auto offer = offered();
   offer.revision += 1;
-  EXPECT_TRUE(holder_.take(offer));
-  EXPECT_FALSE(store_.get(keys::slice(Uid("req-1"), 0)));
-  store_.put("mv/grants/req-9", encode(GrantRecord{Uid("req-9"), {}, {}}));
-  run(Span{600});
+  EXPECT_TRUE(holder_.accept_offer(offer));
+  EXPECT_FALSE(store_.get(keys::slice(JobId("req-1"), 0)));
+  store_.put("mv/grants/req-9", encode(GrantRecord{JobId("req-9"), {}, {}}));
+  run(Duration{600});
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
 TEST_F(OfferTest, ABindingThatArrivesAfterAChangeOfLeaderFails) {
   const auto offer = offered();
   store_.scripts = {Script::arrive_late};
-  holder_.take(offer);
+  holder_.accept_offer(offer);
   ASSERT_EQ(store_.late.size(), 1U);
   store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), Nonce(2)}));
-  EXPECT_EQ(store_.arrive().fate, Fate::conflict);
-  run(Span{100});
-  EXPECT_FALSE(holder_.take(offer)) << "the offer is of an earlier term";
+  EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
+  run(Duration{100});
+  EXPECT_FALSE(holder_.accept_offer(offer)) << "the offer is of an earlier term";
 }
 
 TEST_F(OfferTest, IsDeclinedWhereItCannotBeBoundWhole) {
   auto offer = offered();
-  offer.tasks[0].host = "vm-9";
+  offer.tasks[0].machine_id = "vm-9";
   offer.tasks[0].zone = "b";
-  EXPECT_FALSE(holder_.take(offer)) << "another's block";
+  EXPECT_FALSE(holder_.accept_offer(offer)) << "another's block";
   offer = offered();
   cancel();
-  run(Span{50});
-  EXPECT_FALSE(holder_.take(offer));
+  run(Duration{50});
+  EXPECT_FALSE(holder_.accept_offer(offer));
   EXPECT_FALSE(decode_offer("nonsense"));
-  EXPECT_EQ(decode_offer(encode(offer))->tasks.at(0).host, "vm-1");
+  EXPECT_EQ(decode_offer(encode(offer))->tasks.at(0).machine_id, "vm-1");
 }
 
 }  // namespace
