--- a/src/core/amounts.hpp
+++ b/src/core/amounts.hpp
@@ -1,6 +1,8 @@
 // What tasks take and machines have.
 #pragma once
 
+#include <algorithm>
+
 namespace marblevale {
 
 struct Resources {
@@ -8,8 +10,18 @@
   double gpus = 0;
   double memory_gb = 0;
 
-  Resources& operator+=(const Resources& o);
-  Resources& operator-=(const Resources& o);
+  Resources& operator+=(const Resources& o) {
+    cpus += o.cpus;
+    gpus += o.gpus;
+    memory_gb += o.memory_gb;
+    return *this;
+  }
+  Resources& operator-=(const Resources& o) {
+    cpus -= o.cpus;
+    gpus -= o.gpus;
+    memory_gb -= o.memory_gb;
+    return *this;
+  }
   friend Resources operator+(Resources a, const Resources& b) { return a += b; }
   friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
   friend Resources operator*(Resources a, double f) {
@@ -17,13 +29,28 @@
   }
 };
 
-/// True when `need` fits into `have`; sums of decimals are allowed a rounding error.
-bool fits(const Resources& need, const Resources& have);
+/// What sums of decimals may be off by.
+inline constexpr double kResourceTolerance = 1e-6;
+
+/// True when `need` fits into `have`, up to the tolerance.
+inline bool fits(const Resources& need, const Resources& have) {
+  return need.cpus <= have.cpus + kResourceTolerance &&
+         need.gpus <= have.gpus + kResourceTolerance &&
+         need.memory_gb <= have.memory_gb + kResourceTolerance;
+}
 
 /// The smaller of the two in each amount.
-Resources least(const Resources& a, const Resources& b);
+inline Resources least(const Resources& a, const Resources& b) {
+  return {std::min(a.cpus, b.cpus), std::min(a.gpus, b.gpus), std::min(a.memory_gb, b.memory_gb)};
+}
 
-/// The largest share of `whole` that `part` takes of any amount that the machine has.
-double share_of(const Resources& amount, const Resources& whole);
+/// The largest share of `whole` that `amount` takes of any resource that `whole` has.
+inline double share_of(const Resources& amount, const Resources& whole) {
+  double share = 0;
+  if (whole.cpus > 0) share = std::max(share, amount.cpus / whole.cpus);
+  if (whole.gpus > 0) share = std::max(share, amount.gpus / whole.gpus);
+  if (whole.memory_gb > 0) share = std::max(share, amount.memory_gb / whole.memory_gb);
+  return share;
+}
 
 }  // namespace marblevale
--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -5,8 +5,9 @@
 namespace marblevale {
 
 namespace {
-constexpr std::array<const char*, 8> kDuties{"round",  "displace", "want",  "holder",
-                                             "report", "watch",    "users", "fleet"};
+constexpr std::array<const char*, kDutyCount> kDuties{
+    "round",   "profile", "queue",  "restore", "arrivals", "compress", "displace",
+    "rentals", "holder",  "report", "watch",   "users",    "fleet"};
 }
 
 void Metrics::spent(Duty duty, std::int64_t us) {
--- a/src/core/metrics.hpp
+++ b/src/core/metrics.hpp
@@ -12,7 +12,23 @@
 
 namespace marblevale {
 
-enum class Duty { round, displace, want, holder, report, watch, users, fleet };
+/// `round` is the whole of a leader's round; those up to `rentals` are parts of it.
+enum class Duty {
+  round,
+  profile_sync,
+  queue,
+  restore,
+  arrivals,
+  compress,
+  displace,
+  rentals,
+  holder,
+  report,
+  watch,
+  users,
+  fleet
+};
+inline constexpr std::size_t kDutyCount = 13;
 
 class Metrics {
  public:
@@ -55,7 +71,7 @@
     std::int64_t ms = 0;
     Duration longest;
   };
-  std::array<Spent, 8> spent_;
+  std::array<Spent, kDutyCount> spent_;
   std::map<std::string, std::uint64_t> counts_;
   std::map<std::string, Waits> waits_;
 };
--- a/src/core/time.hpp
+++ b/src/core/time.hpp
@@ -18,6 +18,11 @@
   [[nodiscard]] double seconds() const { return static_cast<double>(ms) / 1000.0; }
 };
 
+/// The least multiple of `step` that is no shorter.
+inline Duration round_up(Duration duration, Duration step) {
+  return {(duration.ms + step.ms - 1) / step.ms * step.ms};
+}
+
 inline Duration from_seconds(double s) { return {static_cast<std::int64_t>(s * 1000.0)}; }
 
 template <typename Tag>
@@ -32,6 +37,11 @@
 using SteadyTime = TimePoint<struct SteadyTimeTag>;
 using WallTime = TimePoint<struct WallTimeTag>;
 
+/// The first multiple of `step`, counted from time 0, that is no earlier.
+inline WallTime round_up(WallTime time, Duration step) {
+  return {(time.ms + step.ms - 1) / step.ms * step.ms};
+}
+
 class Clock {
  public:
   virtual ~Clock() = default;
--- a/src/planner/granting.cpp
+++ b/src/planner/granting.cpp
@@ -88,7 +88,7 @@
       occupancy_.touch_machine(MachineId(key));
       break;
     case RecordKind::types:
-      occupancy_.reset();
+      reset_occupancy();
       break;
     case RecordKind::leader:
     case RecordKind::rental:
@@ -120,6 +120,11 @@
   state_ = next;
 }
 
+void Granting::reset_occupancy() {
+  occupancy_.reset();
+  failed_starts_.clear();
+}
+
 void Granting::take_over() {
   transition(State::leading);
   term_ = election_.term();
@@ -134,7 +139,7 @@
   starved_.clear();
   sweeping_ = false;
   cursor_ = 0;
-  occupancy_.reset();
+  reset_occupancy();
   // The stored guarantees are taken as they are; places are found again at those times.
   for (const auto& [job_id, stored] : cache_.records().grants) {
     if (stored.record.guarantees.empty()) continue;
@@ -181,11 +186,11 @@
   for (const auto& [key, pending] : pending_) ahead.emplace(key, &pending.slice);
   const WallTime now = clock_.wall();
   occupancy_.set_unreachable_zones(unreachable_zones(), cache_.records());
-  occupancy_.sync(cache_.records(), settings_.teams, ahead, fleet_.booting(), now);
-  auto queue = build_queue(
-      cache_.records(), settings_,
-      [this](const JobId& job_id, std::uint32_t number) { return current(job_id, number); }, now,
-      cache_.write_slack() < kPersistSlack);
+  {
+    const auto sync_timed = metrics_.time(Duty::profile_sync);
+    occupancy_.sync(cache_.records(), settings_.teams, ahead, fleet_.booting(), now);
+  }
+  auto queue = current_queue(now);
   std::unordered_set<JobId> queued;
   for (const QueueItem& item : queue) queued.insert(item.job_id);
   std::erase_if(last_release_, [&](const auto& entry) { return !queued.contains(entry.first); });
@@ -194,23 +199,15 @@
     occupancy_.profile().release(owner_of(entry.first));
     return true;
   });
-  Planner planner(std::move(occupancy_.profile()), std::move(queue), reservations_, now,
-                  [this, begin](double share) {
+  std::erase_if(failed_starts_, [&](const auto& entry) { return !queued.contains(entry.first); });
+  Planner planner(std::move(occupancy_.profile()), std::move(queue), reservations_, failed_starts_,
+                  now, [this, begin](double share) {
                     return clock_.steady() - begin > settings_.tuning.round_budget * share;
                   });
-  Pins pins;
-  for (const auto& [job_id, made] : made_room_) {
-    if (begin - made.at < kRoomEvery) pins.emplace(job_id, made.machine_ids);
-  }
-  for (const Moved& moved : planner.restore(pins)) {
-    grants_.note(moved.job_id,
-                 "start moved " + std::to_string((moved.to - moved.from).ms / 1000) +
-                     " s later: tasks before it overran, a machine was lost or out of reach, "
-                     "or room was made there for a job that goes first");
-  }
-  const bool admitted = planner.admit_arrivals();
+  restore(planner, begin);
+  const bool admitted = admit(planner);
   // What was started is taken out of the queue by the next round, which sees it as placed.
-  const auto starts = planner.compress(cursor_);
+  const auto starts = compress(planner);
   for (const Start& start : starts) {
     if (!worth_releasing(start, begin)) continue;
     const Start some = cache_.write_slack() > kPersistSlack ? start : of_one_zone(start, planner);
@@ -235,6 +232,38 @@
   if (!admitted || cursor_ != 0) schedule_round();
 }
 
+std::vector<QueueItem> Granting::current_queue(WallTime now) {
+  const auto timed = metrics_.time(Duty::queue);
+  return build_queue(
+      cache_.records(), settings_,
+      [this](const JobId& job_id, std::uint32_t number) { return current(job_id, number); }, now,
+      cache_.write_slack() < kPersistSlack);
+}
+
+void Granting::restore(Planner& planner, SteadyTime begin) {
+  const auto timed = metrics_.time(Duty::restore);
+  Pins pins;
+  for (const auto& [job_id, made] : made_room_) {
+    if (begin - made.at < kRoomEvery) pins.emplace(job_id, made.machine_ids);
+  }
+  for (const Moved& moved : planner.restore(pins)) {
+    grants_.note(moved.job_id,
+                 "start moved " + std::to_string((moved.to - moved.from).ms / 1000) +
+                     " s later: tasks before it overran, a machine was lost or out of reach, "
+                     "or room was made there for a job that goes first");
+  }
+}
+
+bool Granting::admit(Planner& planner) {
+  const auto timed = metrics_.time(Duty::arrivals);
+  return planner.admit_arrivals();
+}
+
+std::vector<Start> Granting::compress(Planner& planner) {
+  const auto timed = metrics_.time(Duty::compress);
+  return planner.compress(cursor_);
+}
+
 void Granting::out_of_reach(const NodeId& holder, std::set<ZoneId> zones) {
   out_of_reach_[holder] = {std::move(zones), clock_.steady()};
 }
@@ -731,7 +760,7 @@
   if (!remake || last_starvation_check_ - last_remade_ < kStarvationLogInterval) return;
   last_remade_ = last_starvation_check_;
   metrics_.count("profile made anew");
-  occupancy_.reset();
+  reset_occupancy();
   schedule_round();
 }
 
@@ -773,7 +802,7 @@
 }
 
 void Granting::plan_rentals(const Planner& planner) {
-  const auto timed = metrics_.time(Duty::want);
+  const auto timed = metrics_.time(Duty::rentals);
   last_rental_planning_ = clock_.steady();
   const WallTime now = clock_.wall();
   std::vector<UnmetDemand> unmet_demands;
--- a/src/planner/granting.hpp
+++ b/src/planner/granting.hpp
@@ -50,7 +50,14 @@
   void transition(State next);
   void schedule_round();
   void round();
+  [[nodiscard]] std::vector<QueueItem> current_queue(WallTime now);
+  /// The steps of a round, each timed by itself.
+  void restore(Planner& planner, SteadyTime begin);
+  bool admit(Planner& planner);
+  std::vector<Start> compress(Planner& planner);
   void take_over();
+  /// The profile is made anew from the records at the next round.
+  void reset_occupancy();
   void on_record_changed(RecordKind topic, const std::string& key);
   void housekeep();
   [[nodiscard]] std::set<ZoneId> unreachable_zones() const;
@@ -92,6 +99,7 @@
   State state_ = State::idle;
   ModRevision term_;
   Reservations reservations_;
+  FailedStarts failed_starts_;
   std::size_t cursor_ = 0;
   std::map<SliceKey, Pending> pending_;
   std::vector<std::pair<Txn, std::vector<SliceRecord>>> unknown_;  // commits without an answer
--- a/src/planner/lane.cpp
+++ b/src/planner/lane.cpp
@@ -39,16 +39,17 @@
   const Resources change = allocation.resources * sign;
   for (std::size_t i = begin; i < end; ++i) steps_[i].used += change;
   total_ += change;
-  // Borders that no longer part anything go, and with them what rounding has left.
+  // The change is the same on all steps between: only its borders can have become level.
+  drop_if_level(end);
+  drop_if_level(begin);
+}
+
+void Lane::drop_if_level(std::size_t step) {
   const auto none = [](double x) { return std::abs(x) < kNothing; };
-  const auto same = [&](const Resources& x, const Resources& y) {
-    return none(x.cpus - y.cpus) && none(x.gpus - y.gpus) && none(x.memory_gb - y.memory_gb);
-  };
-  for (std::size_t i = std::min(end, steps_.size() - 1) + 1; i-- > begin;) {
-    const Resources before = i == 0 ? Resources{} : steps_[i - 1].used;
-    if (same(steps_[i].used, before)) {
-      steps_.erase(steps_.begin() + static_cast<std::ptrdiff_t>(i));
-    }
+  const Resources before = step == 0 ? Resources{} : steps_[step - 1].used;
+  const Resources change = steps_[step].used - before;
+  if (none(change.cpus) && none(change.gpus) && none(change.memory_gb)) {
+    steps_.erase(steps_.begin() + static_cast<std::ptrdiff_t>(step));
   }
 }
 
--- a/src/planner/lane.hpp
+++ b/src/planner/lane.hpp
@@ -54,15 +54,18 @@
     Resources used;
   };
   void add(const Allocation& allocation, double sign);
+  /// Removes a step at which nothing changes.
+  void drop_if_level(std::size_t step);
   std::size_t cut_at(WallTime at);
   [[nodiscard]] std::size_t step_at(WallTime at) const;
 
+  // First what `surely_full` reads, so that a search over a fleet touches little memory.
   Resources whole_;
+  Resources running_{};     // of what has begun
+  WallTime running_until_;  // when the first of that ends; 0: nothing has begun
+  Resources total_{};       // of all that is taken, at whatever time
   std::vector<Allocation> allocations_;
   std::vector<Step> steps_;  // by time; before the first and after the last nothing is used
-  Resources total_{};        // of all that is taken, at whatever time
-  Resources running_{};      // of what has begun
-  WallTime running_until_;   // when the first of that ends; 0: nothing has begun
 };
 
 }  // namespace marblevale
--- a/src/planner/occupancy.cpp
+++ b/src/planner/occupancy.cpp
@@ -9,6 +9,7 @@
 constexpr Duration kMinRun{5'000};
 constexpr Duration kReached{1'000};  // an end this near has been reached
 constexpr double kStretch = 0.2;
+constexpr Duration kPlanningStep{1000};  // of ends: fewer steps make lanes quicker to ask
 
 Owner owner_of(const SliceKey& key) {
   // Apart from the owners of reservations and starts by its second bit.
@@ -22,12 +23,10 @@
   note_image(images_[machine_id], image, gb, cache_gb);
 }
 
-std::set<ImageId> ImageGuess::of(const MachineId& machine_id) const {
-  std::set<ImageId> out;
+void ImageGuess::add_to(ImageSet& images, const MachineId& machine_id) const {
   const auto it = images_.find(machine_id);
-  if (it == images_.end()) return out;
-  for (const auto& [image, gb] : it->second) out.insert(image);
-  return out;
+  if (it == images_.end()) return;
+  for (const auto& [image, gb] : it->second) images.insert(image);
 }
 
 WallTime likely_end(const TaskRecord& task, const JobSpec& job, const Records& records,
@@ -42,15 +41,17 @@
     const double rate = type == nullptr ? 0 : type->pull_gb_per_s;
     begin = task.since + (rate > 0 ? from_seconds(job.image_gb / rate) : Duration{1'000});
   }
-  const WallTime end = begin + std::max(kMinRun, job.estimated_run - task.progress);
+  const Duration left = std::max(kMinRun, job.estimated_run - task.progress);
+  const WallTime end = round_up(begin + left, kPlanningStep);
   if (end > now + kReached) return end;
-  const Duration step = std::max(kMinRun, job.estimated_run * kStretch);
+  const Duration step = round_up(std::max(kMinRun, job.estimated_run * kStretch), kPlanningStep);
   return end + Duration{((now + kReached - end).ms / step.ms + 1) * step.ms};
 }
 
-std::set<ImageId> Occupancy::images_at(const MachineId& machine_id, const Records& records) const {
+ImageSet Occupancy::images_at(const MachineId& machine_id, const Records& records) const {
   // The record has what ran there; the guess adds what is being fetched.
-  std::set<ImageId> out = images_.of(machine_id);
+  ImageSet out;
+  images_.add_to(out, machine_id);
   if (const auto it = records.machines.find(machine_id); it != records.machines.end()) {
     for (const auto& [image, gb] : it->second.record.images) out.insert(image);
   }
@@ -152,23 +153,24 @@
   if (slice == nullptr || job == nullptr) return;
   const JobSpec& spec = job->spec;
   WallTime first{std::numeric_limits<std::int64_t>::max()};
+  Plan running;
   for (const TaskRecord& task : slice->tasks) {
     if (!task.placed()) continue;
-    const Allocation allocation{WallTime{0}, likely_end(task, spec, records, now), spec.need,
-                                owner_of(key)};
-    first = std::min(first, allocation.to);
+    const WallTime end = likely_end(task, spec, records, now);
+    first = std::min(first, end);
     on_[key].insert(task.machine_id);
     fetching_.insert(task.machine_id);
     if (const auto machine = profile_.find(task.machine_id)) {
-      profile_.take(*machine, spec.team, allocation);
+      running.placements.push_back({*machine, WallTime{0}, end});
       const MachineType* type = records.type(profile_.machines()[*machine].machine_type);
       if (task.state == TaskState::bound && type != nullptr) {
         images_.used(task.machine_id, spec.image, spec.image_gb, type->cache_gb);
       }
     } else {
-      profile_.take_team(spec.team, allocation);
+      profile_.take_team(spec.team, {WallTime{0}, end, spec.need, owner_of(key)});
     }
   }
+  if (!running.placements.empty()) profile_.take(running, spec, owner_of(key));
   if (on_.contains(key)) {
     end_of_[key] = first;
     ends_.emplace(first, key);
--- a/src/planner/occupancy.hpp
+++ b/src/planner/occupancy.hpp
@@ -27,7 +27,7 @@
  public:
   void used(const MachineId& machine_id, const ImageId& image, double gb, double cache_gb);
   void forget(const MachineId& machine_id) { images_.erase(machine_id); }
-  [[nodiscard]] std::set<ImageId> of(const MachineId& machine_id) const;
+  void add_to(ImageSet& images, const MachineId& machine_id) const;
 
  private:
   std::unordered_map<MachineId, std::vector<std::pair<ImageId, double>>> images_;
@@ -57,8 +57,7 @@
 
   /// Lent to a round's planner, which gives it back as it was.
   [[nodiscard]] Profile& profile() { return profile_; }
-  [[nodiscard]] std::set<ImageId> images_at(const MachineId& machine_id,
-                                            const Records& records) const;
+  [[nodiscard]] ImageSet images_at(const MachineId& machine_id, const Records& records) const;
 
  private:
   void sync_machine(const MachineId& machine_id, const Records& records, WallTime now);
--- a/src/planner/placement_search.cpp
+++ b/src/planner/placement_search.cpp
@@ -13,6 +13,8 @@
 constexpr double kWasteSeconds =
     30;  // waiting that a whole machine's stranded accelerators are worth
 constexpr double kApartSeconds = 10;  // waiting that staying in one zone is worth
+/// Ends are planned to this: lanes with fewer steps are quicker to ask, and estimates are rougher.
+constexpr Duration kPlanningStep{1000};
 constexpr WallTime kNever{std::numeric_limits<std::int64_t>::max()};
 
 std::uint64_t mix(std::uint64_t x) {
@@ -21,6 +23,10 @@
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
   return x ^ (x >> 31);
 }
+
+Duration planned_run(const Demand& demand, Duration fetch) {
+  return round_up(demand.run + fetch, kPlanningStep);
+}
 }  // namespace
 
 double PlacementSearch::price_weight(double share, const PlanMachine& machine) const {
@@ -46,6 +52,13 @@
          share_of(free, m.resources) * (job.gang() ? 0.2 : 1.0) + static_cast<double>(draw) / 1e5;
 }
 
+bool PlacementSearch::team_takes(const Demand& demand, WallTime at) const {
+  const JobSpec& job = *demand.job;
+  const Lane* team = profile_.team(job.team);
+  const double tasks = job.gang() ? demand.tasks : 1;
+  return team == nullptr || team->takes(job.need * tasks, at, at + demand.run);
+}
+
 bool PlacementSearch::room_beside_running(const Demand& demand, WallTime at) const {
   const JobSpec& job = *demand.job;
   const std::uint32_t wanted = job.gang() ? demand.tasks : 1;
@@ -88,6 +101,7 @@
                                               const std::optional<ZoneId>& zone, bool partly,
                                               Duration least_run) const {
   const JobSpec& job = *demand.job;
+  if (!team_takes(demand, at)) return std::nullopt;
   struct Candidate {
     std::size_t machine;
     Resources free;
@@ -98,7 +112,7 @@
   profile_.each_allowed(demand, zone, [&](std::size_t i) {
     if (profile_.machines()[i].ready > at || profile_.lane(i).surely_full(job.need, at)) return;
     const Duration fetch = profile_.fetch_time(job, profile_.machines()[i]);
-    const Duration run = std::max(least_run, demand.run + fetch);
+    const Duration run = std::max(least_run, planned_run(demand, fetch));
     const Resources free = profile_.lane(i).free(at, at + run);
     if (!fits(job.need, free)) return;
     candidates.push_back({i, free, score(demand, i, fetch, free), run});
@@ -234,7 +248,7 @@
     open.next = next.value_or(kNever);
   };
   profile_.each_allowed(demand, zone, [&](std::size_t i) {
-    const Duration run = demand.run + profile_.fetch_time(job, profile_.machines()[i]);
+    const Duration run = planned_run(demand, profile_.fetch_time(job, profile_.machines()[i]));
     for (std::uint32_t nth = 1; nth <= demand.tasks; ++nth) {
       if (!fits(job.need * static_cast<double>(nth), profile_.machines()[i].resources)) break;
       Open open{kNever, i, nth, run};
@@ -305,7 +319,7 @@
     opens.push({*next, score(demand, i, run - demand.run, left), i, run});
   };
   profile_.each_allowed(demand, zone, [&](std::size_t i) {
-    ask(i, demand.run + profile_.fetch_time(job, profile_.machines()[i]), from);
+    ask(i, planned_run(demand, profile_.fetch_time(job, profile_.machines()[i])), from);
   });
   std::optional<Lane> limit;
   const Lane* team = profile_.team(job.team);
--- a/src/planner/placement_search.hpp
+++ b/src/planner/placement_search.hpp
@@ -22,6 +22,9 @@
   /// False: what runs leaves too little room for the demand at `at` whatever is reserved. Quick.
   [[nodiscard]] bool room_beside_running(const Demand& demand, WallTime at) const;
 
+  /// False: the team's limit leaves too little at `at`, for the gang or for one task of an array.
+  [[nodiscard]] bool team_takes(const Demand& demand, WallTime at) const;
+
  private:
   struct Trial;
   std::optional<Plan> place_in(const Demand& demand, WallTime at, const std::optional<ZoneId>& zone,
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <unordered_set>
 
+#include "planner/placement_search.hpp"
+
 namespace marblevale {
 
 namespace {
@@ -12,6 +14,15 @@
 // turn.
 constexpr double kRestoreShare = 0.4;
 constexpr double kArrivalShare = 0.7;
+// Beyond its share an arrival is still placed, without trying others before it: a job without a
+// reservation can't begin, however much room is idle.
+constexpr double kLastArrivalShare = 0.85;
+// A reservation that broke may begin this much later rather than have all later ones make way.
+constexpr Duration kHardlyLater{5'000};
+// A failed start is tried again after this in any case.
+constexpr Duration kFailedStartMaxAge{10'000};
+// Beyond the estimated run, for fetches: a team that has room for so long is not at its limit.
+constexpr Duration kLongestFetch{120'000};
 // The jobs before a new one are tried at an earlier place (2.2): all of them in a short queue. With
 // hundreds, that would cost more than the round has.
 constexpr std::size_t kShortQueue = 60;
@@ -48,10 +59,11 @@
 }
 
 Planner::Planner(Profile profile, std::vector<QueueItem> queue, Reservations& reservations,
-                 WallTime now, std::function<bool(double)> spent)
+                 FailedStarts& failed, WallTime now, std::function<bool(double)> spent)
     : profile_(std::move(profile)),
       queue_(std::move(queue)),
       reservations_(reservations),
+      failed_(failed),
       now_(now),
       spent_(std::move(spent)) {
   std::sort(queue_.begin(), queue_.end(), before);
@@ -150,6 +162,7 @@
         first_of(r) >= now_ && profile_.intact(item->owner)) {
       continue;
     }
+    if (!disturbed && repair(*item, moved)) continue;
     if (!disturbed) {
       // From the first that has to move on, all are placed again in their order: what is granted a
       // later start must not stand in the way of an earlier one.
@@ -160,14 +173,7 @@
     if (r.places.size() > item->demand.tasks) r.places.resize(item->demand.tasks);
     Plan plan = plan_of(r);
     if (plan.placements.size() == item->demand.tasks) {
-      // A start that is reached without having begun slides along with the present.
-      const WallTime first = plan.first_start();
-      if (first < now_) {
-        for (Placement& s : plan.placements) {
-          s.start = s.start + (now_ - first);
-          s.end = s.end + (now_ - first);
-        }
-      }
+      slide_to_now(plan);
       if (profile_.holds(plan, *item->demand.job)) {
         profile_.take(plan, *item->demand.job, item->owner);
         continue;
@@ -190,7 +196,46 @@
   return moved;
 }
 
-void Planner::arrive(const QueueItem& item) {
+void Planner::slide_to_now(Plan& plan) const {
+  // A start that is reached without having begun slides along with the present.
+  const WallTime first = plan.first_start();
+  if (first >= now_) return;
+  for (Placement& placement : plan.placements) {
+    placement.start = placement.start + (now_ - first);
+    placement.end = placement.end + (now_ - first);
+  }
+}
+
+bool Planner::repair(const QueueItem& item, std::vector<Moved>& moved) {
+  Reservation& r = reservations_.at(item.job_id);
+  profile_.release(item.owner);
+  if (r.places.size() > item.demand.tasks) r.places.resize(item.demand.tasks);
+  Plan plan = plan_of(r);
+  if (plan.placements.size() == item.demand.tasks) {
+    slide_to_now(plan);
+    if (profile_.holds(plan, *item.demand.job)) {
+      profile_.take(plan, *item.demand.job, item.owner);
+      return true;
+    }
+  }
+  if (spent_(kRestoreShare)) {
+    if (!plan.placements.empty()) profile_.take(plan, *item.demand.job, item.owner);
+    return true;
+  }
+  const auto again = profile_.earliest(item.demand, now_);
+  if (!again) {
+    hold_unplaced(item);
+    return true;
+  }
+  const WallTime old = r.start;
+  if (again->start() > std::max(old, now_) + kHardlyLater) return false;
+  const bool was_unplaced = r.places.empty();
+  set(item, *again);
+  if (!was_unplaced && r.start > old) moved.push_back({item.job_id, old, r.start});
+  return true;
+}
+
+void Planner::arrive(const QueueItem& item, bool move_others) {
   const auto tentative = profile_.earliest(item.demand, now_);
   if (!tentative) {
     hold_unplaced(item);
@@ -200,15 +245,18 @@
   // Jobs of higher priority that the new one could delay move first (2.2).
   bool any = false;
   std::size_t tried = 0;
-  const std::size_t most = queue_.size() <= kShortQueue ? queue_.size() : kMaxMoved;
+  const std::size_t longest = queue_.size() <= kShortQueue ? queue_.size() : kMaxMoved;
+  const std::size_t most = move_others ? longest : 0;
   for (const QueueItem& other : queue_) {
     if (other.job_id == item.job_id || tried >= most) break;
     const auto it = reservations_.find(other.job_id);
     if (it == reservations_.end() || it->second.start <= now_ || other.not_before > now_) continue;
     ++tried;
-    profile_.release(other.owner);
+    const auto before = plan_of(it->second);
+    profile_.release_for_trial(other.owner);
     auto plan = profile_.earliest(other.demand, now_);
     if (plan && plan->start() < it->second.start && plan->start() < its_end) {
+      for (const Placement& given_up : before.placements) profile_.note_opened(given_up.machine);
       set(other, *plan);
       any = true;
     } else {
@@ -253,8 +301,8 @@
     return a->accepted != b->accepted ? a->accepted < b->accepted : a->job_id < b->job_id;
   });
   for (const QueueItem* item : fresh) {
-    if (spent_(kArrivalShare)) return false;
-    arrive(*item);
+    if (spent_(kLastArrivalShare)) return false;
+    arrive(*item, !spent_(kArrivalShare));
   }
   return true;
 }
@@ -281,10 +329,9 @@
 
 void Planner::begin_now(QueueItem& item, const Plan& plan) {
   // As what runs: from the beginning of time, so that a full machine is seen at a glance.
-  for (const Placement& s : plan.placements) {
-    profile_.take(s.machine, item.demand.job->team,
-                  {WallTime{0}, s.end, item.demand.job->need, Owner{item.owner.get() | kStarted}});
-  }
+  Plan running = plan;
+  for (Placement& placement : running.placements) placement.start = WallTime{0};
+  profile_.take(running, *item.demand.job, Owner{item.owner.get() | kStarted});
   started_.push_back(Owner{item.owner.get() | kStarted});
   const auto n = static_cast<std::ptrdiff_t>(plan.placements.size());
   item.task_indices.erase(item.task_indices.begin(), item.task_indices.begin() + n);
@@ -331,6 +378,37 @@
   });
 }
 
+bool Planner::still_hopeless(const QueueItem& item) const {
+  const auto known = failed_.find(item.job_id);
+  if (known == failed_.end()) return false;
+  const FailedStart& failure = known->second;
+  const Demand& demand = item.demand;
+  const bool same = failure.tasks == demand.tasks && failure.run == demand.run &&
+                    failure.zone == demand.zone && demand.only.empty() && !demand.job->spread;
+  if (!same || now_ - failure.at > kFailedStartMaxAge) return false;
+  // Its own time has come: what kept the room for it until now was its own reservation.
+  if (first_of(reservations_.at(item.job_id)) <= now_) return false;
+  if (failure.at_team_limit) {
+    return !profile_.team_opened_since(demand.job->team, failure.version);
+  }
+  return !profile_.opened_for(demand, failure.version, failure.at, now_);
+}
+
+void Planner::note_failed_start(const QueueItem& item) {
+  const Demand& demand = item.demand;
+  const PlacementSearch search(profile_);
+  Demand longest = demand;
+  longest.run = demand.run + kLongestFetch;
+  const bool at_limit = !search.team_takes(demand, now_);
+  // Where only a longer run would meet the limit, it is not known which of the two was in the way.
+  if (!at_limit && !search.team_takes(longest, now_)) {
+    failed_.erase(item.job_id);
+    return;
+  }
+  failed_[item.job_id] = {profile_.version(), now_,        demand.tasks,
+                          demand.run,         demand.zone, at_limit};
+}
+
 std::vector<Start> Planner::compress(std::size_t& cursor) {
   std::vector<Start> starts;
   // `blocked`: tried since anything that it could use was given up. `gone`: started, or without
@@ -348,17 +426,24 @@
       ++i;
       continue;
     }
+    if (still_hopeless(item)) {
+      blocked[i++] = true;
+      continue;
+    }
     if (!profile_.room_beside_running(item.demand, now_)) {
+      note_failed_start(item);
       gone[i++] = true;
       continue;
     }
-    profile_.release(item.owner);
+    profile_.release_for_trial(item.owner);
     const auto plan = start_now(item);
     if (!plan) {
+      note_failed_start(item);
       put_back(item);
       blocked[i++] = true;
       continue;
     }
+    failed_.erase(item.job_id);
     // Places that it gives up by starting now; those it starts on are not among them, unless they
     // were reserved for later.
     std::vector<std::size_t> opened;
@@ -366,7 +451,10 @@
       const bool same = s.start <= now_ &&
                         std::any_of(plan->placements.begin(), plan->placements.end(),
                                     [&](const Placement& t) { return t.machine == s.machine; });
-      if (!same) opened.push_back(s.machine);
+      if (!same) {
+        opened.push_back(s.machine);
+        profile_.note_opened(s.machine);
+      }
     }
     std::vector<std::uint32_t> task_indices(
         item.task_indices.begin(),
--- a/src/planner/planner.hpp
+++ b/src/planner/planner.hpp
@@ -48,6 +48,18 @@
 
 using Reservations = std::unordered_map<JobId, Reservation>;
 
+/// A try to begin that found no place. The next rounds need not try again until something has
+/// opened that the job could use: trying would fail as before.
+struct FailedStart {
+  Profile::Version version;  // of the profile that had no place
+  WallTime at;
+  std::uint32_t tasks = 0;
+  Duration run;
+  std::optional<ZoneId> zone;
+  bool at_team_limit = false;  // the limit left too little, whatever the machines had
+};
+using FailedStarts = std::unordered_map<JobId, FailedStart>;
+
 /// Machines on which room was made for a job by stopping others: its reservation is on just these,
 /// or what was stopped for it would be taken piece by piece by smaller jobs.
 using Pins = std::unordered_map<JobId, std::vector<MachineId>>;
@@ -67,8 +79,9 @@
 class Planner {
  public:
   /// `spent` tells whether this share of the round's budget is used up.
-  Planner(Profile profile, std::vector<QueueItem> queue, Reservations& reservations, WallTime now,
-          std::function<bool(double)> spent);
+  /// `failed` is kept from round to round, as the reservations are; it belongs to this profile.
+  Planner(Profile profile, std::vector<QueueItem> queue, Reservations& reservations,
+          FailedStarts& failed, WallTime now, std::function<bool(double)> spent);
 
   /// Puts the reservations into the profile, those for which room was made first. One that no
   /// longer holds (a task overran, a machine was lost) is placed again, and reported if that makes
@@ -97,9 +110,17 @@
   [[nodiscard]] Plan plan_of(const Reservation& r) const;
   void set(const QueueItem& item, const Plan& plan);
   void put_back(const QueueItem& item);
-  void arrive(const QueueItem& item);
+  /// Keeps a reservation that broke, or places it again, where that moves nobody else and makes it
+  /// hardly later. False: all that was granted a later start has to make way first.
+  bool repair(const QueueItem& item, std::vector<Moved>& moved);
+  void slide_to_now(Plan& plan) const;
+  /// `move_others`: those of higher priority that could be delayed are tried at an earlier place.
+  void arrive(const QueueItem& item, bool move_others);
   void hold_unplaced(const QueueItem& item);
   [[nodiscard]] std::optional<Plan> start_now(const QueueItem& item) const;
+  /// True when trying would fail as it did before.
+  [[nodiscard]] bool still_hopeless(const QueueItem& item) const;
+  void note_failed_start(const QueueItem& item);
   void begin_now(QueueItem& item, const Plan& plan);
   void keep_rest(const QueueItem& item);
   [[nodiscard]] bool could_begin_on(const QueueItem& item,
@@ -108,6 +129,7 @@
   Profile profile_;
   std::vector<QueueItem> queue_;
   Reservations& reservations_;
+  FailedStarts& failed_;
   WallTime now_;
   std::function<bool(double)> spent_;
   std::vector<Owner> started_;
--- a/src/planner/profile.cpp
+++ b/src/planner/profile.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <limits>
+#include <tuple>
 
 #include "planner/placement_search.hpp"
 
@@ -36,11 +37,13 @@
     machines_.emplace_back();
     salts_.push_back(0);
     lanes_.emplace_back(Resources{});
+    opened_.emplace_back();
   } else {
     at = unused_.back();
     unused_.pop_back();
   }
   lanes_[at] = Lane(machine.resources);
+  note_opened(at);
   salts_[at] = std::hash<MachineId>{}(machine.machine_id);
   index_[machine.machine_id] = at;
   auto group = std::find_if(groups_.begin(), groups_.end(), [&](const Group& g) {
@@ -66,12 +69,21 @@
   unused_.push_back(machine);
 }
 
-void Profile::update_machine(std::size_t machine, WallTime ready, std::set<ImageId> images,
+void Profile::update_machine(std::size_t machine, WallTime ready, ImageSet images,
                              std::size_t fetching) {
-  if (ready > machines_[machine].ready) break_owners_on(machine);
-  machines_[machine].ready = ready;
-  machines_[machine].images = std::move(images);
-  machines_[machine].fetching = fetching;
+  PlanMachine& known = machines_[machine];
+  if (ready > known.ready) break_owners_on(machine);
+  if (ready < known.ready || fetching < known.fetching || images != known.images) {
+    note_opened(machine);
+  }
+  known.ready = ready;
+  known.images = std::move(images);
+  known.fetching = fetching;
+}
+
+void Profile::note_opened(std::size_t machine) {
+  next_version();
+  opened_[machine] = version_;
 }
 
 void Profile::break_owners_on(std::size_t machine) {
@@ -79,7 +91,7 @@
 }
 
 void Profile::set_team(const TeamId& team, Resources limit) {
-  teams_.emplace_back(team, Lane(limit));
+  teams_.push_back({team, Lane(limit), {}});
 }
 
 std::optional<std::size_t> Profile::find(const MachineId& machine_id) const {
@@ -89,42 +101,103 @@
 }
 
 const Lane* Profile::team(const TeamId& team) const {
-  for (const auto& [name, lane] : teams_) {
-    if (name == team) return &lane;
+  for (const TeamLane& known : teams_) {
+    if (known.name == team) return &known.lane;
   }
   return nullptr;
 }
 
 void Profile::take(std::size_t machine, const TeamId& team, const Allocation& allocation) {
   lanes_[machine].take(allocation);
-  owners_[allocation.owner].push_back(machine);
+  auto& lanes = owners_[allocation.owner];
+  if (std::find(lanes.begin(), lanes.end(), machine) == lanes.end()) lanes.push_back(machine);
   take_team(team, allocation);
 }
 
 void Profile::take_team(const TeamId& team, const Allocation& allocation) {
   for (std::size_t i = 0; i < teams_.size(); ++i) {
-    if (teams_[i].first != team) continue;
-    teams_[i].second.take(allocation);
+    if (teams_[i].name != team) continue;
+    teams_[i].lane.take(allocation);
     team_of_[allocation.owner] = i;
   }
 }
 
 void Profile::take(const Plan& plan, const JobSpec& job, Owner owner) {
-  for (const Placement& spot : plan.placements) {
-    take(spot.machine, job.team, {spot.start, spot.end, job.need, owner});
-  }
+  // Tasks of one place and time are one allocation: a lane's cost follows their number.
+  std::vector<Placement> sorted = plan.placements;
+  const auto each_run = [&sorted](auto same, auto take_run) {
+    for (std::size_t i = 0; i < sorted.size();) {
+      std::size_t next = i + 1;
+      while (next < sorted.size() && same(sorted[i], sorted[next])) ++next;
+      take_run(sorted[i], static_cast<double>(next - i));
+      i = next;
+    }
+  };
+  std::sort(sorted.begin(), sorted.end(), [](const Placement& a, const Placement& b) {
+    return std::tie(a.machine, a.start, a.end) < std::tie(b.machine, b.start, b.end);
+  });
+  auto& lanes = owners_[owner];
+  each_run(
+      [](const Placement& a, const Placement& b) {
+        return a.machine == b.machine && a.start == b.start && a.end == b.end;
+      },
+      [&](const Placement& first, double count) {
+        lanes_[first.machine].take({first.start, first.end, job.need * count, owner});
+        if (lanes.empty() || lanes.back() != first.machine) lanes.push_back(first.machine);
+      });
+  std::sort(sorted.begin(), sorted.end(), [](const Placement& a, const Placement& b) {
+    return std::tie(a.start, a.end) < std::tie(b.start, b.end);
+  });
+  each_run(
+      [](const Placement& a, const Placement& b) { return a.start == b.start && a.end == b.end; },
+      [&](const Placement& first, double count) {
+        take_team(job.team, {first.start, first.end, job.need * count, owner});
+      });
 }
 
-void Profile::release(Owner owner) {
+std::vector<std::size_t> Profile::give_up(Owner owner) {
   broken_.erase(owner);
+  std::vector<std::size_t> lanes;
   if (const auto it = owners_.find(owner); it != owners_.end()) {
-    for (const std::size_t lane : it->second) lanes_[lane].release(owner);
+    lanes = std::move(it->second);
+    for (const std::size_t lane : lanes) lanes_[lane].release(owner);
     owners_.erase(it);
   }
   if (const auto it = team_of_.find(owner); it != team_of_.end()) {
-    teams_[it->second].second.release(owner);
+    teams_[it->second].lane.release(owner);
     team_of_.erase(it);
   }
+  return lanes;
+}
+
+void Profile::release(Owner owner) {
+  const auto team = team_of_.find(owner);
+  if (team != team_of_.end()) {
+    next_version();
+    teams_[team->second].opened = version_;
+  }
+  for (const std::size_t lane : give_up(owner)) note_opened(lane);
+}
+
+void Profile::release_for_trial(Owner owner) { give_up(owner); }
+
+bool Profile::opened_for(const Demand& demand, Version since, WallTime ready_since,
+                         WallTime now) const {
+  bool found = false;
+  each_allowed(demand, demand.zone, [&](std::size_t machine) {
+    if (found) return;
+    const WallTime ready = machines_[machine].ready;
+    const bool became_ready = ready > ready_since && ready <= now;
+    if (opened_[machine] <= since && !became_ready) return;
+    found = ready <= now && lanes_[machine].takes(demand.job->need, now, now + demand.run);
+  });
+  return found;
+}
+
+bool Profile::team_opened_since(const TeamId& team, Version since) const {
+  return std::any_of(teams_.begin(), teams_.end(), [&](const TeamLane& known) {
+    return known.name == team && known.opened > since;
+  });
 }
 
 void Profile::release_reservations_on(std::size_t machine) {
@@ -146,7 +219,7 @@
 }
 
 Duration Profile::fetch_time(const JobSpec& job, const PlanMachine& machine) const {
-  if (machine.pull_gb_per_s <= 0 || machine.images.contains(job.image)) return {0};
+  if (machine.pull_gb_per_s <= 0 || machine.images.contains(key_of(job.image))) return {0};
   return from_seconds(job.image_gb / machine.pull_gb_per_s *
                       static_cast<double>(1 + machine.fetching));
 }
@@ -155,7 +228,7 @@
   const auto lanes = owners_.find(owner);
   const auto limit = team_of_.find(owner);
   if (lanes == owners_.end() || broken_.contains(owner)) return false;
-  if (limit != team_of_.end() && !teams_[limit->second].second.intact(owner)) return false;
+  if (limit != team_of_.end() && !teams_[limit->second].lane.intact(owner)) return false;
   return std::all_of(lanes->second.begin(), lanes->second.end(), [&](std::size_t lane) {
     ++looked_;
     return lanes_[lane].intact(owner);
@@ -163,49 +236,50 @@
 }
 
 bool Profile::holds(const Plan& plan, const JobSpec& job) const {
-  // Quick and strict first: all tasks of the plan that overlap count as if they ran at once.
-  const auto strictly = [&] {
-    const Lane* limit = team(job.team);
-    for (std::size_t i = 0; i < plan.placements.size(); ++i) {
-      const Placement& spot = plan.placements[i];
-      double there = 1;
-      double all = 1;
-      for (std::size_t k = 0; k < i; ++k) {
-        if (plan.placements[k].end <= spot.start || spot.end <= plan.placements[k].start) continue;
-        ++all;
-        if (plan.placements[k].machine == spot.machine) ++there;
-      }
-      ++looked_;
-      if (!lanes_[spot.machine].takes(job.need * there, spot.start, spot.end)) return false;
-      if (limit != nullptr && !limit->takes(job.need * all, spot.start, spot.end)) return false;
-    }
-    return true;
-  };
-  for (const Placement& spot : plan.placements) {
-    if (spot.machine >= machines_.size() || machines_[spot.machine].ready > spot.start ||
-        machines_[spot.machine].machine_id == MachineId{}) {
+  for (const Placement& placement : plan.placements) {
+    if (placement.machine >= machines_.size() ||
+        machines_[placement.machine].ready > placement.start ||
+        machines_[placement.machine].machine_id == MachineId{}) {
       return false;
     }
   }
-  if (strictly()) return true;
-  // Only the lanes that the plan touches are tried, on copies.
-  std::vector<std::pair<std::size_t, Lane>> scratch;
   const Lane* limit = team(job.team);
-  std::optional<Lane> team_scratch;
-  if (limit != nullptr) team_scratch = *limit;
-  for (const Placement& spot : plan.placements) {
+  return machines_hold(plan, job) && (limit == nullptr || team_holds(plan, job, *limit));
+}
+
+bool Profile::machines_hold(const Plan& plan, const JobSpec& job) const {
+  std::vector<Placement> sorted = plan.placements;
+  std::sort(sorted.begin(), sorted.end(),
+            [](const Placement& a, const Placement& b) { return a.machine < b.machine; });
+  for (std::size_t i = 0; i < sorted.size();) {
+    std::size_t next = i + 1;
+    while (next < sorted.size() && sorted[next].machine == sorted[i].machine) ++next;
     ++looked_;
-    auto lane = std::find_if(scratch.begin(), scratch.end(),
-                             [&](const auto& entry) { return entry.first == spot.machine; });
-    if (lane == scratch.end()) {
-      scratch.emplace_back(spot.machine, lanes_[spot.machine]);
-      lane = std::prev(scratch.end());
-    }
-    if (!lane->second.takes(job.need, spot.start, spot.end)) return false;
-    if (team_scratch && !team_scratch->takes(job.need, spot.start, spot.end)) return false;
-    const Allocation allocation{spot.start, spot.end, job.need, Owner{}};
-    lane->second.take(allocation);
-    if (team_scratch) team_scratch->take(allocation);
+    if (!lane_holds(lanes_[sorted[i].machine], &sorted[i], next - i, job.need)) return false;
+    i = next;
+  }
+  return true;
+}
+
+bool Profile::team_holds(const Plan& plan, const JobSpec& job, const Lane& limit) {
+  return lane_holds(limit, plan.placements.data(), plan.placements.size(), job.need);
+}
+
+bool Profile::lane_holds(const Lane& lane, const Placement* placements, std::size_t count,
+                         const Resources& need) {
+  // Quick and strict first: as if all ran for the whole time.
+  WallTime first = kNever;
+  WallTime last{};
+  for (std::size_t i = 0; i < count; ++i) {
+    first = std::min(first, placements[i].start);
+    last = std::max(last, placements[i].end);
+  }
+  if (lane.takes(need * static_cast<double>(count), first, last)) return true;
+  if (count == 1) return false;
+  Lane trial = lane;
+  for (std::size_t i = 0; i < count; ++i) {
+    if (!trial.takes(need, placements[i].start, placements[i].end)) return false;
+    trial.take({placements[i].start, placements[i].end, need, Owner{}});
   }
   return true;
 }
--- a/src/planner/profile.hpp
+++ b/src/planner/profile.hpp
@@ -13,6 +13,7 @@
 #include <unordered_set>
 #include <vector>
 
+#include "planner/image_set.hpp"
 #include "planner/lane.hpp"
 #include "wire/job_spec.hpp"
 
@@ -27,7 +28,7 @@
   double price = 0;  // per hour, as it is charged
   double pull_gb_per_s = 0;
   Resources resources;
-  std::set<ImageId> images;
+  ImageSet images;
   std::size_t fetching = 0;  // images on their way there: a further one shares the rate
 };
 
@@ -57,13 +58,14 @@
 
 class Profile {
  public:
+  using Version = Strong<struct ProfileVersionTag, std::uint64_t>;
+
   std::size_t add_machine(PlanMachine machine);
   /// Its lane and all that was taken there; its index may be used again.
   void remove_machine(std::size_t machine);
   void set_team(const TeamId& team, Resources limit);
   /// What may change of a machine while it is in the profile.
-  void update_machine(std::size_t machine, WallTime ready, std::set<ImageId> images,
-                      std::size_t fetching);
+  void update_machine(std::size_t machine, WallTime ready, ImageSet images, std::size_t fetching);
 
   /// All that ever were, by index; those that are gone have an empty name.
   [[nodiscard]] const std::vector<PlanMachine>& machines() const { return machines_; }
@@ -77,6 +79,10 @@
   void take_team(const TeamId& team, const Allocation& allocation);
   void take(const Plan& plan, const JobSpec& job, Owner owner);
   void release(Owner owner);
+  /// As `release`, for what will be taken again as it was, unless something better is found: nobody
+  /// else is to look for room there meanwhile. `note_opened` follows where it is not taken again.
+  void release_for_trial(Owner owner);
+  void note_opened(std::size_t machine);
   /// Of all that have room there for later.
   void release_reservations_on(std::size_t machine);
 
@@ -96,6 +102,14 @@
   /// True when the job's rules allow the machine.
   [[nodiscard]] static bool allowed(const JobSpec& job, const PlanMachine& machine);
   [[nodiscard]] Duration fetch_time(const JobSpec& job, const PlanMachine& machine) const;
+  /// Which state of the room this is. It rises with everything that could let a task begin that
+  /// could not before: room that is given up, a machine that is new or has a further image.
+  [[nodiscard]] Version version() const { return version_; }
+  /// True when room on a machine that the demand's job may use was opened after `since`, or the
+  /// machine became ready after `ready_since`, and one of its tasks could begin there `now`.
+  [[nodiscard]] bool opened_for(const Demand& demand, Version since, WallTime ready_since,
+                                WallTime now) const;
+  [[nodiscard]] bool team_opened_since(const TeamId& team, Version since) const;
   /// Lanes looked at so far: the cost of planning in steps.
   [[nodiscard]] std::uint64_t looked() const { return looked_; }
 
@@ -128,7 +142,21 @@
   void count_looked() const { ++looked_; }
 
  private:
+  /// A team's limit over time.
+  struct TeamLane {
+    TeamId name;
+    Lane lane;
+    Version opened;  // when some of it was last given up
+  };
   void break_owners_on(std::size_t machine);
+  /// Takes the owner's room back; the machines where it was.
+  std::vector<std::size_t> give_up(Owner owner);
+  [[nodiscard]] bool machines_hold(const Plan& plan, const JobSpec& job) const;
+  [[nodiscard]] static bool team_holds(const Plan& plan, const JobSpec& job, const Lane& limit);
+  /// True when the lane takes these placements together, one after the other or at once.
+  [[nodiscard]] static bool lane_holds(const Lane& lane, const Placement* placements,
+                                       std::size_t count, const Resources& need);
+  void next_version() { version_ = Version(version_.get() + 1); }
 
   std::vector<PlanMachine> machines_;
   std::vector<std::uint64_t> salts_;  // decide between equals, by machine and job together
@@ -137,7 +165,9 @@
   std::vector<Group> groups_;
   std::unordered_map<MachineId, std::size_t> index_;
   double dearest_ = 0;
-  std::vector<std::pair<TeamId, Lane>> teams_;
+  std::vector<Version> opened_;  // by machine: when room there was last opened
+  Version version_{1};
+  std::vector<TeamLane> teams_;
   std::unordered_map<Owner, std::vector<std::size_t>> owners_;  // lanes where it has taken room
   std::unordered_map<Owner, std::size_t> team_of_;
   std::unordered_set<Owner> broken_;  // a machine that they counted on is gone, or comes later
--- /dev/null
+++ b/tests/failed_start_test.cpp
@@ -0,0 +1,157 @@
+// Starts that failed are remembered from round to round: skipping them gives what trying would.
+#include <map>
+#include <memory>
+#include <random>
+
+#include "helpers.hpp"
+#include "planner/planner.hpp"
+
+namespace marblevale {
+namespace {
+
+using testing::at;
+using testing::batch;
+using testing::gang;
+using testing::item;
+using testing::machine;
+
+bool never(double) { return false; }
+
+std::string numbered(std::string name, std::uint64_t number) {
+  name.append(std::to_string(number));
+  return name;
+}
+
+WallTime first_end(const Plan& plan) {
+  WallTime first = plan.end();
+  for (const Placement& placement : plan.placements) first = std::min(first, placement.end);
+  return first;
+}
+
+/// A small cluster whose profile is kept up from round to round, as the leader's is. Every decision
+/// but the starts comes from a seed, so that two of them see the same jobs and the same ends.
+class Cluster {
+ public:
+  Cluster(unsigned seed, bool remembers) : random_(seed), remembers_(remembers) {
+    for (const TeamId& team : {TeamId("crew"), TeamId("other")})
+      profile_.set_team(team, {500, 20, 5000});
+    for (int i = 0; i < 10; ++i) {
+      profile_.add_machine(machine(numbered("m", static_cast<std::uint64_t>(i)), i % 2 == 0 ? 4 : 8,
+                                   i % 3 == 0 ? "a" : "b"));
+    }
+  }
+
+  /// One second: ends, arrivals, a round. What was started, in its order.
+  std::vector<std::string> second() {
+    now_ += 1;
+    end_some();
+    for (std::size_t n = draw(3); n > 0; --n) submit();
+    Planner planner(std::move(profile_), queue_, reservations_,
+                    remembers_ ? failed_ : testing::no_failed_starts(), at(now_), never);
+    planner.restore();
+    planner.admit_arrivals();
+    std::size_t cursor = 0;
+    const auto starts = planner.compress(cursor);
+    skipped_ += failed_.size();
+    profile_ = planner.take_profile();
+    std::vector<std::string> out;
+    for (const Start& start : starts) out.push_back(begin(start));
+    return out;
+  }
+  [[nodiscard]] std::size_t remembered() const { return skipped_; }
+
+ private:
+  std::size_t draw(std::size_t below) { return random_() % below; }
+
+  void submit() {
+    const std::string id = numbered("req-", ++serial_);
+    const auto seconds = static_cast<double>(5 + draw(40));
+    const std::array<std::uint32_t, 4> widths{1, 2, 4, 6};
+    const std::uint32_t width = widths.at(draw(widths.size()));
+    JobSpec job = draw(2) == 0 ? gang(id, width, 4, seconds) : batch(id, width * 2, 1, seconds);
+    job.together = draw(3) == 0;
+    job.team = TeamId(draw(2) == 0 ? "crew" : "other");
+    if (draw(5) == 0) job.urgency = Urgency::urgent;
+    jobs_.push_back(std::make_unique<JobSpec>(std::move(job)));
+    queue_.push_back(item(*jobs_.back(), serial_, now_));
+  }
+
+  std::string begin(const Start& start) {
+    const auto entry = std::find_if(queue_.begin(), queue_.end(),
+                                    [&](const auto& i) { return i.job_id == start.job_id; });
+    std::string text = start.job_id.get();
+    Plan running = start.plan;
+    for (Placement& placement : running.placements) {
+      text.append(1, ' ').append(profile_.machines()[placement.machine].machine_id.get());
+      placement.start = WallTime{0};
+    }
+    const Owner owner{++runs_ | (1ULL << 40)};
+    // Ends drift from their estimates in both directions.
+    const double end = now_ + 1 + static_cast<double>((runs_ * 7919) % 60);
+    runs_by_owner_[owner] = {running, entry->demand.job, end};
+    profile_.take(running, *entry->demand.job, owner);
+    entry->demand.tasks -= static_cast<std::uint32_t>(start.task_indices.size());
+    entry->task_indices.resize(entry->demand.tasks);
+    if (entry->demand.tasks == 0) {
+      reservations_.erase(start.job_id);
+      queue_.erase(entry);
+    }
+    return text;
+  }
+
+  /// Ends what has ended, and stretches what has overrun its estimate, as the leader does.
+  void end_some() {
+    for (auto it = runs_by_owner_.begin(); it != runs_by_owner_.end();) {
+      Run& run = it->second;
+      const bool ended = run.end <= now_;
+      const bool overran = first_end(run.plan) <= at(now_ + 1);
+      if (ended || overran) profile_.release(it->first);
+      if (ended) {
+        it = runs_by_owner_.erase(it);
+        continue;
+      }
+      if (overran) {
+        for (Placement& placement : run.plan.placements) {
+          placement.end = std::max(placement.end, at(now_ + 6));
+        }
+        profile_.take(run.plan, *run.job, it->first);
+      }
+      ++it;
+    }
+  }
+
+  struct Run {
+    Plan plan;
+    const JobSpec* job = nullptr;
+    double end = 0;
+  };
+
+  std::mt19937 random_;
+  bool remembers_;
+  Profile profile_;
+  std::vector<std::unique_ptr<JobSpec>> jobs_;
+  std::vector<QueueItem> queue_;
+  Reservations reservations_;
+  FailedStarts failed_;
+  std::map<Owner, Run> runs_by_owner_;
+  std::uint64_t serial_ = 0;
+  std::uint64_t runs_ = 0;
+  std::size_t skipped_ = 0;
+  double now_ = 0;
+};
+
+class FailedStartTest : public ::testing::TestWithParam<unsigned> {};
+
+TEST_P(FailedStartTest, SkippingGivesWhatTryingAgainWould) {
+  Cluster remembers(GetParam(), true);
+  Cluster tries(GetParam(), false);
+  for (int second = 0; second < 300; ++second) {
+    ASSERT_EQ(remembers.second(), tries.second()) << "second " << second;
+  }
+  EXPECT_GT(remembers.remembered(), 100U);
+}
+
+INSTANTIATE_TEST_SUITE_P(Seeds, FailedStartTest, ::testing::Values(1U, 2U, 3U, 4U, 5U, 6U, 7U, 8U));
+
+}  // namespace
+}  // namespace marblevale
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -58,4 +58,11 @@
   return out;
 }
 
+/// For a planner of a single round: no start has failed before.
+inline FailedStarts& no_failed_starts() {
+  static FailedStarts none;
+  none.clear();
+  return none;
+}
+
 }  // namespace marblevale::testing
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -47,7 +47,7 @@
   Reservations r{{c.job_id, reserved(4, 14)}, {e.job_id, reserved(14, 24)}};
   Profile p = one_machine(2);
   std::vector<QueueItem> queue{item(e, 1, 0), item(c, 2, 1)};
-  Planner planner(std::move(p), queue, r, at(0), never);
+  Planner planner(std::move(p), queue, r, testing::no_failed_starts(), at(0), never);
   EXPECT_TRUE(planner.restore().empty());
   std::size_t cursor = 0;
   // E comes first in the queue, but cannot start now without delaying C, whose place at 4 is in
@@ -64,7 +64,8 @@
   Reservations r{{high.job_id, reserved(20, 28)}, {low.job_id, reserved(2, 11)}};
   Profile p = one_machine(3);
   p.take(0, TeamId("x"), {at(0), at(1), {0, 0, 0}, Owner{77}});
-  Planner planner(std::move(p), {item(high, 1), item(low, 2)}, r, at(0), never);
+  Planner planner(std::move(p), {item(high, 1), item(low, 2)}, r, testing::no_failed_starts(),
+                  at(0), never);
   planner.restore();
   std::size_t cursor = 0;
   EXPECT_EQ(names(planner.compress(cursor)), (std::vector<std::string>{"req-high", "req-low"}));
@@ -78,7 +79,8 @@
   Reservations r{{d.job_id, reserved(6, 16)}, {f.job_id, reserved(16, 26)}};
   Profile p = one_machine(3);
   p.take(0, TeamId("x"), {at(0), at(4), {0, 1, 0}, Owner{99}});  // C still runs until 4
-  Planner planner(std::move(p), {item(d, 1), item(f, 2)}, r, at(0), never);
+  Planner planner(std::move(p), {item(d, 1), item(f, 2)}, r, testing::no_failed_starts(), at(0),
+                  never);
   planner.restore();
   std::size_t cursor = 0;
   EXPECT_EQ(names(planner.compress(cursor)), std::vector<std::string>{"req-d"});
@@ -93,7 +95,8 @@
   Reservations r{{f.job_id, reserved(16, 26)}};
   Profile p = one_machine(3);
   p.take(0, TeamId("x"), {at(0), at(4), {0, 1, 0}, Owner{99}});
-  Planner planner(std::move(p), {item(f, 1), item(fresh, 2)}, r, at(0), never);
+  Planner planner(std::move(p), {item(f, 1), item(fresh, 2)}, r, testing::no_failed_starts(), at(0),
+                  never);
   planner.restore();
   EXPECT_TRUE(planner.admit_arrivals());
   EXPECT_EQ(r.at(f.job_id).start, at(4));
@@ -107,7 +110,8 @@
   Reservations r{{f.job_id, reserved(16, 26)}};
   Profile p = one_machine(3);
   p.take(0, TeamId("x"), {at(0), at(4), {0, 1, 0}, Owner{99}});
-  Planner planner(std::move(p), {item(f, 1), item(fresh, 2)}, r, at(0), never);
+  Planner planner(std::move(p), {item(f, 1), item(fresh, 2)}, r, testing::no_failed_starts(), at(0),
+                  never);
   planner.restore();
   planner.admit_arrivals();
   EXPECT_EQ(r.at(fresh.job_id).start, at(4));
@@ -119,7 +123,8 @@
   JobSpec rush = gang("req-b", 1, 2, 50);
   rush.urgency = Urgency::production;
   Reservations r{{granted.job_id, reserved(10, 110)}};
-  Planner planner(one_machine(2), {item(granted, 1), item(rush, 2)}, r, at(0), never);
+  Planner planner(one_machine(2), {item(granted, 1), item(rush, 2)}, r, testing::no_failed_starts(),
+                  at(0), never);
   planner.restore();
   planner.admit_arrivals();
   EXPECT_EQ(r.at(granted.job_id).start, at(10));
@@ -131,7 +136,7 @@
   Reservations r{{a.job_id, reserved(5, 15)}};
   Profile p = one_machine(2);
   p.take(0, TeamId("x"), {at(0), at(8), {0, 2, 0}, Owner{99}});
-  Planner planner(std::move(p), {item(a, 1)}, r, at(0), never);
+  Planner planner(std::move(p), {item(a, 1)}, r, testing::no_failed_starts(), at(0), never);
   const auto moved = planner.restore();
   ASSERT_EQ(moved.size(), 1U);
   EXPECT_EQ(moved[0].from, at(5));
@@ -146,12 +151,14 @@
   Reservations r{{a.job_id, reserved(5, 15)}, {b.job_id, reserved(15, 25)}};
   Profile p = one_machine(2);
   p.take(0, TeamId("x"), {at(0), at(5), {0, 2, 0}, Owner{99}});
-  Planner before(std::move(p), {item(a, 1), item(b, 2)}, r, at(1), never);
+  Planner before(std::move(p), {item(a, 1), item(b, 2)}, r, testing::no_failed_starts(), at(1),
+                 never);
   EXPECT_TRUE(before.restore().empty());
   p = before.take_profile();
   p.release(Owner{99});
   p.take(0, TeamId("x"), {at(0), at(8), {0, 2, 0}, Owner{99}});  // it overruns
-  Planner after(std::move(p), {item(a, 1), item(b, 2)}, r, at(2), never);
+  Planner after(std::move(p), {item(a, 1), item(b, 2)}, r, testing::no_failed_starts(), at(2),
+                never);
   after.restore();
   EXPECT_EQ(r.at(a.job_id).start, at(8));
   EXPECT_EQ(r.at(b.job_id).start, at(18));
@@ -160,7 +167,7 @@
 TEST(Guarantee, EveryJobIsReservedEvenIfNoMachineCanTakeIt) {
   const JobSpec wide = gang("req-w", 1, 16, 10);
   Reservations r;
-  Planner planner(one_machine(2), {item(wide, 1)}, r, at(0), never);
+  Planner planner(one_machine(2), {item(wide, 1)}, r, testing::no_failed_starts(), at(0), never);
   planner.admit_arrivals();
   EXPECT_GT(r.at(wide.job_id).start, at(0));
 }
@@ -177,7 +184,8 @@
          {at(0), at(6), {0, 1, 0}, Owner{98}});  // being stopped; its place is half free
   p.take(1, TeamId("x"), {at(0), at(3), {0, 2, 0}, Owner{99}});  // predicted to end sooner
   Reservations r{{wide.job_id, reserved(40, 100)}, {other.job_id, reserved(30, 90)}};
-  Planner planner(std::move(p), {item(wide, 1), item(other, 2)}, r, at(0), never);
+  Planner planner(std::move(p), {item(wide, 1), item(other, 2)}, r, testing::no_failed_starts(),
+                  at(0), never);
   planner.restore({{wide.job_id, {MachineId("m")}}});
   EXPECT_EQ(r.at(wide.job_id).places.at(0).machine_id, MachineId("m"));
   EXPECT_EQ(r.at(wide.job_id).start, at(6));
@@ -198,10 +206,10 @@
     queue.back().not_before = i < 2 ? at(100) : at(0);  // the first two cannot start
   }
   std::size_t cursor = 0;
-  Planner first(one_machine(4), queue, r, at(0), spent);
+  Planner first(one_machine(4), queue, r, testing::no_failed_starts(), at(0), spent);
   EXPECT_TRUE(first.compress(cursor).empty());
   EXPECT_EQ(cursor, 1U);
-  Planner second(one_machine(4), queue, r, at(0), never);
+  Planner second(one_machine(4), queue, r, testing::no_failed_starts(), at(0), never);
   EXPECT_EQ(names(second.compress(cursor)), (std::vector<std::string>{"req-2", "req-3"}));
   EXPECT_EQ(cursor, 0U);
 }
@@ -422,7 +430,8 @@
     for (const auto& machine_id : machine_ids_) p.add_machine(machine(machine_id, 4));
     for (const auto& [machine_id, allocation] : running_)
       p.take(*p.find(machine_id), TeamId("x"), allocation);
-    Planner planner(std::move(p), queue_, reservations_, at(now_), never);
+    Planner planner(std::move(p), queue_, reservations_, testing::no_failed_starts(), at(now_),
+                    never);
     planner.restore();
     planner.admit_arrivals();
     std::size_t cursor = 0;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -60,7 +60,7 @@
     queue.push_back(item(jobs[i], i + 1, static_cast<double>(i) / 100));
   }
   Reservations r;
-  Planner planner(large_fleet(), queue, r, at(100), never);
+  Planner planner(large_fleet(), queue, r, testing::no_failed_starts(), at(100), never);
   EXPECT_TRUE(planner.admit_arrivals());
   EXPECT_EQ(r.size(), jobs.size());
   const auto admitted = planner.profile().looked();
