--- a/src/app/settings.hpp
+++ b/src/app/settings.hpp
@@ -31,6 +31,7 @@
   /// What the team's tasks may take at most.
   [[nodiscard]] Resources limit() const;
   [[nodiscard]] Resources guarantee() const;
+  [[nodiscard]] bool has_guarantee() const { return cpus > 0 || gpus > 0; }
 };
 
 /// What is expected of a class of jobs.
--- a/src/planner/displacement.cpp
+++ b/src/planner/displacement.cpp
@@ -8,7 +8,8 @@
 namespace {
 constexpr double kImpatientLoss = 60;  // of a victim without a deadline: its start was the point
 constexpr Duration kFreshStart{30'000};
-constexpr double kFreshLoss = 15;  // of a victim that has hardly begun
+constexpr double kFreshLoss = 15;           // of a victim that has hardly begun
+constexpr double kGuaranteedTeamLoss = 30;  // of a victim whose team has a guarantee
 }  // namespace
 
 std::optional<Displacement> find_room(const QueueItem& item,
@@ -65,6 +66,8 @@
         lost += (type->pull_gb_per_s > 0 ? other->spec.image_gb / type->pull_gb_per_s : 0) * 0.5;
         if (!other->spec.deadline) lost += kImpatientLoss;
         if (ran < kFreshStart) lost += kFreshLoss;
+        const Team* other_team = settings.team(other->spec.team);
+        if (other_team != nullptr && other_team->has_guarantee()) lost += kGuaranteedTeamLoss;
         place.victims.push_back({id, other->spec.need, lost});
       }
     }
--- a/src/planner/granting.cpp
+++ b/src/planner/granting.cpp
@@ -666,6 +666,8 @@
     if (r == reservations_.end() || item.not_before > wall) continue;
     if (r->second.start - wall < kWorthDisplacing) continue;
     if (!item.guaranteed && item.demand.job->urgency == Urgency::low) continue;
+    // Submitted with a mistake, it seems: nothing is stopped so that it can fail once more.
+    if (item.failing) continue;
     const auto last = made_room_.find(item.job_id);
     if (last != made_room_.end() && now - last->second.at < kRoomEvery) continue;
     if (++tried > kMaxDisplacing || clock_.steady() - now > kDisplaceBudget) break;
@@ -801,6 +803,16 @@
   return {r->second.places.empty() ? "its reservation has no place" : "unknown", true};
 }
 
+bool Granting::worth_renting_for(const QueueItem& item) const {
+  // Work that nobody set an objective for, of a team without a guarantee, runs on what is idle. One
+  // that has waited for too long gets a machine all the same.
+  const auto wanted = [&](const Objective& o) {
+    return o.job_class == item.demand.job->job_class && !o.job_class.empty();
+  };
+  return item.of_guaranteed_team || item.overdue ||
+         std::any_of(settings_.objectives.begin(), settings_.objectives.end(), wanted);
+}
+
 void Granting::plan_rentals(const Planner& planner) {
   const auto timed = metrics_.time(Duty::rentals);
   last_rental_planning_ = clock_.steady();
@@ -834,6 +846,7 @@
   }
   for (const auto& [item, plan] : outlook) {
     const JobSpec& job = *item->demand.job;
+    if (!worth_renting_for(*item)) continue;
     const Lane* limit = planner.profile().team(job.team);
     const double least = job.gang() ? item->demand.tasks : 1;
     if (limit != nullptr && !fits(job.need * least, limit->whole() - limit->running())) continue;
--- a/src/planner/granting.hpp
+++ b/src/planner/granting.hpp
@@ -82,6 +82,7 @@
                                    const Profile& profile, const std::set<MachineId>& others);
   void summarize(const Planner& planner);
   void plan_rentals(const Planner& planner);
+  [[nodiscard]] bool worth_renting_for(const QueueItem& item) const;
   void check_starvation(const Planner& planner);
   struct Cause {
     std::string what;
--- a/src/planner/occupancy.cpp
+++ b/src/planner/occupancy.cpp
@@ -63,10 +63,20 @@
   const auto machine = records.machines.find(machine_id);
   if (placed == records.placed.end() || machine == records.machines.end()) return 0;
   std::set<ImageId> coming;
+  // Tasks of one slice follow one another: what they share is looked up once.
+  SliceKey key;
+  const Versioned<SliceRecord>* slice = nullptr;
+  const JobRecord* job = nullptr;
   for (const auto& [id, attempt] : placed->second) {
-    const TaskRecord* task = records.task(id);
-    const JobRecord* job = records.job(id.job_id);
-    if (task != nullptr && job != nullptr && task->running.ms == 0) coming.insert(job->spec.image);
+    const SliceKey of_task{id.job_id, id.task_index / kSliceTasks};
+    if (of_task != key) {
+      key = of_task;
+      slice = records.slice(key.first, key.second);
+      job = records.job(key.first);
+    }
+    if (slice == nullptr || job == nullptr) continue;
+    const TaskRecord& task = slice->record.tasks.at(id.task_index % kSliceTasks);
+    if (task.running.ms == 0) coming.insert(job->spec.image);
   }
   for (const auto& [image, gb] : machine->second.record.images) coming.erase(image);
   return coming.size();
--- a/src/planner/placement_search.cpp
+++ b/src/planner/placement_search.cpp
@@ -46,8 +46,13 @@
   const bool strands = !m.spot && job.need.gpus > 0 && m.resources.gpus > 0;
   const double waste =
       strands ? share_of(job.need, m.resources) - job.need.gpus / m.resources.gpus : 0;
+  // One that takes no accelerators leaves those of its machine without CPUs: rather where they are
+  // in use already.
+  const bool starves = job.need.gpus <= 0 && m.resources.gpus > 0;
+  const double starved = starves ? free.gpus / m.resources.gpus : 0;
   const double apart = demand.lean && *demand.lean != m.zone ? kApartSeconds : 0;
-  return apart + kWasteSeconds * waste + fetch.seconds() * (job.deadline ? kPatientFetch : 1.0) +
+  return apart + kWasteSeconds * (waste + starved) +
+         fetch.seconds() * (job.deadline ? kPatientFetch : 1.0) +
          price_weight(share_of(job.need, m.resources), m) +
          share_of(free, m.resources) * (job.gang() ? 0.2 : 1.0) + static_cast<double>(draw) / 1e5;
 }
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -47,6 +47,9 @@
   if (a.guaranteed != b.guaranteed) return a.guaranteed;
   if (a.overdue != b.overdue) return a.overdue;
   if (a.overdue && a.accepted != b.accepted) return a.accepted < b.accepted;
+  // A team without a guarantee gets what the others leave: its idle-only work filled the cluster
+  // before the arrays of guaranteed teams, which are of the same urgency.
+  if (a.of_guaranteed_team != b.of_guaranteed_team) return a.of_guaranteed_team;
   if (a.missed != b.missed) return b.missed;
   if (a.target != b.target) {
     // One without an objective waits behind those that still can meet theirs.
--- a/src/planner/planner.hpp
+++ b/src/planner/planner.hpp
@@ -24,11 +24,13 @@
   std::optional<WallTime> target;  // the next start time that meets an objective of its class
   bool missed = false;             // it has objectives, and all their start times have passed
   bool overdue = false;            // it has never begun, and has waited for too long
+  bool of_guaranteed_team = true;  // its team has a guarantee, whether it fits into it or not
+  bool failing = false;            // it failed again and again, and has worked nowhere
 };
 
 /// Urgency (what is overdue counts as standard at the least), then work within its team's
-/// guarantee, then what is overdue, by acceptance, then the nearest start that still meets an
-/// objective, then Shortest Job First, then acceptance.
+/// guarantee, then what is overdue, by acceptance, then work of teams that have a guarantee, then
+/// the nearest start that still meets an objective, then Shortest Job First, then acceptance.
 bool before(const QueueItem& a, const QueueItem& b);
 
 /// A job's reservation: machines are named, since the profile is built anew for each round.
--- a/src/planner/queueing.cpp
+++ b/src/planner/queueing.cpp
@@ -22,6 +22,8 @@
 
 /// An array that failed on that many machines and has not worked anywhere is taken for mistaken.
 constexpr std::size_t kMistakenMachines = 3;
+/// The same for one task: its record names only the last machine.
+constexpr std::uint32_t kMistakenFaults = 3;
 constexpr Duration kProvenRun{4'000};  // a task that ran this long is not mistaken
 
 Duration retry_pause(std::uint32_t faults) {
@@ -115,6 +117,7 @@
           .push_back(n * kSliceTasks + i);
     }
   }
+  item.failing = !worked && (failed_on.size() >= kMistakenMachines || faults >= kMistakenFaults);
   if (spec.gang()) {
     // A gang starts whole: not before all its earlier tasks are proven gone.
     if (placed) return std::nullopt;
@@ -179,6 +182,8 @@
     auto item = queue_item(job_id, job.record, current, now);
     if (!item) continue;
     item->guaranteed = guaranteed.contains(job_id);
+    const Team* team = settings.team(job.record.spec.team);
+    item->of_guaranteed_team = team != nullptr && team->has_guarantee();
     set_target(*item, job.record.spec, settings, now);
     if (gather && !job.record.spec.gang()) {
       // Where most of it is; a new one anywhere, decided by its name, so that no zone is favoured.
--- /dev/null
+++ b/tests/guest_work_test.cpp
@@ -0,0 +1,173 @@
+// Work of teams without a guarantee beside that of teams which have one, and jobs that fail
+// everywhere.
+#include "leader_fixture.hpp"
+#include "planner/displacement.hpp"
+#include "planner/queueing.hpp"
+
+namespace marblevale {
+namespace {
+
+using testing::at;
+using testing::batch;
+using testing::gang;
+using testing::item;
+using testing::machine;
+
+/// A team with a guarantee, and a guest without.
+Settings two_teams() {
+  Settings settings;
+  settings.zones = {ZoneId("a")};
+  Team crew;
+  crew.name = TeamId("crew");
+  crew.gpus = 1;
+  Team guest;
+  guest.name = TeamId("guest");
+  settings.teams = {crew, guest};
+  return settings;
+}
+
+JobSpec low(const std::string& job_id, const std::string& team, double seconds) {
+  JobSpec job = batch(job_id, 2, 1, seconds);
+  job.team = TeamId(team);
+  job.urgency = Urgency::low;
+  return job;
+}
+
+std::vector<std::string> order(const Records& records, double now) {
+  const auto none = [](const JobId&, std::uint32_t) -> const SliceRecord* { return nullptr; };
+  auto queue = build_queue(records, two_teams(), none, at(now), false);
+  std::sort(queue.begin(), queue.end(), before);
+  std::vector<std::string> out;
+  for (const QueueItem& entry : queue) out.push_back(entry.job_id.get());
+  return out;
+}
+
+void add(Records& records, const JobSpec& spec, double accepted) {
+  records.jobs[spec.job_id] = {JobRecord{spec, at(accepted), std::nullopt}, ModRevision(1)};
+}
+
+// Found on a day with a guest team: its idle-only work held the machines, and the arrays of the
+// guaranteed teams beyond their guarantee, of the same urgency, missed their deadlines.
+TEST(GuestWork, GoesAfterThatOfTeamsWithAGuarantee) {
+  Records records;
+  add(records, low("req-guest", "guest", 10), 0);
+  add(records, low("req-crew", "crew", 100), 1);
+  EXPECT_EQ(order(records, 20), (std::vector<std::string>{"req-crew", "req-guest"}));
+}
+
+// It must begin some day, too: within four minutes the largest of each class.
+TEST(GuestWork, GoesFirstOfItsRankOnceItIsOverdue) {
+  Records records;
+  add(records, low("req-guest", "guest", 10), 0);
+  add(records, low("req-crew", "crew", 100), 190);
+  EXPECT_EQ(order(records, 200), (std::vector<std::string>{"req-guest", "req-crew"}));
+}
+
+TEST(GuestWork, IsStoppedBeforeThatOfTeamsWithAGuarantee) {
+  Records records;
+  MachineType type;
+  type.name = "g8";
+  type.resources = {100, 1, 1000};
+  records.types = {std::vector<MachineType>{type}, ModRevision(1)};
+  Profile profile;
+  for (const std::string team : {"crew", "guest"}) {
+    const MachineId host(std::string("vm-").append(team));
+    MachineRecord record;
+    record.machine_id = host;
+    record.machine_type = "g8";
+    record.zone = ZoneId("a");
+    records.machines[host].record = record;
+    profile.add_machine(machine(host.get(), 1));
+    JobSpec spec = low(std::string("req-").append(team), team, 100);
+    add(records, spec, 0);
+    SliceRecord slice;
+    slice.job_id = spec.job_id;
+    slice.tasks.resize(2);
+    slice.tasks[0].state = TaskState::bound;
+    slice.tasks[0].attempt = Attempt(1);
+    slice.tasks[0].machine_id = host;
+    slice.tasks[0].running = at(1);
+    records.slices[{spec.job_id, 0}] = {slice, ModRevision(1)};
+    records.placed[host][{spec.job_id, 0}] = Attempt(1);
+  }
+  JobSpec urgent = gang("req-urgent", 1, 1, 50);
+  urgent.urgency = Urgency::urgent;
+  const auto room = find_room(item(urgent, 9), {}, records, two_teams(), profile, at(60), {});
+  ASSERT_TRUE(room);
+  ASSERT_EQ(room->victims.size(), 1U);
+  EXPECT_EQ(room->victims[0].job_id.get(), "req-guest");
+}
+
+// CPUs that a task without accelerators takes beside idle ones make these useless to others.
+TEST(GuestWork, WithoutAcceleratorsGoesWhereTheyAreInUse) {
+  Profile profile;
+  profile.add_machine(machine("idle", 2));
+  const auto busy = profile.add_machine(machine("busy", 2));
+  profile.take(busy, TeamId("crew"), {WallTime{0}, at(1000), {0, 2, 0}, Owner(1)});
+  for (int i = 0; i < 8; ++i) {
+    const JobSpec probe = low("req-" + std::to_string(i), "guest", 10);
+    QueueItem asked = item(probe, 2);
+    JobSpec without = probe;
+    without.need = {0.25, 0, 1};
+    asked.demand.job = &without;
+    asked.demand.tasks = 1;
+    const Plan plan = profile.fit_some(asked.demand, at(10));
+    ASSERT_EQ(plan.placements.size(), 1U);
+    EXPECT_EQ(plan.placements[0].machine, busy);
+  }
+}
+
+using GuestRentalTest = testing::LeaderTest;
+
+// Idle-only work: nobody set an objective for its class, and its team has no guarantee.
+TEST_F(GuestRentalTest, NothingIsRentedForIdleOnlyWorkUntilItIsOverdue) {
+  Team guest;
+  guest.name = TeamId("guest");
+  settings_.teams.push_back(guest);
+  cloud_.rents = true;
+  begin();
+  submit(low("req-1", "guest", 100));
+  run(Duration{60'000});
+  EXPECT_TRUE(cloud_.rentals.empty());
+  run(Duration{100'000});
+  EXPECT_FALSE(cloud_.rentals.empty()) << "it has waited for over 150 s";
+}
+
+TEST_F(GuestRentalTest, MachinesAreRentedForAClassWithAnObjective) {
+  Team guest;
+  guest.name = TeamId("guest");
+  settings_.teams.push_back(guest);
+  Objective wanted;
+  wanted.kind = Objective::Kind::finished;
+  wanted.job_class = "solve";
+  wanted.within = from_seconds(400);
+  settings_.objectives = {wanted};
+  cloud_.rents = true;
+  begin();
+  submit(low("req-1", "guest", 100));
+  run(Duration{60'000});
+  EXPECT_FALSE(cloud_.rentals.empty());
+}
+
+// A job that failed again and again, and worked nowhere, was submitted with a mistake.
+TEST(FailingJob, IsToldFromOneThatFailedOnASickMachine) {
+  Records records;
+  add(records, gang("req-1", 1, 1, 100), 0);
+  SliceRecord slice;
+  slice.job_id = JobId("req-1");
+  slice.tasks.resize(1);
+  slice.tasks[0].attempt = Attempt(4);
+  const auto current = [&](const JobId&, std::uint32_t) { return &slice; };
+  const auto failing = [&] {
+    return build_queue(records, two_teams(), current, at(900), false).at(0).failing;
+  };
+  slice.tasks[0].faults = 2;
+  EXPECT_FALSE(failing());
+  slice.tasks[0].faults = 3;
+  EXPECT_TRUE(failing());
+  slice.tasks[0].progress = from_seconds(10);  // it has worked
+  EXPECT_FALSE(failing());
+}
+
+}  // namespace
+}  // namespace marblevale
