--- a/src/blocks/holder.cpp
+++ b/src/blocks/holder.cpp
@@ -159,7 +159,7 @@
       // Workers of a holder that is gone are told at once who speaks for the block now.
       for (const auto& [machine_id, machine] : cache_.records().machines) {
         if (machine.record.zone != zone || machine.record.state >= MachineState::deleting) continue;
-        Worker& worker = workers_[machine_id];
+        Worker& worker = workers_.try_emplace(machine_id, machine_id).first->second;
         worker.zone = zone;
         may_report(machine_id, worker, clock_.steady());
         worker.view.address = machine.record.address;
@@ -259,7 +259,7 @@
   const SteadyTime now = clock_.steady();
   for (const auto& [machine_id, worker] : workers_) {
     if (out.empty()) break;
-    if (worker.reachability.introduced() && now - worker.last_report_at < silence_limit()) {
+    if (worker.reachability.reachable() && now - worker.last_report_at < silence_limit()) {
       out.erase(worker.zone);
     }
   }
@@ -291,7 +291,7 @@
   const FencingToken token = token_of(report->zone);
   if (report->token > token) return {421, "{}"};  // another holds the block by now
 
-  const auto [entry, unheard_of] = workers_.try_emplace(report->machine_id);
+  const auto [entry, unheard_of] = workers_.try_emplace(report->machine_id, report->machine_id);
   Worker& worker = entry->second;
   if (unheard_of) worker.last_report_at = now;
   worker.zone = report->zone;
@@ -313,19 +313,19 @@
   if (refused) return {503, R"({"error":"its lease must lapse"})"};
   if (!newer) return {200, write_answer(token, {})};
   if (report->token >= first_token_[report->zone]) {
-    worker.reachability.answered(now, settings_.workers.lease);
+    worker.reachability.report_answered(now, settings_.workers.lease);
     worker.last_report_at = now;
-    worker.reachability.heard(token);
+    worker.reachability.report_received(token);
     note_machine(*report, worker);
-  } else if (!worker.reachability.introduced_under(token)) {
-    machines_to_command_.insert(report->machine_id);  // the introduction tells whether it hears
+  } else if (!worker.reachability.reachable_under(token)) {
+    machines_to_command_.insert(report->machine_id);  // a probe shows whether commands reach it
     if (!round_timer_.pending()) round_timer_.start(kCoalesce);
   }
   auto orders = orders_for(report->machine_id, worker, true);
   for (const Order& order : orders) {
     if (order.verb == Verb::start) {
       worker.view.answered_starts[{order.id, order.attempt}] = report->sequence;
-      worker.reachability.start_sent(order.id, order.attempt, now, true);
+      worker.reachability.start_sent({order.id, order.attempt}, now, true);
     }
   }
   return {200, write_answer(token, orders)};
@@ -333,25 +333,25 @@
 
 bool BlockHolder::apply_report(Worker& worker, const Report& report, WorkerView::Source source) {
   const SessionId before = worker.view.session;
-  if (!worker.view.take(report, source)) return false;
+  if (!worker.view.apply(report, source)) return false;
   if (report.session > before &&
       worker.reachability.session_changed(clock_.steady(), settings_.workers.lease) &&
       before != SessionId{}) {
-    mark_commands_unreachable(report.machine_id, worker, "its lease lapsed though it was answered");
+    worker.reachability.mark_commands_unreachable("its lease lapsed though it was answered");
   }
   worker.view.prune();
   worker.reclaim_at.reset();
   if (report.reclaim_in) worker.reclaim_at = clock_.wall() + *report.reclaim_in;
   bool news = false;
   for (const auto& [key, task] : worker.view.tasks) {
-    const TaskRecord* record = cache_.records().task(key.first);
-    if (record == nullptr || record->state != TaskState::bound || record->attempt != key.second ||
+    const TaskRecord* record = cache_.records().task(key.id);
+    if (record == nullptr || record->state != TaskState::bound || record->attempt != key.attempt ||
         record->machine_id != report.machine_id) {
       continue;
     }
     const bool started = task.status == TaskStatus::running && record->running.ms == 0;
     if (task.status == TaskStatus::ended || started) {
-      dirty_.insert({key.first.job_id, key.first.task_index / kSliceTasks});
+      dirty_.insert({key.id.job_id, key.id.task_index / kSliceTasks});
       news = true;
     }
   }
@@ -359,7 +359,7 @@
   const auto placed = cache_.records().placed.find(report.machine_id);
   if (placed != cache_.records().placed.end()) {
     for (const auto& [id, attempt] : placed->second) {
-      if (reported(worker.view, id, attempt) != nullptr) continue;
+      if (find_reported(worker.view, {id, attempt}) != nullptr) continue;
       dirty_.insert({id.job_id, id.task_index / kSliceTasks});
       news = true;
     }
@@ -368,13 +368,6 @@
   return true;
 }
 
-void BlockHolder::mark_commands_unreachable(const MachineId& machine_id, Worker& worker,
-                                            const char* why) {
-  if (!worker.reachability.commands_unreachable())
-    spdlog::info("holder: {} does not hear: {}", machine_id.get(), why);
-  worker.reachability.mark_commands_unreachable();
-}
-
 void BlockHolder::may_report(const MachineId& machine_id, Worker& worker, SteadyTime now) const {
   // One that an earlier holder found silent has to report first.
   const auto machine = cache_.records().machines.find(machine_id);
@@ -388,9 +381,9 @@
 void BlockHolder::check_reports_reachable(const MachineId& machine_id, Worker& worker) {
   // It may reach no controller and hear orders all the same. What becomes of its tasks, and that
   // its lease has lapsed, is then told by its answers only.
-  worker.reachability.inspect(silent(machine_id) && cache_.records().placed.contains(machine_id));
-  if (worker.reachability.introduction_due(clock_.steady()))
-    machines_to_command_.insert(machine_id);
+  worker.reachability.probe_regularly(silent(machine_id) &&
+                                      cache_.records().placed.contains(machine_id));
+  if (worker.reachability.probe_due(clock_.steady())) machines_to_command_.insert(machine_id);
 }
 
 void BlockHolder::check_commands_reachable(const MachineId& machine_id, Worker& worker) {
@@ -398,15 +391,15 @@
   const Duration report = settings_.workers.report;
   if (now - worker.last_report_at < report * 2.0 &&
       worker.reachability.misses_starts(worker.view, now, report)) {
-    mark_commands_unreachable(machine_id, worker, "its starts do not show");
+    worker.reachability.mark_commands_unreachable("its starts do not show");
   }
-  worker.reachability.forget([&](const auto& start) {
-    const TaskRecord* task = cache_.records().task(start.first);
+  worker.reachability.forget_starts([&](const TaskAttempt& start) {
+    const TaskRecord* task = cache_.records().task(start.id);
     return task == nullptr || task->state != TaskState::bound || task->machine_id != machine_id ||
-           task->attempt != start.second || worker.view.tasks.contains(start);
+           task->attempt != start.attempt || worker.view.tasks.contains(start);
   });
   if (worker.reachability.commands_unreachable())
-    put_machine(machine_id, MachineState::silent, "reports, but does not hear");
+    put_machine(machine_id, MachineState::silent, "reports, but commands do not reach it");
 }
 
 void BlockHolder::note_machine(const Report& report, Worker& worker) {
@@ -567,7 +560,7 @@
   // Nothing is bound to a machine that has not shown, under this fencing token, that it hears us,
   // nor to one that does not report: its lease lapses.
   if (worker->second.view.session == SessionId{} || silent(machine_id) ||
-      !worker->second.reachability.introduced()) {
+      !worker->second.reachability.reachable()) {
     return false;
   }
   const MachineType* type = records.type(machine->second.record.machine_type);
@@ -659,7 +652,7 @@
   const bool unwanted = task.stop || cancellations_.cancelled_at(id.job_id);
   switch (examine(id, task, view, token_of(task.zone))) {
     case Finding::ended: {
-      const ReportedTask* there = reported(view, id, task.attempt);
+      const ReportedTask* there = find_reported(view, {id, task.attempt});
       finish(id, task, job, there->cause, there->saved);
       break;
     }
@@ -670,7 +663,8 @@
       if (unwanted) finish(id, task, job, "never started", false);
       break;
     case Finding::present:
-      if (task.running.ms == 0 && reported(view, id, task.attempt)->status == TaskStatus::running) {
+      if (task.running.ms == 0 &&
+          find_reported(view, {id, task.attempt})->status == TaskStatus::running) {
         task.running = clock_.wall();
         const MachineType* type = machine == records.machines.end()
                                       ? nullptr
@@ -920,7 +914,7 @@
       if (task == nullptr || job == nullptr || task->state != TaskState::bound) continue;
       const bool cancelled = cancellations_.cancelled_at(id.job_id).has_value();
       if (task->session != view.session || out.size() >= kMaxOrders) continue;
-      const ReportedTask* there = reported(view, id, attempt);
+      const ReportedTask* there = find_reported(view, {id, attempt});
       if (cancelled || task->stop) {
         if (there == nullptr || there->status == TaskStatus::ended) continue;
         const Duration grace_period = cancelled ? Duration{0} : task->stop->grace_period;
@@ -955,7 +949,7 @@
       out.push_back({Verb::kill, id, attempt, {}});
     } else if (in_answer) {
       // After a clear the worker would start a late or repeated start order once more.
-      if (view.start_settled(id, attempt, current)) {
+      if (view.start_settled(key, current)) {
         out.push_back({Verb::clear, id, attempt, {}});
       } else if (view.direct_starts.contains(key)) {
         wants_token_renewal_.insert(worker.zone);
@@ -975,10 +969,9 @@
   auto orders = orders_for(machine_id, worker, false);
   const SteadyTime now = clock_.steady();
   // A `kill` is right however old our word of the state service is: a start is not sent then.
-  const bool introduce =
-      worker.reachability.introduction_due(now) && now - fresh() < answer_limit();
-  if (orders.empty() && !introduce) return false;
-  worker.reachability.introducing(now);
+  const bool probe = worker.reachability.probe_due(now) && now - fresh() < answer_limit();
+  if (orders.empty() && !probe) return false;
+  worker.reachability.probe_sent(now);
   send_direct(machine_id, worker, std::move(orders));
   return true;
 }
@@ -989,7 +982,7 @@
   for (const Order& order : orders) {
     if (order.verb == Verb::start) {
       worker.view.direct_starts[{order.id, order.attempt}] = token;
-      worker.reachability.start_sent(order.id, order.attempt, clock_.steady(), false);
+      worker.reachability.start_sent({order.id, order.attempt}, clock_.steady(), false);
     }
   }
   worker.direct_busy = true;
@@ -998,14 +991,14 @@
                  const auto it = workers_.find(machine_id);
                  if (it == workers_.end()) return;
                  it->second.direct_busy = false;
-                 if (reply.status == 200) it->second.reachability.confirmed(token);
+                 if (reply.status == 200) it->second.reachability.command_answered(token);
                  if (reply.status == 200 || reply.status == 409) {
                    const auto report = parse_report(reply.body);
                    if (report && holding(it->second.zone) == Holding::held) {
                      // The answer of 409 tells the session; then the order can be given.
                      if (it->second.view.session == SessionId{})
                        machines_to_command_.insert(machine_id);
-                     it->second.reachability.introduce_again();
+                     it->second.reachability.probe_at_once();
                      apply_report(it->second, *report, WorkerView::Source::order);
                      note_machine(*report, it->second);
                    }
@@ -1042,7 +1035,7 @@
   }
   for (auto& [machine_id, worker] : workers_) {
     worker.last_report_at = std::min(now, worker.last_report_at + pause);
-    worker.reachability.discount(now, pause);
+    worker.reachability.discount_pause(now, pause);
   }
 }
 
@@ -1095,7 +1088,7 @@
     return gone && !entry.second.direct_busy;
   });
   for (auto& [machine_id, worker] : workers_) {
-    if (!worker.reachability.introduced()) machines_to_command_.insert(machine_id);
+    if (!worker.reachability.reachable()) machines_to_command_.insert(machine_id);
     check_reports_reachable(machine_id, worker);
     check_commands_reachable(machine_id, worker);
   }
--- a/src/blocks/holder.hpp
+++ b/src/blocks/holder.hpp
@@ -59,14 +59,16 @@
   enum class Holding { none, settling, held };
 
   struct Worker {
+    explicit Worker(const MachineId& machine_id) : reachability(machine_id) {}
+
     WorkerView view;
     ZoneId zone;
     /// Its last report, or since when it could have reported here. An answer to an order is none:
     /// a machine that reaches no controller hears orders all the same, while its lease lapses.
     SteadyTime last_report_at{-1'000'000};
     bool direct_busy = false;
-    bool refused = false;                                    // its lease is left to lapse
-    std::map<std::pair<TaskId, Attempt>, SteadyTime> kills;  // last sent
+    bool refused = false;                     // its lease is left to lapse
+    std::map<TaskAttempt, SteadyTime> kills;  // last sent
     std::optional<WallTime> reclaim_at;
     std::vector<std::pair<ImageId, double>> images;  // seen in use, as in the machine's record
     bool images_changed = false;
@@ -108,7 +110,6 @@
   void send_direct(const MachineId& machine_id, Worker& worker, std::vector<Order> orders);
   bool apply_report(Worker& worker, const Report& report,
                     WorkerView::Source source = WorkerView::Source::worker);
-  void mark_commands_unreachable(const MachineId& machine_id, Worker& worker, const char* why);
   void may_report(const MachineId& machine_id, Worker& worker, SteadyTime now) const;
   void check_reports_reachable(const MachineId& machine_id, Worker& worker);
   void check_commands_reachable(const MachineId& machine_id, Worker& worker);
--- a/src/blocks/proof.cpp
+++ b/src/blocks/proof.cpp
@@ -2,7 +2,7 @@
 
 namespace marblevale {
 
-bool WorkerView::take(const Report& report, Source source) {
+bool WorkerView::apply(const Report& report, Source source) {
   const bool newer =
       report.session > session || (report.session == session && report.sequence > sequence);
   if (!newer) return false;
@@ -10,7 +10,7 @@
   if (report.session > session) answered_starts.clear();
   session = report.session;
   sequence = report.sequence;
-  if (source == Source::worker) reported = report.sequence;
+  if (source == Source::worker) last_own_report = report.sequence;
   token = std::max(token, report.token);
   address = report.address;
   tasks.clear();
@@ -20,20 +20,21 @@
 
 void WorkerView::prune() {
   std::erase_if(direct_starts, [this](const auto& entry) { return entry.second < token; });
-  std::erase_if(answered_starts, [this](const auto& entry) { return entry.second < reported; });
+  std::erase_if(answered_starts,
+                [this](const auto& entry) { return entry.second < last_own_report; });
 }
 
-bool WorkerView::start_settled(const TaskId& id, Attempt attempt, FencingToken current) const {
+bool WorkerView::start_settled(const TaskAttempt& start, FencingToken current) const {
   // Until the worker has seen our fencing token, an earlier holder's orders may still be executed.
   if (token < current) return false;
-  const auto direct = direct_starts.find({id, attempt});
+  const auto direct = direct_starts.find(start);
   if (direct != direct_starts.end() && direct->second >= token) return false;
-  const auto answered = answered_starts.find({id, attempt});
-  return answered == answered_starts.end() || answered->second < reported;
+  const auto answered = answered_starts.find(start);
+  return answered == answered_starts.end() || answered->second < last_own_report;
 }
 
-const ReportedTask* reported(const WorkerView& worker, const TaskId& id, Attempt attempt) {
-  const auto it = worker.tasks.find({id, attempt});
+const ReportedTask* find_reported(const WorkerView& worker, const TaskAttempt& attempt) {
+  const auto it = worker.tasks.find(attempt);
   return it == worker.tasks.end() ? nullptr : &it->second;
 }
 
@@ -43,10 +44,10 @@
   // the session before.
   if (worker.session > task.session) return Finding::lost;
   if (worker.session < task.session) return Finding::absent;
-  if (const ReportedTask* there = reported(worker, id, task.attempt)) {
+  if (const ReportedTask* there = find_reported(worker, {id, task.attempt})) {
     return there->status == TaskStatus::ended ? Finding::ended : Finding::present;
   }
-  return worker.start_settled(id, task.attempt, current) ? Finding::never_here : Finding::absent;
+  return worker.start_settled({id, task.attempt}, current) ? Finding::never_here : Finding::absent;
 }
 
 void apply_end(TaskRecord& task, const JobSpec& job, const std::string& cause, bool saved,
--- a/src/blocks/proof.hpp
+++ b/src/blocks/proof.hpp
@@ -10,31 +10,38 @@
 
 namespace marblevale {
 
+/// One start of one task.
+struct TaskAttempt {
+  TaskId id;
+  Attempt attempt;
+  auto operator<=>(const TaskAttempt&) const = default;
+};
+
 /// What this controller knows of one worker, from reports received while it holds the block.
 struct WorkerView {
   std::string address;
   SessionId session;
   ReportSequence sequence;
   FencingToken token;  // highest that the worker said it has seen
-  std::map<std::pair<TaskId, Attempt>, ReportedTask> tasks;
+  std::map<TaskAttempt, ReportedTask> tasks;
   /// Starts that were sent to `/orders` and the fencing token they bore. Such a start may arrive
   /// minutes late, or twice, until the worker has seen a higher fencing token or begun another
   /// session.
-  std::map<std::pair<TaskId, Attempt>, FencingToken> direct_starts;
+  std::map<TaskAttempt, FencingToken> direct_starts;
   /// Of the last report that it sent by itself, not in answer to an order.
-  ReportSequence reported;
+  ReportSequence last_own_report;
   /// Starts given in the answer to a report, and that report's sequence number. The worker executes
   /// or drops the answer before its next report. An answer to an order may overtake it: it settles
   /// nothing.
-  std::map<std::pair<TaskId, Attempt>, ReportSequence> answered_starts;
+  std::map<TaskAttempt, ReportSequence> answered_starts;
 
   enum class Source { worker, order };  // sent by itself, or in answer to an order
 
-  /// Takes a report in; false when it is not newer than what is known.
-  bool take(const Report& report, Source source = Source::worker);
+  /// Replaces what is known by a newer report; false when the report is not newer.
+  bool apply(const Report& report, Source source = Source::worker);
   /// True when no start of this attempt that was sent can still be executed there. `current` is the
   /// fencing token that we hold: below it, earlier holders' orders may still be on their way.
-  [[nodiscard]] bool start_settled(const TaskId& id, Attempt attempt, FencingToken current) const;
+  [[nodiscard]] bool start_settled(const TaskAttempt& start, FencingToken current) const;
   /// Forgets starts that can't be executed any more.
   void prune();
 };
@@ -51,10 +58,10 @@
 Finding examine(const TaskId& id, const TaskRecord& task, const WorkerView& worker,
                 FencingToken current);
 
-/// The reported task, if it is this attempt.
-const ReportedTask* reported(const WorkerView& worker, const TaskId& id, Attempt attempt);
+/// What the worker last reported of this attempt; null when it did not name it.
+const ReportedTask* find_reported(const WorkerView& worker, const TaskAttempt& attempt);
 
-/// What an end does to a task's record. `elapsed`: how long it had been running.
+/// What an end does to a task's record. `saved`: a checkpoint was written before it.
 void apply_end(TaskRecord& task, const JobSpec& job, const std::string& cause, bool saved,
                WallTime now);
 
--- a/src/blocks/reachability.cpp
+++ b/src/blocks/reachability.cpp
@@ -1,64 +1,78 @@
 #include "blocks/reachability.hpp"
 
+#include <spdlog/spdlog.h>
+
 #include <algorithm>
 
 namespace marblevale {
 
 namespace {
-constexpr Duration kIntroduceEvery{2'000};
-constexpr Duration kInspectEvery{5'000};
-constexpr double kUnheardReports = 2.5;  // reports after which a start must show
-constexpr int kUnheardAnswers = 2;       // that bore it
+constexpr Duration kProbeInterval{2'000};
+constexpr Duration kRegularProbeInterval{5'000};
+constexpr double kMaxReportsWithoutStart = 2.5;  // report intervals after which a start must show
+constexpr int kMinAnswersWithStart = 2;          // that bore it
 }  // namespace
 
-void WorkerReachability::heard(FencingToken token) {
-  if (!commands_unreachable_) introduced_ = token;
+void WorkerReachability::transition(State next, FencingToken token, const char* reason) {
+  confirmed_token_ = token;
+  if (state_ == next) return;
+  if (next == State::commands_unreachable) {
+    spdlog::info("holder: commands do not reach {}: {}", machine_id_.get(), reason);
+  } else {
+    spdlog::debug("holder: {} is reachable: {}", machine_id_.get(), reason);
+  }
+  state_ = next;
+}
+
+void WorkerReachability::report_received(FencingToken token) {
+  if (state_ != State::commands_unreachable) {
+    transition(State::reachable, token, "its report bears our token");
+  }
 }
 
-void WorkerReachability::confirmed(FencingToken token) {
-  introduced_ = token;
-  commands_unreachable_ = false;
+void WorkerReachability::command_answered(FencingToken token) {
+  transition(State::reachable, token, "it answered an order");
 }
 
-void WorkerReachability::start_sent(const TaskId& id, Attempt attempt, SteadyTime now,
-                                    bool in_answer) {
-  Unseen& unseen = unseen_.try_emplace({id, attempt}, Unseen{now}).first->second;
-  if (in_answer) ++unseen.answers;
+void WorkerReachability::mark_commands_unreachable(const char* reason) {
+  transition(State::commands_unreachable, FencingToken{}, reason);
 }
 
-void WorkerReachability::answered(SteadyTime now, Duration lease) {
-  if (now - answered_ >= lease * 0.5) answered_since_ = now;
-  answered_ = now;
+void WorkerReachability::start_sent(const TaskAttempt& start, SteadyTime now, bool in_answer) {
+  MissingStart& missing = missing_starts_.try_emplace(start, MissingStart{now}).first->second;
+  if (in_answer) ++missing.answers;
+}
+
+void WorkerReachability::report_answered(SteadyTime now, Duration lease) {
+  if (now - last_answer_ >= lease * 0.5) answered_since_ = now;
+  last_answer_ = now;
 }
 
 bool WorkerReachability::session_changed(SteadyTime now, Duration lease) {
-  unseen_.clear();
+  missing_starts_.clear();
   // One report that was held up while the lease lapsed for other reasons, and is answered now, does
   // not show that the machine had the answer.
-  return now - answered_ < lease && now - answered_since_ >= lease * 0.5;
+  return now - last_answer_ < lease && now - answered_since_ >= lease * 0.5;
 }
 
 bool WorkerReachability::misses_starts(const WorkerView& view, SteadyTime now,
-                                       Duration report) const {
-  return std::any_of(unseen_.begin(), unseen_.end(), [&](const auto& entry) {
+                                       Duration report_interval) const {
+  return std::any_of(missing_starts_.begin(), missing_starts_.end(), [&](const auto& entry) {
     // A machine that hung has not reported meanwhile: only answers that it should have had count.
-    return now - entry.second.since > report * kUnheardReports &&
-           entry.second.answers >= kUnheardAnswers && !view.tasks.contains(entry.first);
+    return now - entry.second.since > report_interval * kMaxReportsWithoutStart &&
+           entry.second.answers >= kMinAnswersWithStart && !view.tasks.contains(entry.first);
   });
 }
 
-void WorkerReachability::mark_commands_unreachable() {
-  commands_unreachable_ = true;
-  introduced_ = FencingToken{};
-}
-
-void WorkerReachability::discount(SteadyTime now, Duration pause) {
-  for (auto& [key, unseen] : unseen_) unseen.since = std::min(now, unseen.since + pause);
+void WorkerReachability::discount_pause(SteadyTime now, Duration pause) {
+  for (auto& [start, missing] : missing_starts_) {
+    missing.since = std::min(now, missing.since + pause);
+  }
 }
 
-bool WorkerReachability::introduction_due(SteadyTime now) const {
-  if (inspect_ && now - last_inspection_ >= kInspectEvery) return true;
-  return !introduced() && now - last_introduction_ >= kIntroduceEvery;
+bool WorkerReachability::probe_due(SteadyTime now) const {
+  if (regular_probes_ && now - last_regular_probe_ >= kRegularProbeInterval) return true;
+  return !reachable() && now - last_probe_ >= kProbeInterval;
 }
 
 }  // namespace marblevale
--- a/src/blocks/reachability.hpp
+++ b/src/blocks/reachability.hpp
@@ -1,5 +1,5 @@
-// Whether a worker hears what is said to it. Its reports alone don't tell: answers and orders may
-// be lost on their way. Pure.
+// Whether commands reach a worker. Its reports alone don't tell: answers and orders may be lost on
+// their way.
 #pragma once
 
 #include <map>
@@ -8,55 +8,76 @@
 
 namespace marblevale {
 
+/// Owns the state of the way to one worker, and the evidence for it: the starts that were sent and
+/// don't show, the reports that were answered, the probes (orders without commands) that were sent.
 class WorkerReachability {
  public:
-  /// It has shown that it heard us, by the fencing token it bears or by an answer to an order.
-  void heard(FencingToken token);
-  /// An order was answered: whatever was thought of it before, it hears.
-  void confirmed(FencingToken token);
+  enum class State {
+    unconfirmed,          // nothing is known of the way to it
+    reachable,            // it has shown that it received something under a token of this holding
+    commands_unreachable  // it reports, but nothing that is sent to it arrives
+  };
+
+  explicit WorkerReachability(MachineId machine_id) : machine_id_(std::move(machine_id)) {}
+
+  /// A report bore a token of this holding, so the worker has heard of us. That is no evidence
+  /// against `commands_unreachable`.
+  void report_received(FencingToken token);
+  /// An order was answered: whatever was thought of it before, it is reachable.
+  void command_answered(FencingToken token);
   /// A report that it sent under this holding was answered at this moment.
-  void answered(SteadyTime now, Duration lease);
+  void report_answered(SteadyTime now, Duration lease);
   /// A start was sent: by itself, or in the answer to a report.
-  void start_sent(const TaskId& id, Attempt attempt, SteadyTime now, bool in_answer);
+  void start_sent(const TaskAttempt& start, SteadyTime now, bool in_answer);
   /// It is in a new session: what was sent to the old one is void. True when the old one lapsed
-  /// though its reports were answered: then nothing that is said to it arrives.
+  /// though its reports were answered: then nothing that is sent to it arrives.
   bool session_changed(SteadyTime now, Duration lease);
   /// Forgets the starts for which `settled` holds.
   template <typename Settled>
-  void forget(Settled settled) {
-    std::erase_if(unseen_, [&](const auto& entry) { return settled(entry.first); });
+  void forget_starts(Settled settled) {
+    std::erase_if(missing_starts_, [&](const auto& entry) { return settled(entry.first); });
   }
   /// True when a start that was sent again and again does not show, though it reports.
-  [[nodiscard]] bool misses_starts(const WorkerView& view, SteadyTime now, Duration report) const;
-  void mark_commands_unreachable();
+  [[nodiscard]] bool misses_starts(const WorkerView& view, SteadyTime now,
+                                   Duration report_interval) const;
+  void mark_commands_unreachable(const char* reason);
   /// Time in which this process stood still: no start could show.
-  void discount(SteadyTime now, Duration pause);
-
-  [[nodiscard]] bool commands_unreachable() const { return commands_unreachable_; }
-  [[nodiscard]] bool introduced() const { return introduced_ != FencingToken{}; }
-  /// Known to have heard of us under this fencing token.
-  [[nodiscard]] bool introduced_under(FencingToken token) const { return introduced_ == token; }
-  /// Whether it is time for an order without commands: to introduce ourselves, or to inspect it.
-  [[nodiscard]] bool introduction_due(SteadyTime now) const;
-  void introducing(SteadyTime now) { last_introduction_ = last_inspection_ = now; }
-  /// Whether to ask it now and then for its session and tasks, since it does not report them.
-  void inspect(bool wanted) { inspect_ = wanted; }
-  void introduce_again() { last_introduction_ = SteadyTime{-1'000'000}; }
+  void discount_pause(SteadyTime now, Duration pause);
+
+  [[nodiscard]] State state() const { return state_; }
+  [[nodiscard]] bool commands_unreachable() const { return state_ == State::commands_unreachable; }
+  [[nodiscard]] bool reachable() const { return state_ == State::reachable; }
+  /// Known to have received something under this fencing token.
+  [[nodiscard]] bool reachable_under(FencingToken token) const { return confirmed_token_ == token; }
+
+  /// Whether it is time for an order without commands, which asks for a report.
+  [[nodiscard]] bool probe_due(SteadyTime now) const;
+  void probe_sent(SteadyTime now) { last_probe_ = last_regular_probe_ = now; }
+  /// Whether to probe it at intervals for its session and tasks, since it does not report them.
+  void probe_regularly(bool wanted) { regular_probes_ = wanted; }
+  /// A probe that is needed need not wait for its interval.
+  void probe_at_once() { last_probe_ = kNever; }
 
  private:
-  struct Unseen {
+  struct MissingStart {
     SteadyTime since;
     int answers = 0;  // to reports, each of which bore it
   };
 
-  FencingToken introduced_;                // 0: not known
-  bool commands_unreachable_ = false;      // it reports, but nothing that is said to it arrives
-  SteadyTime answered_{-1'000'000};        // last
-  SteadyTime answered_since_{-1'000'000};  // without a gap
-  SteadyTime last_introduction_{-1'000'000};
-  SteadyTime last_inspection_{-1'000'000};
-  bool inspect_ = false;
-  std::map<std::pair<TaskId, Attempt>, Unseen> unseen_;  // starts that were sent and don't show
+  static constexpr SteadyTime kNever{-1'000'000};
+
+  /// The one place where the state changes. `token`: under which it was reachable, or none.
+  void transition(State next, FencingToken token, const char* reason);
+
+  MachineId machine_id_;
+  State state_ = State::unconfirmed;
+  FencingToken confirmed_token_;  // of the last sign of reachability; 0 unless reachable
+  SteadyTime last_answer_ = kNever;
+  SteadyTime answered_since_ = kNever;  // without a gap
+  SteadyTime last_probe_ = kNever;
+  SteadyTime last_regular_probe_ = kNever;
+  bool regular_probes_ = false;
+  std::map<TaskAttempt, MissingStart> missing_starts_;
 };
 
 }  // namespace marblevale
--- a/tests/late_message_test.cpp
+++ b/tests/late_message_test.cpp
@@ -188,7 +188,7 @@
   report.sequence = ReportSequence(900);
   report.token = FencingToken(10);
   WorkerView view;
-  view.take(report);
+  view.apply(report);
   EXPECT_EQ(examine({JobId("req-1"), 0}, task, view, FencingToken(10)), Finding::absent);
 }
 
--- a/tests/proof_test.cpp
+++ b/tests/proof_test.cpp
@@ -35,55 +35,55 @@
 TEST(Proof, AReportWithoutTheTaskProvesNothingBeforeTheWorkerSawOurWarrant) {
   // An earlier holder's start may still be on its way to the worker.
   WorkerView view;
-  view.take(report(1, 5, kToken - 1));
+  view.apply(report(1, 5, kToken - 1));
   EXPECT_EQ(look(view), Finding::absent);
-  view.take(report(1, 6, kToken));
+  view.apply(report(1, 6, kToken));
   EXPECT_EQ(look(view), Finding::never_here);
 }
 
 TEST(Proof, ADirectStartCanArriveLateUntilAHigherWarrantIsSeen) {
   WorkerView view;
-  view.take(report(1, 5, kToken));
+  view.apply(report(1, 5, kToken));
   view.direct_starts[{kTask, Attempt(2)}] = FencingToken(kToken);
-  view.take(report(1, 6, kToken));
+  view.apply(report(1, 6, kToken));
   view.prune();
   EXPECT_EQ(look(view), Finding::absent);
-  view.take(report(1, 7, kToken + 1));
+  view.apply(report(1, 7, kToken + 1));
   view.prune();
   EXPECT_EQ(examine(kTask, bound(), view, FencingToken(kToken + 1)), Finding::never_here);
 }
 
 TEST(Proof, AStartInAnAnswerIsSettledByTheNextReport) {
   WorkerView view;
-  view.take(report(1, 5, kToken));
+  view.apply(report(1, 5, kToken));
   view.answered_starts[{kTask, Attempt(2)}] = ReportSequence(5);
   EXPECT_EQ(look(view), Finding::absent);
-  view.take(report(1, 6, kToken));
+  view.apply(report(1, 6, kToken));
   EXPECT_EQ(look(view), Finding::never_here);
 }
 
 TEST(Proof, ANewSessionIsProofAndALateReportOfTheOldOneIsDropped) {
   WorkerView view;
   EXPECT_TRUE(
-      view.take(report(1, 5, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}})));
+      view.apply(report(1, 5, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}})));
   EXPECT_EQ(look(view), Finding::present);
-  EXPECT_TRUE(view.take(report(2, 6, kToken)));
+  EXPECT_TRUE(view.apply(report(2, 6, kToken)));
   EXPECT_EQ(look(view), Finding::lost);
   EXPECT_FALSE(
-      view.take(report(1, 9, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}})));
+      view.apply(report(1, 9, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}})));
   EXPECT_EQ(look(view), Finding::lost);
 }
 
 TEST(Proof, AnOlderTallyIsDropped) {
   WorkerView view;
-  view.take(report(1, 8, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}}));
-  EXPECT_FALSE(view.take(report(1, 7, kToken)));
+  view.apply(report(1, 8, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}}));
+  EXPECT_FALSE(view.apply(report(1, 7, kToken)));
   EXPECT_EQ(look(view), Finding::present);
 }
 
 TEST(Proof, AnotherAttemptOfTheTaskIsNotThisOne) {
   WorkerView view;
-  view.take(report(1, 5, kToken, {{kTask, Attempt(1), TaskStatus::ended, "peers", false}}));
+  view.apply(report(1, 5, kToken, {{kTask, Attempt(1), TaskStatus::ended, "peers", false}}));
   EXPECT_EQ(look(view), Finding::never_here);
 }
 
