--- /dev/null
+++ b/src/blocks/block_ownership.hpp
@@ -0,0 +1,67 @@
+// Which blocks this controller holds, with their fencing tokens, and the renewal of the tokens.
+#pragma once
+
+#include <functional>
+#include <map>
+#include <set>
+
+#include "blocks/block_context.hpp"
+#include "election/election.hpp"
+
+namespace marblevale {
+
+/// Called while `BlockOwnership::refresh` or a commit's answer runs.
+struct BlockEvents {
+  std::function<void(const ZoneId&)> gained;
+  std::function<void(const ZoneId&)> lost;
+  /// The record names another holder than at the last refresh, whoever it is.
+  std::function<void(const ZoneId&)> holder_changed;
+  /// The commit of a token's renewal was answered, whatever the outcome.
+  std::function<void()> renewal_answered;
+};
+
+/// Derives from the records which blocks are held, and replaces the fencing token of a held block
+/// by a higher one on request.
+class BlockOwnership {
+ public:
+  /// `settling`: ours, but what the holder before us committed may not be in the cache yet.
+  enum class Holding { none, settling, held };
+
+  BlockOwnership(const BlockContext& context, Election& election, BlockEvents events);
+
+  /// Compares the records with what was held, and reports the differences as events.
+  void refresh();
+  [[nodiscard]] Holding holding(const ZoneId& zone) const;
+  [[nodiscard]] bool holds(const ZoneId& zone) const { return holding(zone) == Holding::held; }
+  /// As of the last refresh.
+  [[nodiscard]] bool holds_any() const { return !tokens_.empty(); }
+  [[nodiscard]] std::set<ZoneId> held_zones() const;
+  /// The block's token by the records, whoever holds it.
+  [[nodiscard]] FencingToken token_of(const ZoneId& zone) const;
+  /// The token with which the present holding of the block began.
+  [[nodiscard]] FencingToken first_token_of(const ZoneId& zone) { return first_tokens_[zone]; }
+  /// Makes the transaction fail unless the block still has the token that we know.
+  void guard(Txn& txn, const ZoneId& zone) const;
+
+  /// Asks for a higher token, which voids all orders that may still be on their way.
+  void request_renewal(const ZoneId& zone) { renewals_requested_.insert(zone); }
+  /// Commits the renewals that were asked for, as far as the pace allows.
+  void renew_requested(SteadyTime now);
+
+ private:
+  void renew(const ZoneId& zone);
+  void adopt(const ZoneId& zone, FencingToken token);
+  void release(const ZoneId& zone);
+
+  const BlockContext& context_;
+  Election& election_;
+  BlockEvents events_;
+  std::map<ZoneId, FencingToken> first_tokens_;
+  std::map<ZoneId, FencingToken> tokens_;  // of the blocks held, as of the last refresh
+  std::map<ZoneId, NodeId> last_holders_;
+  std::set<ZoneId> renewals_requested_;
+  std::set<ZoneId> renewals_in_flight_;
+  std::map<ZoneId, SteadyTime> last_renewals_;
+};
+
+}  // namespace marblevale
--- /dev/null
+++ b/src/blocks/misdirected_reports.cpp
@@ -0,0 +1,38 @@
+#include "blocks/misdirected_reports.hpp"
+
+namespace marblevale {
+
+namespace {
+constexpr Duration kMisdirectionWindow{20'000};
+constexpr Duration kMinMisdirectionTime{6'000};  // longer than a holder's crash takes to be noticed
+constexpr Duration kMaxMisdirectionAge{5'000};
+constexpr std::size_t kMaxTimesPerMachine = 8;
+constexpr std::size_t kMinMachines = 2;  // of a zone: a single one may itself be at fault
+
+bool keeps_coming(const std::vector<SteadyTime>& times, SteadyTime now) {
+  return times.size() >= 2 && times.back() - times.front() >= kMinMisdirectionTime &&
+         now - times.back() < kMaxMisdirectionAge;
+}
+}  // namespace
+
+void MisdirectedReports::record(const ZoneId& zone, const MachineId& machine_id, SteadyTime now) {
+  ReportTimes& times = by_zone_[zone][machine_id];
+  if (times.size() >= kMaxTimesPerMachine) times.erase(times.begin());
+  times.push_back(now);
+}
+
+std::vector<ZoneId> MisdirectedReports::affected_zones(SteadyTime now) {
+  std::vector<ZoneId> zones;
+  for (auto& [zone, machines] : by_zone_) {
+    std::size_t machines_coming = 0;
+    for (auto& [machine_id, times] : machines) {
+      std::erase_if(times, [&](SteadyTime time) { return now - time > kMisdirectionWindow; });
+      if (keeps_coming(times, now)) ++machines_coming;
+    }
+    std::erase_if(machines, [](const auto& entry) { return entry.second.empty(); });
+    if (machines_coming >= kMinMachines) zones.push_back(zone);
+  }
+  return zones;
+}
+
+}  // namespace marblevale
--- /dev/null
+++ b/src/blocks/release_offers.hpp
@@ -0,0 +1,54 @@
+// Releases that the leader tells directly to the holder, which binds them in one commit.
+#pragma once
+
+#include <optional>
+#include <vector>
+
+#include "blocks/block_context.hpp"
+#include "blocks/block_ownership.hpp"
+#include "blocks/slice_commits.hpp"
+#include "blocks/task_binder.hpp"
+#include "peers/offers.hpp"
+
+namespace marblevale {
+
+class ReleaseOffers {
+ public:
+  ReleaseOffers(const BlockContext& context, const BlockOwnership& blocks, const TaskBinder& binder,
+                SliceCommits& commits)
+      : context_(context), blocks_(blocks), binder_(binder), commits_(commits) {}
+
+  /// Binds what the leader offers, if all of it can be bound here, as soon as this copy has what
+  /// the leader's had; false: nothing was committed, and nothing will be.
+  bool accept(const ReleaseOffer& offer);
+  /// Tries again what waited for the cache or the state service.
+  void retry();
+  void clear() { pending_.clear(); }
+
+ private:
+  /// An offer that waits for this copy to catch up, or for the state service.
+  struct PendingOffer {
+    ReleaseOffer offer;
+    SteadyTime received_at;
+  };
+
+  bool bind(const PendingOffer& pending);
+  /// Whether the offer was made from the records that this copy has; what it lacks or has beyond
+  /// the leader's, the guards would refuse as well.
+  [[nodiscard]] bool matches_records(const ReleaseOffer& offer, const SliceKey& key) const;
+  [[nodiscard]] SliceRecord slice_before(const SliceKey& key, const JobSpec& job) const;
+  /// Nothing when a task can't be bound here at once.
+  [[nodiscard]] std::optional<SliceRecord> bind_tasks(const ReleaseOffer& offer,
+                                                      const SliceKey& key,
+                                                      const JobSpec& job) const;
+  [[nodiscard]] Txn make_transaction(const ReleaseOffer& offer, const SliceKey& key,
+                                     const SliceRecord& slice) const;
+
+  const BlockContext& context_;
+  const BlockOwnership& blocks_;
+  const TaskBinder& binder_;
+  SliceCommits& commits_;
+  std::vector<PendingOffer> pending_;
+};
+
+}  // namespace marblevale
--- /dev/null
+++ b/src/blocks/worker_registry.cpp
@@ -0,0 +1,131 @@
+#include "blocks/worker_registry.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+namespace marblevale {
+
+namespace {
+constexpr double kSilentReports = 2.5;         // report intervals without a report
+constexpr Duration kMinProcessPause{3'000};    // beyond the interval between two sweeps
+constexpr Duration kStrangerLifetime{30'000};  // without a report and without a record
+}  // namespace
+
+KnownWorker* WorkerRegistry::find(const MachineId& machine_id) {
+  const auto it = workers_.find(machine_id);
+  return it == workers_.end() ? nullptr : &it->second;
+}
+
+const KnownWorker* WorkerRegistry::find(const MachineId& machine_id) const {
+  const auto it = workers_.find(machine_id);
+  return it == workers_.end() ? nullptr : &it->second;
+}
+
+KnownWorker& WorkerRegistry::add_reporting(const MachineId& machine_id, SteadyTime now) {
+  const auto [it, added] = workers_.try_emplace(machine_id, machine_id);
+  if (added) it->second.last_report_at = now;
+  return it->second;
+}
+
+void WorkerRegistry::expect(const MachineRecord& machine, SteadyTime now) {
+  KnownWorker& worker = workers_.try_emplace(machine.machine_id, machine.machine_id).first->second;
+  worker.zone = machine.zone;
+  restart_silence(machine.machine_id, worker, now);
+  worker.view.address = machine.address;
+}
+
+void WorkerRegistry::forget_zone(const ZoneId& zone) {
+  std::erase_if(workers_, [&](const auto& entry) { return entry.second.zone == zone; });
+}
+
+void WorkerRegistry::forget_gone(SteadyTime now) {
+  const auto& machines = context_.cache.records().machines;
+  std::erase_if(workers_, [&](const auto& entry) {
+    const auto machine = machines.find(entry.first);
+    const bool gone = machine == machines.end()
+                          ? now - entry.second.last_report_at > kStrangerLifetime
+                          : machine->second.record.state == MachineState::gone;
+    return gone && !entry.second.command_in_flight;
+  });
+}
+
+Duration WorkerRegistry::silence_limit() const {
+  return context_.settings.workers.report * kSilentReports;
+}
+
+bool WorkerRegistry::is_silent(const MachineId& machine_id) const {
+  const KnownWorker* worker = find(machine_id);
+  if (worker == nullptr) return false;
+  return worker->reachability.commands_unreachable() || !reports(*worker, context_.clock.steady());
+}
+
+std::map<ZoneId, ReportCounts> WorkerRegistry::count_reporting(SteadyTime now) const {
+  std::map<ZoneId, ReportCounts> counts;
+  for (const auto& [machine_id, machine] : context_.cache.records().machines) {
+    const KnownWorker* worker = find(machine_id);
+    if (worker == nullptr || !blocks_.holds(machine.record.zone)) continue;
+    ReportCounts& count = counts[machine.record.zone];
+    ++count.machines;
+    if (reports(*worker, now)) ++count.reporting;
+  }
+  return counts;
+}
+
+std::set<ZoneId> WorkerRegistry::unreachable_zones() const {
+  std::set<ZoneId> zones = blocks_.held_zones();
+  const SteadyTime now = context_.clock.steady();
+  for (const auto& [machine_id, worker] : workers_) {
+    if (zones.empty()) break;
+    if (worker.reachability.reachable() && reports(worker, now)) zones.erase(worker.zone);
+  }
+  return zones;
+}
+
+void WorkerRegistry::restart_silence(const MachineId& machine_id, KnownWorker& worker,
+                                     SteadyTime now) const {
+  // One that an earlier holder found silent has to report first.
+  const auto& machines = context_.cache.records().machines;
+  const auto machine = machines.find(machine_id);
+  if (machine != machines.end() && machine->second.record.state == MachineState::silent) return;
+  worker.last_report_at = now;
+}
+
+void WorkerRegistry::restart_silence_of_reached_zones(SteadyTime now) {
+  // A zone that comes into reach is met machine by machine: the first must not make the rest
+  // silent.
+  std::set<ZoneId> still_unreachable = unreachable_zones();
+  for (auto& [machine_id, worker] : workers_) {
+    if (unreachable_zones_.contains(worker.zone) && !still_unreachable.contains(worker.zone)) {
+      restart_silence(machine_id, worker, now);
+    }
+  }
+  unreachable_zones_ = std::move(still_unreachable);
+}
+
+Duration WorkerRegistry::uncounted_time(SteadyTime now, Duration pause) const {
+  // Without word of the state service the block may have another holder, to which they report.
+  if (now - context_.cache.fresh_until() >= silence_limit()) return silence_limit();
+  if (pause < kMinProcessPause) return Duration{0};
+  spdlog::info("holder: stood still for {} ms", pause.ms);
+  return pause;
+}
+
+void WorkerRegistry::discount_pause(SteadyTime now, Duration interval) {
+  const Duration pause = now - last_sweep_ - interval;
+  const bool first = last_sweep_.ms < 0;
+  last_sweep_ = now;
+  if (first) return;
+  restart_silence_of_reached_zones(now);
+  // A process that stood still while the clocks ran on has received nothing meanwhile, through no
+  // fault of the machines: that time counts neither as their silence, nor for starts that don't
+  // show.
+  const Duration uncounted = uncounted_time(now, pause);
+  if (uncounted <= Duration{0}) return;
+  for (auto& [machine_id, worker] : workers_) {
+    worker.last_report_at = std::min(now, worker.last_report_at + uncounted);
+    worker.reachability.discount_pause(now, uncounted);
+  }
+}
+
+}  // namespace marblevale
--- /dev/null
+++ b/src/blocks/worker_registry.hpp
@@ -0,0 +1,88 @@
+// The workers that report to this controller, or are expected to: what each last said, when, and
+// whether commands reach it.
+#pragma once
+
+#include <map>
+#include <optional>
+#include <set>
+#include <unordered_map>
+#include <utility>
+#include <vector>
+
+#include "blocks/block_context.hpp"
+#include "blocks/block_ownership.hpp"
+#include "blocks/proof.hpp"
+#include "blocks/reachability.hpp"
+
+namespace marblevale {
+
+struct KnownWorker {
+  explicit KnownWorker(const MachineId& machine_id) : reachability(machine_id) {}
+
+  WorkerView view;
+  ZoneId zone;
+  /// Its last report, or since when it could have reported here. An answer to an order is none:
+  /// a machine that reaches no controller receives orders all the same, while its lease lapses.
+  SteadyTime last_report_at{-1'000'000};
+  bool command_in_flight = false;
+  bool lease_refused = false;                    // gets no answers, so that its lease lapses
+  std::map<TaskAttempt, SteadyTime> kills_sent;  // when last
+  std::optional<WallTime> reclaim_at;
+  std::vector<std::pair<ImageId, double>> images;  // seen in use, as in the machine's record
+  bool images_changed = false;
+  WorkerReachability reachability;
+};
+
+/// How many of a zone's machines report.
+struct ReportCounts {
+  int machines = 0;
+  int reporting = 0;
+};
+
+class WorkerRegistry {
+ public:
+  using Workers = std::unordered_map<MachineId, KnownWorker>;
+
+  WorkerRegistry(const BlockContext& context, const BlockOwnership& blocks)
+      : context_(context), blocks_(blocks) {}
+
+  [[nodiscard]] KnownWorker* find(const MachineId& machine_id);
+  [[nodiscard]] const KnownWorker* find(const MachineId& machine_id) const;
+  [[nodiscard]] Workers& all() { return workers_; }
+  [[nodiscard]] const Workers& all() const { return workers_; }
+  /// The worker that sent a report; a new one counts as having reported just now.
+  KnownWorker& add_reporting(const MachineId& machine_id, SteadyTime now);
+  /// A machine of a block that was gained: it is expected to report from now on.
+  void expect(const MachineRecord& machine, SteadyTime now);
+  void forget_zone(const ZoneId& zone);
+  /// Forgets machines that are gone by the records, and strangers that went silent.
+  void forget_gone(SteadyTime now);
+
+  /// True for a known worker that has not reported for too long, or that commands don't reach.
+  [[nodiscard]] bool is_silent(const MachineId& machine_id) const;
+  [[nodiscard]] bool reports(const KnownWorker& worker, SteadyTime now) const {
+    return now - worker.last_report_at < silence_limit();
+  }
+  /// Of the machines in the records that are known, in held blocks.
+  [[nodiscard]] std::map<ZoneId, ReportCounts> count_reporting(SteadyTime now) const;
+  /// Zones that are held while none of their machines is reachable and reports.
+  [[nodiscard]] std::set<ZoneId> unreachable_zones() const;
+  /// To be called at each sweep, `interval` apart: time in which this process could hear nobody
+  /// does not count as the workers' silence.
+  void discount_pause(SteadyTime now, Duration interval);
+
+ private:
+  [[nodiscard]] Duration silence_limit() const;
+  /// Its silence counts from now on, unless an earlier holder found it silent.
+  void restart_silence(const MachineId& machine_id, KnownWorker& worker, SteadyTime now) const;
+  void restart_silence_of_reached_zones(SteadyTime now);
+  [[nodiscard]] Duration uncounted_time(SteadyTime now, Duration pause) const;
+
+  const BlockContext& context_;
+  const BlockOwnership& blocks_;
+  Workers workers_;
+  SteadyTime last_sweep_{-1'000'000};
+  std::set<ZoneId> unreachable_zones_;  // at the last sweep
+};
+
+}  // namespace marblevale
--- a/src/wire/worker.cpp
+++ b/src/wire/worker.cpp
@@ -114,6 +114,12 @@
   return out.str();
 }
 
+std::string write_redirect(const NodeId& holder) {
+  json::Writer out;
+  out.open().put("steward", holder.get()).close();
+  return out.str();
+}
+
 std::string write_direct(FencingToken token, SessionId session, const std::vector<Order>& orders) {
   json::Writer out;
   out.open().put("warrant", token.get()).put("tenure", session.get());
--- a/src/wire/worker.hpp
+++ b/src/wire/worker.hpp
@@ -56,6 +56,8 @@
 
 /// The answer to a report.
 std::string write_answer(FencingToken token, const std::vector<Order>& orders);
+/// The answer to a report that belongs to another controller, which holds the block.
+std::string write_redirect(const NodeId& holder);
 /// The body of POST /orders.
 std::string write_direct(FencingToken token, SessionId session, const std::vector<Order>& orders);
 
