--- a/src/blocks/holder.cpp
+++ b/src/blocks/holder.cpp
@@ -6,6 +6,7 @@
 
 namespace {
 constexpr Duration kSweepInterval{500};
+constexpr Duration kBackpressureDelay{50};  // while as many commits are on their way as may be
 }  // namespace
 
 BlockHolder::BlockHolder(Loop& loop, const Clock& clock, const Settings& settings,
@@ -119,16 +120,25 @@
   // marks dirty waits for the next round, too: a commit that is refused at once must not be tried
   // again and again within one round.
   std::set<SliceKey> batch = work_.take_dirty_slices();
-  while (!batch.empty() && context_.clock.steady() <= until) {
-    const SliceKey key = *batch.begin();
-    batch.erase(batch.begin());
+  // It goes on where the last round stopped: when writes are short the first slices would have
+  // their turn again and again, and the last ones never.
+  auto next = batch.upper_bound(last_decided_);
+  while (!batch.empty() && commits_.has_room() && context_.clock.steady() <= until) {
+    if (next == batch.end()) next = batch.begin();
+    last_decided_ = *next;
+    next = batch.erase(next);
     // A slice whose commit is on its way comes back with the commit's answer.
-    if (!commits_.in_flight(key)) lifecycle_.decide_slice(key);
+    if (!commits_.in_flight(last_decided_)) lifecycle_.decide_slice(last_decided_);
   }
   const bool slices_left = !batch.empty();
   work_.return_slices(std::move(batch));
   orders_.command_waiting_machines();
-  if (slices_left || work_.has_machines_to_command()) work_.schedule_round();
+  if (!slices_left && !work_.has_machines_to_command()) return;
+  if (commits_.has_room()) {
+    work_.schedule_round();
+  } else {
+    work_.schedule_round(kBackpressureDelay);
+  }
 }
 
 void BlockHolder::sweep() {
--- a/src/blocks/holder.hpp
+++ b/src/blocks/holder.hpp
@@ -76,6 +76,7 @@
   TaskLifecycle lifecycle_;
   OrderDelivery orders_;
   ReportHandler reports_;
+  SliceKey last_decided_;  // rounds go on behind it
   Timer sweep_timer_;
 };
 
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -255,7 +255,10 @@
   unmet_demands_.clear();
   std::vector<std::pair<MachineOffering, std::uint32_t>> requests;
   for (const auto& [offer, count] : wanted) {
-    for (std::uint32_t left = count; left > 0; left -= std::min(left, kMaxRented)) {
+    // Where the last request was refused, one asks whether there are any again: each costs two
+    // writes, and in a cluster at its capacity they were a twentieth of all.
+    const std::uint32_t asked = refused_.contains(offer) ? std::min(count, kMaxRented) : count;
+    for (std::uint32_t left = asked; left > 0; left -= std::min(left, kMaxRented)) {
       requests.emplace_back(offer, std::min(left, kMaxRented));
     }
   }
--- a/src/planner/granting.cpp
+++ b/src/planner/granting.cpp
@@ -33,6 +33,10 @@
 constexpr Duration kUnreachableZoneMaxAge{
     4'000};  // of a holder's word that it reaches no machine of a zone
 constexpr Duration kOfferPatience{3'500};
+/// Offers that wait for one holder's binding. A holder that lacks the budget for more writes would
+/// let them lapse, and each would then cost a second write: the release by the leader.
+constexpr std::size_t kMaxUnsettledOffers = 10;
+constexpr std::size_t kManyUnsettledOffers = 12;  // of all holders: writes are short
 constexpr Duration kPieceEvery{3'000};
 constexpr std::size_t kMaxUnmetDemands = 30;
 constexpr Duration kSoon{20'000};        // a start this near needs no new machine
@@ -208,11 +212,7 @@
   const bool admitted = admit(planner);
   // What was started is taken out of the queue by the next round, which sees it as placed.
   const auto starts = compress(planner);
-  for (const Start& start : starts) {
-    if (!worth_releasing(start, begin)) continue;
-    const Start some = cache_.write_slack() > kPersistSlack ? start : of_one_zone(start, planner);
-    for (const Start& piece : by_slice(some)) release(piece, planner);
-  }
+  release_all(starts, planner, begin);
   // Best when nothing more could start; a busy leader, whose rounds always start something or end
   // early, looks all the same now and then.
   const bool quiet = starts.empty() && admitted && cursor_ == 0;
@@ -237,7 +237,7 @@
   return build_queue(
       cache_.records(), settings_,
       [this](const JobId& job_id, std::uint32_t number) { return current(job_id, number); }, now,
-      cache_.write_slack() < kPersistSlack);
+      short_of_writes());
 }
 
 void Granting::restore(Planner& planner, SteadyTime begin) {
@@ -264,6 +264,31 @@
   return planner.compress(cursor_);
 }
 
+void Granting::release_all(const std::vector<Start>& starts, const Planner& planner,
+                           SteadyTime now) {
+  // By priority: what a holder can't bind yet waits for a later round, in which small pieces of an
+  // array have become larger ones.
+  for (const Start& start : starts) {
+    if (!worth_releasing(start, now)) continue;
+    const Start selected = short_of_writes() ? of_one_zone(start, planner) : start;
+    for (const Start& piece : by_slice(selected)) {
+      const auto holder = one_holder(piece, planner);
+      if (holder && unsettled_offers(*holder) >= kMaxUnsettledOffers) continue;
+      release(piece, planner);
+    }
+  }
+}
+
+bool Granting::short_of_writes() const {
+  return cache_.write_slack() <= kPersistSlack || offered_.size() >= kManyUnsettledOffers;
+}
+
+std::size_t Granting::unsettled_offers(const NodeId& holder) const {
+  return static_cast<std::size_t>(
+      std::count_if(offered_.begin(), offered_.end(),
+                    [&](const auto& entry) { return entry.second.holder == holder; }));
+}
+
 void Granting::out_of_reach(const NodeId& holder, std::set<ZoneId> zones) {
   out_of_reach_[holder] = {std::move(zones), clock_.steady()};
 }
@@ -458,7 +483,7 @@
                       // A holder may still bind it: only a definite answer ends that.
                       offered_.insert_or_assign(
                           SliceKey{slice.job_id, slice.number},
-                          Offered{*kept, slice, pending.over, clock_.steady()});
+                          Offered{*kept, slice, pending.over, clock_.steady(), {}});
                     } else {
                       // Not executed. Not tried again at once: the state service may be refusing
                       // this node for a while.
@@ -475,7 +500,7 @@
   const auto job = cache_.records().jobs.find(start.job_id);
   if (job == cache_.records().jobs.end()) return false;
   const JobSpec& spec = job->second.record.spec;
-  if (spec.gang() || cache_.write_slack() > kPersistSlack) return true;
+  if (spec.gang() || !short_of_writes()) return true;
   const auto last = last_release_.try_emplace(start.job_id, SteadyTime{-1'000'000}).first;
   const bool small =
       start.task_indices.size() < std::min<std::size_t>(kSmallPiece, spec.task_count);
@@ -575,7 +600,7 @@
   if (holder && slices.size() == 1) {
     const auto* stored = records.slice(start.job_id, slices[0].number);
     const ModRevision over = stored == nullptr ? ModRevision{} : stored->mod_revision;
-    offer(*holder, {std::move(txn), std::move(slices[0]), over, clock_.steady()}, start);
+    offer(*holder, {std::move(txn), std::move(slices[0]), over, clock_.steady(), *holder}, start);
     return;
   }
   commit_slices(std::move(txn), std::move(slices));
--- a/src/planner/granting.hpp
+++ b/src/planner/granting.hpp
@@ -38,6 +38,7 @@
     SliceRecord slice;
     ModRevision over;  // the slice as it was
     SteadyTime at;
+    NodeId holder;
   };
   struct Pending {
     SliceRecord slice;
@@ -67,6 +68,10 @@
   bool stop_tasks(const SliceKey& key, const std::function<bool(std::size_t, TaskRecord&)>& stop);
   void drain();
   [[nodiscard]] const SliceRecord* current(const JobId& job_id, std::uint32_t number) const;
+  void release_all(const std::vector<Start>& starts, const Planner& planner, SteadyTime now);
+  /// Writes are scarce, here or where the offers that wait are to be bound.
+  [[nodiscard]] bool short_of_writes() const;
+  [[nodiscard]] std::size_t unsettled_offers(const NodeId& holder) const;
   bool worth_releasing(const Start& start, SteadyTime now);
   [[nodiscard]] Start of_one_zone(const Start& start, const Planner& planner) const;
   [[nodiscard]] std::vector<Start> by_slice(const Start& start) const;
--- a/tests/granting_test.cpp
+++ b/tests/granting_test.cpp
@@ -438,6 +438,22 @@
   EXPECT_EQ(channel_.offers.size(), 1U);
 }
 
+// Found on a recorded day: 959 offers in 30 s found no binding in time, because their holders had
+// no budget for more writes, and the leader's own releases cost as many again.
+TEST_F(OfferingLeaderTest, NoMoreIsOfferedToAHolderThanItCanBind) {
+  settings_.teams[0].gpus_max = 1000;
+  for (int i = 0; i < 10; ++i) machine("vm-" + std::to_string(10 + i));
+  begin_offering();
+  for (int i = 0; i < 40; ++i) submit(testing::gang("req-" + std::to_string(i), 1, 1, 60));
+  run(Duration{3000});
+  EXPECT_EQ(channel_.offers.size(), 10U) << "none of them is settled";
+  const std::string first = channel_.offers[0].job_id;
+  TaskRecord task = bound(channel_.offers[0].tasks.at(0).machine_id);
+  set_task(first, task);
+  run(Duration{300});
+  EXPECT_EQ(channel_.offers.size(), 11U) << "one was bound, and the next has its turn";
+}
+
 TEST_F(OfferingLeaderTest, WhatIsDeclinedIsPlannedAnew) {
   channel_.answer = OfferOutcome::declined;
   begin_offering();
--- a/tests/holder_test.cpp
+++ b/tests/holder_test.cpp
@@ -232,5 +232,45 @@
   EXPECT_FALSE(stop_broken_gang(slice));
 }
 
+// When writes are short every slice has its turn, and what waits for its own is decided only once.
+TEST_F(BlockHolderTest, CommitsOnTheirWayAreBoundedAndNoSliceIsPassedOver) {
+  constexpr int kJobs = 40;
+  handle_report(1, token());
+  store_.hold = true;
+  const auto slice_commits = [&] {
+    return std::count_if(store_.commits.begin(), store_.commits.end(), [](const Txn& txn) {
+      return !txn.puts.empty() && txn.puts[0].key.find("slices/") != std::string::npos;
+    });
+  };
+  const auto before = slice_commits();
+  for (int i = 0; i < kJobs; ++i) {
+    JobRecord job;
+    job.spec = testing::gang("req-" + std::to_string(100 + i), 1, 0.1, 100);
+    job.accepted = time_.wall();
+    store_.put(keys::job(job.spec.job_id), encode(job));
+    SliceRecord slice;
+    slice.job_id = job.spec.job_id;
+    TaskRecord task;
+    task.state = TaskState::released;
+    task.attempt = Attempt(1);
+    task.zone = ZoneId("a");
+    task.machine_id = MachineId("vm-1");
+    task.since = time_.wall();
+    slice.tasks = {task};
+    store_.put(keys::slice(slice.job_id, 0), encode(slice));
+  }
+  run(Duration{400});
+  EXPECT_EQ(static_cast<std::size_t>(slice_commits() - before), SliceCommits::kMaxInFlight);
+  store_.hold = false;
+  store_.deliver_all();
+  run(Duration{400});
+  int bound = 0;
+  for (int i = 0; i < kJobs; ++i) {
+    const auto* task = cache_.records().task({JobId("req-" + std::to_string(100 + i)), 0});
+    if (task != nullptr && task->state == TaskState::bound) ++bound;
+  }
+  EXPECT_EQ(bound, kJobs);
+}
+
 }  // namespace
 }  // namespace marblevale
