--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -18,6 +18,7 @@
       settings_(settings),
       store_(loop, clock, settings.state, settings.store),
       cache_(loop, clock, store_, nonce.get()),
+      startup_times_(clock, settings, cache_, nonce),
       cancellations_(clock, cache_),
       vouching_(settings.clock_error),
       election_(loop, settings, store_, cache_, nonce),
@@ -123,7 +124,8 @@
   const std::string& path = request.path;
   const bool get = request.method == EVHTTP_REQ_GET;
   const bool post = request.method == EVHTTP_REQ_POST;
-  const auto answer = [responder](const UserAnswer& a) {
+  const auto answer = [this, responder](const UserAnswer& a) {
+    startup_times_.user_answered(a.status);
     responder->reply(a.status, a.body, a.retry_after_s);
   };
   const auto refuse_method = [&] { responder->reply(405, R"({"error":"method not allowed"})"); };
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -3,6 +3,7 @@
 
 #include "admission/admission.hpp"
 #include "app/settings.hpp"
+#include "app/startup_times.hpp"
 #include "blocks/grants.hpp"
 #include "blocks/holder.hpp"
 #include "cancellations/cancellations.hpp"
@@ -33,6 +34,7 @@
   const Settings& settings_;
   StoreClient store_;
   WatchCache cache_;
+  StartupTimes startup_times_;
   Cancellations cancellations_;
   Vouching vouching_;
   Election election_;
--- /dev/null
+++ b/src/app/startup_times.cpp
@@ -0,0 +1,79 @@
+#include "app/startup_times.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+namespace marblevale {
+
+namespace {
+
+constexpr int kFirstServerError = 500;
+
+}  // namespace
+
+StartupTimes::StartupTimes(const Clock& clock, const Settings& settings, WatchCache& cache,
+                           Nonce nonce)
+    : clock_(clock),
+      settings_(settings),
+      cache_(cache),
+      nonce_(nonce),
+      began_(clock.steady()),
+      began_wall_(clock.wall()) {
+  cache_.listen([this](RecordKind kind, const std::string& key) {
+    if (kind == RecordKind::slice) slice_changed(key);
+    if (kind == RecordKind::block) block_changed(ZoneId(key));
+  });
+}
+
+std::optional<Duration> StartupTimes::after(StartupMilestone milestone) const {
+  return reached_.at(static_cast<std::size_t>(milestone));
+}
+
+void StartupTimes::reach(StartupMilestone milestone, const std::string& what) {
+  auto& reached = reached_.at(static_cast<std::size_t>(milestone));
+  if (reached) return;
+  reached = clock_.steady() - began_;
+  spdlog::info("startup: {} after {} ms", what, reached->ms);
+}
+
+void StartupTimes::user_answered(int status) {
+  if (status >= kFirstServerError) return;
+  reach(StartupMilestone::user_answered, "first answer to a user");
+}
+
+bool StartupTimes::held_here(const ZoneId& zone) const {
+  const auto block = cache_.records().blocks.find(zone);
+  return block != cache_.records().blocks.end() && block->second.record.holder == settings_.node &&
+         block->second.record.nonce == nonce_;
+}
+
+void StartupTimes::slice_changed(const std::string& key) {
+  if (after(StartupMilestone::task_bound)) return;
+  const auto slash = key.find('/');
+  const auto number = static_cast<std::uint32_t>(std::stoul(key.substr(slash + 1)));
+  const auto* slice = cache_.records().slice(JobId(key.substr(0, slash)), number);
+  if (slice == nullptr) return;
+  const auto& tasks = slice->record.tasks;
+  // Bindings from before the start are read with the other records.
+  const bool bound = std::any_of(tasks.begin(), tasks.end(), [this](const TaskRecord& task) {
+    return task.state == TaskState::bound && task.since >= began_wall_ && held_here(task.zone);
+  });
+  if (bound) reach(StartupMilestone::task_bound, "first task bound here");
+}
+
+bool StartupTimes::all_blocks_held() const {
+  const Records& records = cache_.records();
+  return std::all_of(settings_.zones.begin(), settings_.zones.end(), [&](const ZoneId& zone) {
+    const auto block = records.blocks.find(zone);
+    return block != records.blocks.end() &&
+           records.alive(block->second.record.holder, block->second.record.nonce);
+  });
+}
+
+void StartupTimes::block_changed(const ZoneId& zone) {
+  if (!held_here(zone) || !all_blocks_held()) return;
+  reach(StartupMilestone::last_block_held, "the last block, " + zone.get() + ", is held here");
+}
+
+}  // namespace marblevale
--- /dev/null
+++ b/tests/startup_times_test.cpp
@@ -0,0 +1,97 @@
+// The times that are logged once after the start of a process.
+#include "app/startup_times.hpp"
+
+#include "helpers.hpp"
+#include "scripted_store.hpp"
+
+namespace marblevale {
+namespace {
+
+using testing::FakeTime;
+using testing::ScriptedStore;
+
+class StartupTimesTest : public ::testing::Test {
+ protected:
+  StartupTimesTest() : cache_(loop_, time_, store_, 1) {
+    settings_.node = NodeId("me");
+    settings_.zones = {ZoneId("a"), ZoneId("b")};
+    bind_task(time_.wall() - Duration{60'000});
+    give_block("a", "me");
+    store_.put(keys::node(NodeId("me")), encode(NodeRecord{NodeId("me"), Nonce(7), LeaseId(1)}));
+    store_.put(keys::node(NodeId("n2")), encode(NodeRecord{NodeId("n2"), Nonce(7), LeaseId(2)}));
+    times_.emplace(time_, settings_, cache_, Nonce(7));
+    cache_.begin();
+    pass(Duration{1'000});
+  }
+
+  void pass(Duration duration) {
+    time_.advance(duration);
+    store_.tell_watch();
+  }
+  void bind_task(WallTime since) {
+    TaskRecord task;
+    task.state = TaskState::bound;
+    task.zone = ZoneId("a");
+    task.machine_id = MachineId("vm-1");
+    task.since = since;
+    SliceRecord slice;
+    slice.job_id = JobId("req-1");
+    slice.tasks = {task};
+    store_.put(keys::slice(slice.job_id, 0), encode(slice));
+  }
+  void give_block(const std::string& zone, const std::string& node, std::uint64_t nonce = 7) {
+    store_.put(keys::block(ZoneId(zone)),
+               encode(BlockRecord{ZoneId(zone), NodeId(node), Nonce(nonce), 1}));
+  }
+
+  FakeTime time_;
+  Loop loop_{&time_};
+  Settings settings_;
+  ScriptedStore store_;
+  WatchCache cache_;
+  std::optional<StartupTimes> times_;
+};
+
+TEST_F(StartupTimesTest, TheFirstAnswerIsNoRefusal) {
+  times_->user_answered(503);
+  EXPECT_FALSE(times_->after(StartupMilestone::user_answered));
+  times_->user_answered(404);
+  EXPECT_EQ(times_->after(StartupMilestone::user_answered), Duration{1'000});
+  pass(Duration{500});
+  times_->user_answered(200);
+  EXPECT_EQ(times_->after(StartupMilestone::user_answered), Duration{1'000}) << "timed once";
+}
+
+TEST_F(StartupTimesTest, ABindingFromBeforeTheStartIsNotTheFirst) {
+  EXPECT_FALSE(times_->after(StartupMilestone::task_bound));
+  pass(Duration{500});
+  bind_task(time_.wall());
+  pass(Duration{100});
+  EXPECT_EQ(times_->after(StartupMilestone::task_bound), Duration{1'600});
+}
+
+TEST_F(StartupTimesTest, ABindingByAnotherHolderDoesNotCount) {
+  give_block("a", "n2");
+  pass(Duration{100});
+  bind_task(time_.wall());
+  pass(Duration{100});
+  EXPECT_FALSE(times_->after(StartupMilestone::task_bound));
+}
+
+TEST_F(StartupTimesTest, TheLastBlockIsTimedByItsHolderWhenAllHaveLivingOnes) {
+  EXPECT_FALSE(times_->after(StartupMilestone::last_block_held));
+  give_block("b", "n2", 3);  // an earlier life
+  pass(Duration{100});
+  give_block("a", "me");
+  pass(Duration{100});
+  EXPECT_FALSE(times_->after(StartupMilestone::last_block_held));
+  give_block("b", "n2");
+  pass(Duration{100});
+  EXPECT_FALSE(times_->after(StartupMilestone::last_block_held)) << "n2 tells it";
+  give_block("a", "me");
+  pass(Duration{100});
+  EXPECT_EQ(times_->after(StartupMilestone::last_block_held), Duration{1'400});
+}
+
+}  // namespace
+}  // namespace marblevale
