--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -21,7 +21,7 @@
       startup_times_(clock, settings, cache_, nonce),
       cancellations_(clock, cache_),
       vouching_(settings.clock_error),
-      election_(loop, settings, store_, cache_, nonce),
+      election_(loop, clock, settings, store_, cache_, nonce),
       cloud_(loop, clock, settings.cloud, settings.cloud_rps),
       fleet_(loop, clock, settings, cache_, election_, cloud_),
       granting_(loop, clock, settings, cache_, election_, fleet_),
--- a/src/blocks/grants.cpp
+++ b/src/blocks/grants.cpp
@@ -98,7 +98,7 @@
 
 void BlockGrants::tick() {
   timer_.start(kTick);
-  if (!election_.in_charge()) return;
+  if (!election_.may_act()) return;
   if (term_ != election_.term()) {
     term_ = election_.term();
     charge_since_ = clock_.steady();
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -12,9 +12,10 @@
 constexpr Duration kDefer{500};
 }  // namespace
 
-Election::Election(Loop& loop, const Settings& settings, Store& store, WatchCache& cache,
-                   Nonce nonce)
-    : settings_(settings),
+Election::Election(Loop& loop, const Clock& clock, const Settings& settings, Store& store,
+                   WatchCache& cache, Nonce nonce)
+    : clock_(clock),
+      settings_(settings),
       store_(store),
       cache_(cache),
       nonce_(nonce),
@@ -50,6 +51,19 @@
   return state_ == State::leading && cache_.revision().get() >= term_.get();
 }
 
+bool Election::may_act() {
+  if (!in_charge()) return false;
+  const Duration age = clock_.steady() - cache_.fresh_until();
+  const bool fresh = age < settings_.tuning.session_lease;
+  if (!fresh && !stale_logged_) {
+    spdlog::info(
+        "election: leads, but the last word of the records is {} ms old: waits for another",
+        age.ms);
+  }
+  stale_logged_ = !fresh;
+  return fresh;
+}
+
 void Election::open_session() {
   store_.create_lease(settings_.tuning.session_lease, [this](const LeaseResult& r) {
     if (r.outcome != Outcome::done) {
--- a/src/election/election.hpp
+++ b/src/election/election.hpp
@@ -14,7 +14,8 @@
  public:
   enum class State { joining, follower, standing, leading };
 
-  Election(Loop& loop, const Settings& settings, Store& store, WatchCache& cache, Nonce nonce);
+  Election(Loop& loop, const Clock& clock, const Settings& settings, Store& store,
+           WatchCache& cache, Nonce nonce);
 
   void begin();
   [[nodiscard]] State state() const { return state_; }
@@ -22,6 +23,11 @@
   [[nodiscard]] ModRevision term() const { return term_; }
   /// Leading, and every commit of earlier leaders is in the cache.
   [[nodiscard]] bool in_charge() const;
+  /// In charge, and the copy of the records is younger than the session's lease. A leader that
+  /// stood still has the records and the term of before, though its session may have ended since:
+  /// it plans, rents, moves blocks and decides on deletions only once it has read the records
+  /// again. Logs the first refusal of each pause.
+  [[nodiscard]] bool may_act();
   [[nodiscard]] Nonce nonce() const { return nonce_; }
   [[nodiscard]] LeaseId block_lease_id() const { return block_lease_id_; }
 
@@ -44,6 +50,7 @@
   void stand(ModRevision over);
   [[nodiscard]] bool needed_at_home() const;
 
+  const Clock& clock_;
   const Settings& settings_;
   Store& store_;
   WatchCache& cache_;
@@ -54,7 +61,8 @@
   LeaseId session_;
   LeaseId block_lease_id_;
   bool announcing_ = false;
-  bool may_stand_ = false;  // others have had the time to stand first
+  bool stale_logged_ = false;  // in this pause
+  bool may_stand_ = false;     // others have had the time to stand first
   Backoff backoff_;
   Timer session_timer_;
   Timer block_timer_;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -46,7 +46,7 @@
       random_(election.nonce().get()),
       machines_(cache, RequestPriority::granting,
                 [this](Txn& txn, const ZoneId&) {
-                  if (!election_.in_charge()) return false;
+                  if (!election_.may_act()) return false;
                   election_.guard(txn);
                   return true;
                 }),
@@ -112,11 +112,16 @@
     unmet_demands_.clear();
   }
   const auto timed = metrics_.time(Duty::fleet);
+  // Decided and committed before: whoever leads carries it out, however old its records are.
+  pursue_deletions();
+  if (!election_.may_act()) {
+    machines_.forget_all();  // decided on records that may have changed since
+    return;
+  }
   refresh_types();
   refresh_list();
   pursue_rentals();
   pursue_machines();
-  pursue_deletions();
   rent();
   forget_old();
   machines_.flush();
--- a/tests/holder_fixture.hpp
+++ b/tests/holder_fixture.hpp
@@ -26,7 +26,7 @@
  protected:
   BlockHolderTest()
       : cache_(loop_, time_, store_, 1),
-        election_(loop_, settings(), store_, cache_, Nonce(7)),
+        election_(loop_, time_, settings(), store_, cache_, Nonce(7)),
         cancellations_(time_, cache_),
         holder_(loop_, time_, settings_, cache_, election_, workers_, cancellations_) {
     MachineType type;
--- a/tests/leader_change_test.cpp
+++ b/tests/leader_change_test.cpp
@@ -206,6 +206,102 @@
       << "a leader that stays has work enough";
 }
 
+/// A leader that stood still for longer than its session's lease and has no word of the records
+/// yet.
+class PausedLeaderTest : public LeaderChangeTest {
+ protected:
+  void stand_still(Duration pause = Duration{5'000}) {
+    time_.stand_still(pause);
+    commits_before_ = store_.commits.size();
+  }
+  /// Time passes, but the watch that was open before the pause is not answered.
+  void without_word(Duration duration) { time_.advance(duration); }
+  [[nodiscard]] std::size_t commits_since() const {
+    return store_.commits.size() - commits_before_;
+  }
+  [[nodiscard]] MachineState state_of(const std::string& machine_id) const {
+    return cache_.records().machines.at(MachineId(machine_id)).record.state;
+  }
+
+ private:
+  std::size_t commits_before_ = 0;
+};
+
+TEST_F(PausedLeaderTest, RentsNothingBeforeItHasReadTheRecordsAgain) {
+  begin();
+  run(Duration{1'200});
+  submit(testing::gang("req-1", 1, 2, 60));
+  for (int i = 0; i < 20 && store_.commits.empty(); ++i) run(Duration{10});
+  run(Duration{200});  // a round has told the fleet what is missing; its next tick is to come
+  ASSERT_TRUE(cloud_.rentals.empty());
+  stand_still();
+  without_word(Duration{2'500});
+  EXPECT_TRUE(cloud_.rentals.empty());
+  EXPECT_EQ(commits_since(), 0U);
+  run(Duration{2'500});
+  EXPECT_FALSE(cloud_.rentals.empty());
+}
+
+TEST_F(PausedLeaderTest, DecidesOnNoDeletionBeforeItHasReadTheRecordsAgain) {
+  machine("vm-1");
+  begin();
+  MachineRecord silent = cache_.records().machines.at(MachineId("vm-1")).record;
+  silent.state = MachineState::silent;
+  silent.since = time_.wall();
+  store_.put_machine(silent);
+  run(Duration{50});
+  stand_still(Duration{60'000});
+  without_word(Duration{2'500});
+  EXPECT_EQ(commits_since(), 0U);
+  EXPECT_TRUE(cloud_.removed.empty());
+  silent.state = MachineState::up;  // it reported to its holder meanwhile
+  store_.put_machine(silent);
+  run(Duration{2'500});
+  EXPECT_EQ(state_of("vm-1"), MachineState::up);
+  EXPECT_TRUE(cloud_.removed.empty());
+}
+
+TEST_F(PausedLeaderTest, DropsADeletionThatItHadDecidedOnButNotCommitted) {
+  machine("vm-1");
+  begin();
+  run(Duration{1'100});
+  fleet_.request_deletion(MachineId("vm-1"), "idle");
+  stand_still();
+  without_word(Duration{1'500});
+  EXPECT_EQ(commits_since(), 0U);
+  run(Duration{2'500});
+  EXPECT_EQ(state_of("vm-1"), MachineState::up) << "it may have work by now";
+  EXPECT_TRUE(cloud_.removed.empty());
+}
+
+TEST_F(PausedLeaderTest, CarriesOutADeletionThatWasCommitted) {
+  machine("vm-1");
+  begin();
+  run(Duration{1'100});
+  cloud_.removes = false;  // the cloud is out
+  fleet_.request_deletion(MachineId("vm-1"), "silent");
+  run(Duration{1'100});
+  ASSERT_EQ(state_of("vm-1"), MachineState::deleting);
+  cloud_.removed.clear();
+  stand_still();
+  without_word(Duration{1'500});
+  EXPECT_FALSE(cloud_.removed.empty()) << "a cancelled task may be on it";
+  EXPECT_EQ(commits_since(), 0U);
+}
+
+TEST_F(PausedLeaderTest, MovesNoBlockBeforeItHasReadTheRecordsAgain) {
+  store_.put(keys::block(ZoneId("a")), encode(BlockRecord{ZoneId("a"), NodeId("n2"), Nonce(5), 1}));
+  BlockGrants blocks(loop_, time_, settings_, cache_, election_);
+  begin();
+  ASSERT_TRUE(election_.in_charge());
+  stand_still();
+  blocks.begin();
+  without_word(Duration{1'500});
+  EXPECT_EQ(commits_since(), 0U);
+  run(Duration{1'000});
+  EXPECT_EQ(cache_.records().blocks.at(ZoneId("a")).record.holder, NodeId("me"));
+}
+
 // Found by reading: a slow answer to its own commit, told after the watch had told the deletion,
 // left the record in this copy for good. A job that was over waited there beside free machines.
 TEST_F(LeaderChangeTest, ALateAnswerDoesNotBringBackWhatWasDeletedSince) {
--- a/tests/leader_fixture.hpp
+++ b/tests/leader_fixture.hpp
@@ -57,7 +57,7 @@
  protected:
   LeaderTest()
       : cache_(loop_, time_, store_, 1),
-        election_(loop_, settings(), store_, cache_, Nonce(7)),
+        election_(loop_, time_, settings(), store_, cache_, Nonce(7)),
         fleet_(loop_, time_, settings_, cache_, election_, cloud_),
         granting_(loop_, time_, settings_, cache_, election_, fleet_) {
     MachineType type;
--- a/tests/worker_partition_test.cpp
+++ b/tests/worker_partition_test.cpp
@@ -91,6 +91,34 @@
   EXPECT_EQ(machine_state("vm-1"), MachineState::silent);
 }
 
+TEST_F(WorkerPartitionTest, AHolderThatStoodStillStartsNothingBeforeItHasReadTheRecordsAgain) {
+  bind_and_start();
+  workers_.sent.clear();
+  informed_ = false;
+  time_.stand_still(Duration{3'000});
+  const ReportAnswer soon = handle_report(1, token());
+  EXPECT_EQ(soon.status, 200) << "no cancellation can be overdue yet";
+  EXPECT_EQ(soon.body.find("start"), std::string::npos);
+  run(Duration{1'000});
+  EXPECT_FALSE(sent("start"));
+  informed_ = true;
+  run(Duration{50});
+  EXPECT_NE(handle_report(1, token()).body.find("start"), std::string::npos);
+}
+
+TEST_F(WorkerPartitionTest, AHolderThatStoodStillForLongAnswersNoReportBeforeItHasReadAgain) {
+  bind_and_start();
+  workers_.sent.clear();
+  time_.stand_still(Duration{30'000});
+  informed_ = false;
+  EXPECT_NE(handle_report(1, token(), task_index("running")).status, 200);
+  run(Duration{1'000});
+  EXPECT_TRUE(workers_.sent.empty());
+  informed_ = true;
+  run(Duration{50});
+  EXPECT_EQ(handle_report(1, token(), task_index("running")).status, 200);
+}
+
 TEST_F(WorkerPartitionTest, AHolderThatWasCutOffDoesNotCallItsMachinesSilentWhenItIsBack) {
   handle_report(1, token(), "", "vm-1");
   handle_report(1, token(), "", "vm-2");
