--- a/src/planner/granting.cpp
+++ b/src/planner/granting.cpp
@@ -167,6 +167,8 @@
     transition(State::idle);
     return;
   }
+  // The term goes on: what is on its way under it still counts.
+  if (!election_.may_act()) return;
   const auto timed = metrics_.time(Duty::round);
   const SteadyTime begin = clock_.steady();
   if (state_ != State::leading || term_ != election_.term()) take_over();
--- a/tests/leader_change_test.cpp
+++ b/tests/leader_change_test.cpp
@@ -227,6 +227,23 @@
   std::size_t commits_before_ = 0;
 };
 
+// Found by inc-0452: a leader that stood still planned a round and released three tasks before it
+// read that its session had ended. The commits failed by their guards; the plan was in vain.
+TEST_F(PausedLeaderTest, ReleasesNothingBeforeItHasReadTheRecordsAgain) {
+  machine("vm-1");
+  begin();
+  submit(testing::gang("req-1", 1, 2, 60));
+  time_.advance(Duration{1});
+  store_.tell_watch();
+  ASSERT_TRUE(cache_.records().jobs.contains(JobId("req-1")));
+  stand_still();
+  without_word(Duration{1'500});
+  EXPECT_EQ(commits_since(), 0U);
+  run(Duration{1'500});
+  ASSERT_EQ(tasks("req-1").size(), 1U);
+  EXPECT_EQ(tasks("req-1")[0].state, TaskState::released) << "the term goes on";
+}
+
 TEST_F(PausedLeaderTest, RentsNothingBeforeItHasReadTheRecordsAgain) {
   begin();
   run(Duration{1'200});
