--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -331,28 +331,59 @@
       });
 }
 
-void Fleet::judge_suspect(const MachineRecord& machine) {
-  if (machines_.waits(machine.machine_id)) return;
-  const auto& records = cache_.records();
+Fleet::FailureCause Fleet::failure_cause(const JobId& job_id, const MachineRecord& machine) const {
+  const auto& slices = cache_.records().slices;
   const WallTime now = clock_.wall();
   bool failed_elsewhere = false;
-  bool ran_elsewhere = false;
-  for (auto it = records.slices.lower_bound({machine.blamed, 0});
-       it != records.slices.end() && it->first.first == machine.blamed; ++it) {
+  for (auto it = slices.lower_bound({job_id, 0}); it != slices.end() && it->first.first == job_id;
+       ++it) {
     for (const TaskRecord& task : it->second.record.tasks) {
-      // Failing again on this machine, or beside it, says nothing for the machine.
-      failed_elsewhere =
-          failed_elsewhere || (task.faults > 0 && task.failed_on != machine.machine_id);
+      if (task.faults == 0) continue;
       const bool lasted = task.running > machine.since && now - task.running > kProvenRun;
-      ran_elsewhere = ran_elsewhere ||
-                      (task.faults > 0 && task.machine_id != machine.machine_id && lasted) ||
-                      (task.faults > 0 && task.state == TaskState::done);
+      const bool runs_elsewhere = task.machine_id != machine.machine_id && lasted;
+      if (runs_elsewhere || task.state == TaskState::done) return FailureCause::machine;
+      // Failing again on this machine, or beside it, says nothing for the machine.
+      failed_elsewhere = failed_elsewhere || task.failed_on != machine.machine_id;
     }
   }
+  return failed_elsewhere ? FailureCause::job : FailureCause::unknown;
+}
+
+std::map<MachineId, std::set<JobId>> Fleet::failed_jobs_of_suspects() const {
+  const Records& records = cache_.records();
+  std::map<MachineId, std::set<JobId>> failed_jobs;
+  for (const auto& [machine_id, stored] : records.machines) {
+    const MachineRecord& machine = stored.record;
+    if (machine.state == MachineState::suspect) failed_jobs[machine_id].insert(machine.blamed);
+  }
+  if (failed_jobs.empty()) return failed_jobs;
+  for (const auto& [key, slice] : records.slices) {
+    for (const TaskRecord& task : slice.record.tasks) {
+      if (task.faults == 0) continue;
+      const auto suspect = failed_jobs.find(task.failed_on);
+      if (suspect != failed_jobs.end()) suspect->second.insert(key.first);
+    }
+  }
+  return failed_jobs;
+}
+
+void Fleet::judge_suspect(const MachineRecord& machine, const std::set<JobId>& failed_jobs) {
+  if (machines_.waits(machine.machine_id)) return;
+  const WallTime now = clock_.wall();
+  bool proven_faulty = false;
+  std::size_t unexplained = 0;
+  for (const JobId& job_id : failed_jobs) {
+    const FailureCause cause = failure_cause(job_id, machine);
+    proven_faulty = proven_faulty || cause == FailureCause::machine;
+    unexplained += cause == FailureCause::unknown ? 1 : 0;
+  }
+  // A job that failed elsewhere, too, is at fault itself: two such jobs condemn no machine. Where
+  // two failed of which nothing is heard from elsewhere, the machine is the likelier cause.
+  const bool overdue = now - machine.since > kSuspicion;
   MachineRecord verdict = machine;
-  if (ran_elsewhere) {
+  if (proven_faulty || (overdue && unexplained > 1)) {
     verdict.state = MachineState::quarantined;
-  } else if (failed_elsewhere || now - machine.since > kSuspicion) {
+  } else if (unexplained == 0 || overdue) {
     verdict.state = MachineState::up;
   } else {
     return;
@@ -404,6 +435,7 @@
       [](const auto& entry) { return entry.second.record.state == MachineState::silent; }));
   const Duration patience =
       settings_.workers.lease * (silent >= kManySilent ? kManySilentLeases : kSilentLeases);
+  const auto failed_jobs = failed_jobs_of_suspects();
   for (const auto& [machine_id, stored] : records.machines) {
     const MachineRecord& m = stored.record;
     const bool listed = last_seen_.contains(machine_id);
@@ -420,7 +452,7 @@
         break;
       }
       case MachineState::suspect:
-        judge_suspect(m);
+        judge_suspect(m, failed_jobs.at(machine_id));
         break;
       case MachineState::quarantined:
       case MachineState::draining:
