--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -431,7 +431,7 @@
     if (!f.ok) {
       answer(undecided());
     } else if (f.job) {
-      answer({200, explain(cache_.records(), f.job->record, clock_.wall()), 0});
+      answer({200, explain(cache_.records(), settings_, f.job->record, clock_.wall()), 0});
     } else {
       answer(f.final_job ? UserAnswer{200, explain(*f.final_job), 0} : error(404, "no such job"));
     }
--- a/src/admission/why.cpp
+++ b/src/admission/why.cpp
@@ -2,8 +2,11 @@
 
 #include <algorithm>
 #include <iomanip>
+#include <set>
 #include <sstream>
 
+#include "planner/queueing.hpp"
+
 namespace marblevale {
 
 namespace {
@@ -17,21 +20,87 @@
   out.close_list();
 }
 
+// Failures from which a mistake in the job is likelier than faulty machines: as many machines are
+// seldom faulty at a time.
+constexpr std::uint64_t kMistakenFailures = 3;
+constexpr std::size_t kMistakenMachines = 2;
+
+/// How the tasks of an unfinished job failed.
+struct Failures {
+  std::uint64_t count = 0;
+  std::set<MachineId> machines;  // of each task's last failure
+  bool worked = false;           // a task was done, or saved progress
+  std::optional<Duration> retry_in;
+
+  [[nodiscard]] bool suggest_mistake() const {
+    return !worked && (count >= kMistakenFailures || machines.size() >= kMistakenMachines);
+  }
+};
+
+/// When the planner tries the job again; nothing while none of its tasks waits.
+std::optional<Duration> retry_in(const Records& records, const Settings& settings,
+                                 const JobRecord& job, WallTime now) {
+  Records only_this;
+  only_this.jobs.emplace(job.spec.job_id, Versioned<JobRecord>{job, {}});
+  const auto current = [&records](const JobId& job_id, std::uint32_t number) {
+    const auto* stored = records.slice(job_id, number);
+    return stored == nullptr ? nullptr : &stored->record;
+  };
+  const auto queue = build_queue(only_this, settings, current, now, false);
+  if (queue.empty()) return std::nullopt;
+  return std::max(Duration{0}, queue.front().not_before - now);
+}
+
+Failures failures_of(const Records& records, const Settings& settings, const JobRecord& job,
+                     WallTime now) {
+  Failures failures;
+  const JobId& job_id = job.spec.job_id;
+  for (auto it = records.slices.lower_bound({job_id, 0});
+       it != records.slices.end() && it->first.first == job_id; ++it) {
+    for (const TaskRecord& task : it->second.record.tasks) {
+      failures.worked =
+          failures.worked || task.state == TaskState::done || task.progress > Duration{0};
+      if (task.faults == 0) continue;
+      failures.count += task.faults;
+      failures.machines.insert(task.failed_on);
+    }
+  }
+  if (failures.count > 0) failures.retry_in = retry_in(records, settings, job, now);
+  return failures;
+}
+
+/// The failures in a sentence, for a job that was probably submitted with a mistake.
+std::string mistake_reason(const Failures& failures) {
+  std::ostringstream out;
+  out << std::fixed << std::setprecision(1) << "its tasks failed " << failures.count
+      << " times, on at least " << failures.machines.size()
+      << " machines, and none has worked: probably a mistake in the job";
+  if (failures.retry_in) out << "; tried again in " << failures.retry_in->seconds() << " s";
+  return out.str();
+}
+
+void write_failures(json::Writer& out, const Failures& failures) {
+  out.put("faults", failures.count);
+  if (failures.count == 0) return;
+  out.put("failed_machines", static_cast<std::uint64_t>(failures.machines.size()));
+  if (failures.retry_in) out.put("retry_in_s", failures.retry_in->seconds());
+  if (failures.suggest_mistake()) out.put("reason", mistake_reason(failures));
+}
+
 }  // namespace
 
-std::string explain(const Records& records, const JobRecord& job, WallTime now) {
+std::string explain(const Records& records, const Settings& settings, const JobRecord& job,
+                    WallTime now) {
   const JobSpec& spec = job.spec;
   std::uint64_t done = 0;
   std::uint64_t bound = 0;
   std::uint64_t stopping = 0;
-  std::uint64_t faults = 0;
   for (auto it = records.slices.lower_bound({spec.job_id, 0});
        it != records.slices.end() && it->first.first == spec.job_id; ++it) {
     for (const TaskRecord& task : it->second.record.tasks) {
       done += task.state == TaskState::done ? 1 : 0;
       bound += task.placed() ? 1 : 0;
       stopping += task.stop ? 1 : 0;
-      faults += task.faults;
     }
   }
   json::Writer out;
@@ -46,8 +115,8 @@
       .put("parts", static_cast<std::uint64_t>(spec.task_count))
       .put("done", done)
       .put("placed", bound)
-      .put("stopping", stopping)
-      .put("faults", faults);
+      .put("stopping", stopping);
+  write_failures(out, failures_of(records, settings, job, now));
   const auto grant = records.grants.find(spec.job_id);
   if (grant != records.grants.end()) {
     if (!grant->second.record.guarantees.empty()) {
@@ -92,6 +161,7 @@
         << json::count(doc, "stopping").value_or(0) << " being stopped, "
         << json::count(doc, "faults").value_or(0) << " failures\n";
   }
+  if (const auto reason = json::text(doc, "reason")) out << *reason << "\n";
   if (const auto first = json::number(doc, "granted_start_s")) {
     out << "guaranteed at arrival: start " << *first
         << " s after acceptance; planned now: " << json::number(doc, "planned_start_s").value_or(0)
--- a/src/admission/why.hpp
+++ b/src/admission/why.hpp
@@ -3,12 +3,14 @@
 
 #include <string>
 
+#include "app/settings.hpp"
 #include "store/watch_cache.hpp"
 
 namespace marblevale {
 
 /// The answer for an unfinished job, from the records.
-std::string explain(const Records& records, const JobRecord& job, WallTime now);
+std::string explain(const Records& records, const Settings& settings, const JobRecord& job,
+                    WallTime now);
 /// The answer for a job that is over.
 std::string explain(const FinalRecord& job);
 /// The answer as a member reads it, from its JSON; the client verb prints this.
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -4,6 +4,7 @@
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
+#include "admission/why.hpp"
 #include "helpers.hpp"
 #include "scripted_store.hpp"
 
@@ -359,6 +360,37 @@
   EXPECT_NE(abort("req-000412").body.find("done"), std::string::npos);
 }
 
+TEST_F(AdmissionTest, WhyNamesAMistakeThatMakesAJobFailEverywhere) {
+  submit(kJob);
+  SliceRecord slice;
+  slice.job_id = JobId("req-000412");
+  slice.tasks.resize(2);
+  for (TaskRecord& task : slice.tasks) {
+    task.faults = 2;
+    task.since = clock_.wall();
+  }
+  slice.tasks[0].failed_on = MachineId("vm-1");
+  slice.tasks[1].failed_on = MachineId("vm-2");
+  store_.put(keys::slice(slice.job_id, 0), encode(slice));
+  step();
+  const UserAnswer failing = ask(Ask::why, "req-000412");
+  EXPECT_NE(failing.body.find("\"faults\":4"), std::string::npos) << failing.body;
+  EXPECT_NE(failing.body.find("\"failed_machines\":2"), std::string::npos);
+  json::Document doc;
+  ASSERT_TRUE(json::parse(doc, failing.body));
+  EXPECT_NEAR(json::number(doc, "retry_in_s").value_or(0), 4.0, 0.5) << "after the second failure";
+  EXPECT_NE(in_words(failing.body)
+                .find("failed 4 times, on at least 2 machines, and none has "
+                      "worked: probably a mistake in the job; tried again in"),
+            std::string::npos)
+      << in_words(failing.body);
+  // One failure, or one among tasks that work, names no mistake.
+  slice.tasks[0].progress = Duration{10'000};
+  store_.put(keys::slice(slice.job_id, 0), encode(slice));
+  step();
+  EXPECT_EQ(ask(Ask::why, "req-000412").body.find("mistake"), std::string::npos);
+}
+
 TEST_F(AdmissionTest, WhyTellsTheGuaranteeAndItsHistory) {
   submit(kJob);
   GrantRecord grant;
