--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -17,9 +17,14 @@
 constexpr std::size_t kMaxFinals = 2000;
 constexpr std::size_t kMaxReads = 300;
 constexpr std::size_t kMaxUnanswered = 2000;
+// Questions that wait at a time. All of them are answered at one word of the watch: their number
+// bounds how long that holds up leases and reports, and leaves room for cancellations and
+// submissions, which wait for the same word.
+constexpr std::size_t kMaxOpenQuestions = 400;
 constexpr Duration kNearlyForgotten{45'000};
 constexpr int kTries = 3;
 constexpr int kComeBackSeconds = 2;
+constexpr int kAskAgainSeconds = 1;
 // Users wait 2 s for the answer to a question and 5 s for the others: what isn't known by then is
 // said so, while they still listen.
 constexpr Duration kQuestionTime{1'700};
@@ -65,6 +70,18 @@
   Timer timer_;
 };
 
+/// One more open question, until this is dropped.
+class QuestionSlot {
+ public:
+  explicit QuestionSlot(std::shared_ptr<std::size_t> open) : open_(std::move(open)) { ++*open_; }
+  ~QuestionSlot() { --*open_; }
+  QuestionSlot(const QuestionSlot&) = delete;
+  QuestionSlot& operator=(const QuestionSlot&) = delete;
+
+ private:
+  std::shared_ptr<std::size_t> open_;
+};
+
 /// The answer, or a 503 when none has come within the limit; what comes later is dropped.
 Answer in_time(Loop& loop, Duration limit, Answer answer) {
   return [open = std::make_shared<OpenAnswer>(loop, limit, std::move(answer))](
@@ -362,8 +379,20 @@
                 });
 }
 
+Answer Admission::open_question(Answer on_answer) {
+  auto slot = std::make_shared<QuestionSlot>(open_questions_);
+  return in_time(loop_, kQuestionTime,
+                 [slot = std::move(slot), on_answer = std::move(on_answer)](const UserAnswer& a) {
+                   on_answer(a);
+                 });
+}
+
 void Admission::query(const std::string& job_id, Answer on_answer) {
-  const Answer answer = in_time(loop_, kQuestionTime, std::move(on_answer));
+  if (*open_questions_ >= kMaxOpenQuestions) {
+    on_answer(error(503, "too many questions at a time", kAskAgainSeconds));
+    return;
+  }
+  const Answer answer = open_question(std::move(on_answer));
   if (!valid_job_id(job_id)) {
     answer(error(404, "no such job"));
     return;
--- a/src/admission/admission.hpp
+++ b/src/admission/admission.hpp
@@ -41,6 +41,8 @@
     std::optional<FinalRecord> final_job;
   };
 
+  /// `on_answer`, given within a question's time and counted as open until then.
+  Answer open_question(Answer on_answer);
   void look_up(const JobId& job_id, std::function<void(const Found&)> tell_on);
   void note_cancellation(const Found& f);
   void note_silence(const JobId& job_id, bool answered);
@@ -71,6 +73,8 @@
     std::vector<std::function<void(const Found&)>> next;
   };
   std::unordered_map<JobId, Reading> reading_;
+  /// Questions that wait for their answer. Shared with each of them, since one may outlive this.
+  std::shared_ptr<std::size_t> open_questions_ = std::make_shared<std::size_t>(0);
   std::unordered_map<JobId, SteadyTime>
       unanswered_;  // since when, or since it was last logged; bounded
   std::unordered_map<JobId, FinalRecord> finals_;  // never change; bounded
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -391,6 +391,91 @@
   EXPECT_EQ(ask(Ask::why, "req-000412").body.find("mistake"), std::string::npos);
 }
 
+/// Users who ask about their jobs many times as often as usual, within one interval of the watch.
+class QuestionStormTest : public AdmissionTest {
+ protected:
+  struct Tally {
+    int answered = 0;  // 200
+    int refused = 0;   // 503 with a time to come back
+    [[nodiscard]] int all() const { return answered + refused; }
+  };
+  static constexpr int kJobs = 50;
+  static std::string job_name(int number) { return "req-0005" + std::to_string(10 + number); }
+
+  void accept_jobs() {
+    for (int i = 0; i < kJobs; ++i) accept_elsewhere(job_name(i));
+    store_.tell_watch();
+  }
+  void ask_many(int questions) {
+    for (int i = 0; i < questions; ++i) {
+      admission_->query(job_name(i % kJobs), [this](const UserAnswer& a) {
+        if (a.status == 200) ++tally_.answered;
+        if (a.status == 503 && a.retry_after_s > 0) ++tally_.refused;
+      });
+    }
+  }
+  Tally tally_;
+};
+
+TEST_F(QuestionStormTest, IsAnsweredFromOneWordOfTheWatchAndTheRestIsRefusedAtOnce) {
+  accept_jobs();
+  store_.reads = 0;
+  const std::size_t commits = store_.commits.size();
+  for (int interval = 1; interval <= 3; ++interval) {
+    tally_ = {};
+    ask_many(5'000);
+    EXPECT_GE(tally_.refused, 4'500) << "told at once, not when the watch returns";
+    clock_.advance(Duration{50});
+    store_.tell_watch();  // was opened before the questions came
+    clock_.advance(Duration{50});
+    store_.tell_watch();
+    EXPECT_EQ(tally_.all(), 5'000);
+    EXPECT_GE(tally_.answered, 300) << "in each interval some users learn something";
+    EXPECT_LE(tally_.answered, 500) << "answers at one word hold up everything else";
+  }
+  EXPECT_EQ(store_.reads, 0);
+  EXPECT_EQ(store_.commits.size(), commits);
+}
+
+TEST_F(QuestionStormTest, KeepsOutNoCancellationNorARepeatedSubmission) {
+  accept_jobs();
+  ask_many(10'000);
+  EXPECT_EQ(status_in(abort(job_name(0))), "cancelled");
+  ask_many(10'000);
+  EXPECT_EQ(submit(changed("req-000412", job_name(1))).status, 200);
+}
+
+TEST_F(QuestionStormTest, AboutAJobThatIsOverCostsTwoReads) {
+  submit(kJob);
+  finish(FinalState::done);
+  step();
+  step();
+  store_.reads = 0;
+  int answered = 0;
+  for (int i = 0; i < 5'000; ++i) {
+    admission_->query("req-000412",
+                      [&](const UserAnswer& a) { answered += a.status == 200 ? 1 : 0; });
+  }
+  EXPECT_EQ(answered, 5'000);
+  EXPECT_LE(store_.reads, 2) << "the job, then its end";
+}
+
+// A question that nobody answers must not be counted for ever.
+TEST_F(QuestionStormTest, ThatMeetsAnOutageLeavesNoQuestionOpen) {
+  accept_jobs();
+  ask_many(1'000);
+  clock_.advance(Duration{5'000});  // the watch says nothing
+  EXPECT_EQ(tally_.refused, 1'000);
+  store_.tell_watch();
+  tally_ = {};
+  ask_many(300);
+  clock_.advance(Duration{50});
+  store_.tell_watch();
+  clock_.advance(Duration{50});
+  store_.tell_watch();
+  EXPECT_EQ(tally_.answered, 300);
+}
+
 TEST_F(AdmissionTest, WhyTellsTheGuaranteeAndItsHistory) {
   submit(kJob);
   GrantRecord grant;
