--- a/src/blocks/task_lifecycle.cpp
+++ b/src/blocks/task_lifecycle.cpp
@@ -188,17 +188,15 @@
 
 void TaskLifecycle::suspect_machine(const TaskId& id, const MachineId& machine_id) {
   // Mostly the machine is faulty, yet a job with a mistake fails everywhere: the machine takes
-  // nothing new until the task's next try elsewhere has shown whose fault it was.
+  // nothing new until the leader has seen whose fault it was (`Fleet::judge_suspect`). It asks of
+  // all jobs that failed there: two with a mistake are no proof against the machine.
   const auto& machines = context_.cache.records().machines;
   const auto machine = machines.find(machine_id);
-  const bool suspected_by_another_job = machine != machines.end() &&
-                                        machine->second.record.state == MachineState::suspect &&
-                                        machine->second.record.blamed != id.job_id;
-  if (suspected_by_another_job) {
-    machines_.set_state(machine_id, MachineState::quarantined, "tasks of two jobs failed on it");
-  } else {
-    machines_.set_state(machine_id, MachineState::suspect, "a task failed on it", id.job_id);
-  }
+  if (machine == machines.end()) return;
+  const MachineState state = machine->second.record.state;
+  // One that is suspect keeps its first job; one that is given up stays so.
+  if (state != MachineState::up && state != MachineState::silent) return;
+  machines_.set_state(machine_id, MachineState::suspect, "a task failed on it", id.job_id);
 }
 
 bool TaskLifecycle::commit_due(const SliceKey& key, const SliceChange& change) {
--- a/tests/holder_test.cpp
+++ b/tests/holder_test.cpp
@@ -200,6 +200,49 @@
   EXPECT_EQ(task().faults, 1U);
 }
 
+// Two jobs with a mistake had a sound machine given up at once.
+TEST_F(BlockHolderTest, AFailureOfASecondJobLeavesTheVerdictToTheLeader) {
+  handle_report(1, token());
+  for (const char* job_id : {"req-1", "req-2"}) {
+    JobRecord job;
+    job.spec = testing::batch(job_id, 1, 1, 100);
+    job.accepted = time_.wall();
+    store_.put(keys::job(job.spec.job_id), encode(job));
+    SliceRecord slice;
+    slice.job_id = job.spec.job_id;
+    slice.tasks.resize(1);
+    slice.tasks[0].state = TaskState::bound;
+    slice.tasks[0].attempt = Attempt(1);
+    slice.tasks[0].zone = ZoneId("a");
+    slice.tasks[0].machine_id = MachineId("vm-1");
+    slice.tasks[0].session = SessionId(1);
+    store_.put(keys::slice(job.spec.job_id, 0), encode(slice));
+  }
+  run(Duration{50});
+  const std::string running = R"({"part":"req-2/0","try":1,"status":"running"})";
+  const std::string failed = R"({"part":"req-2/0","try":1,"status":"ended","cause":"error"})";
+  handle_report(1, token(), task_index("ended", "error") + "," + running);
+  run(Duration{100});
+  handle_report(1, token(), task_index("ended", "error") + "," + failed);
+  run(Duration{100});
+  const MachineRecord& machine = cache_.records().machines.at(MachineId("vm-1")).record;
+  EXPECT_EQ(machine.state, MachineState::suspect);
+  EXPECT_EQ(machine.blamed, JobId("req-1"));
+}
+
+TEST_F(BlockHolderTest, AFailureDoesNotBringBackAMachineThatIsGivenUp) {
+  bind_and_start();
+  MachineRecord machine = cache_.records().machines.at(MachineId("vm-1")).record;
+  machine.state = MachineState::quarantined;
+  store_.put_machine(machine);
+  run(Duration{50});
+  handle_report(1, token(), task_index("ended", "error"));
+  run(Duration{1'100});
+  EXPECT_EQ(task().faults, 1U);
+  EXPECT_EQ(cache_.records().machines.at(MachineId("vm-1")).record.state,
+            MachineState::quarantined);
+}
+
 // Found by a rough day: after the end of all controllers, tasks went where their image was not.
 TEST_F(BlockHolderTest, ImagesThatRanAreKeptInTheMachinesRecord) {
   bind_and_start();
