--- a/src/blocks/grants.cpp
+++ b/src/blocks/grants.cpp
@@ -2,6 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
+
 namespace marblevale {
 
 namespace {
@@ -10,7 +12,12 @@
 // A leader hands its own block to another of its zone when its term lasts: where leaders change
 // again and again, blocks would move with each.
 constexpr Duration kLeaderKeeps{20'000};
-constexpr Duration kAwayAfterMove{45'000};  // against flapping, after a move for cause
+// Against flapping, after a move for cause. The home controller can't tell whether its workers
+// reach it again but by being given the block, and each try costs its machines some of their
+// leases.
+constexpr Duration kFirstAbsence{45'000};
+constexpr Duration kMaxAbsence{180'000};
+constexpr Duration kRelapseWindow{300'000};  // within which the next absence is twice as long
 constexpr Duration kMisdirectionMaxAge{3'000};
 }  // namespace
 
@@ -52,6 +59,14 @@
   return best;
 }
 
+void BlockGrants::note_absence(const ZoneId& zone, SteadyTime now) {
+  const auto last = absences_.find(zone);
+  const bool relapse = last != absences_.end() && now - last->second.since < kRelapseWindow;
+  const Duration length =
+      relapse ? std::min(last->second.length * 2.0, kMaxAbsence) : kFirstAbsence;
+  absences_[zone] = {now, length};
+}
+
 std::optional<NodeId> BlockGrants::choose(const ZoneId& zone, const BlockRecord* held) {
   const auto& records = cache_.records();
   const SteadyTime now = clock_.steady();
@@ -64,14 +79,14 @@
     const NodeId witness = misdirection->second.first;
     misdirections_.erase(misdirection);
     if (alive(witness) && held != nullptr && held->holder != witness) {
-      moved_[zone] = now;
+      note_absence(zone, now);
       return witness;
     }
   }
   const auto home_node = home(zone, held);
-  const auto moved = moved_.find(zone);
-  const bool home_welcome =
-      home_node && (moved == moved_.end() || now - moved->second > kAwayAfterMove);
+  const auto absence = absences_.find(zone);
+  const bool home_welcome = home_node && (absence == absences_.end() ||
+                                          now - absence->second.since > absence->second.length);
   if (home_welcome && (!holder_lives || held->holder == *home_node)) return home_node;
   const bool because_we_lead = holder_lives && held->holder == settings_.node &&
                                zone == settings_.zone && now - charge_since_ < kLeaderKeeps;
--- a/src/blocks/grants.hpp
+++ b/src/blocks/grants.hpp
@@ -32,7 +32,14 @@
   SteadyTime charge_since_{};
   std::map<NodeId, std::pair<Nonce, SteadyTime>> alive_since_;
   std::map<ZoneId, std::pair<NodeId, SteadyTime>> misdirections_;
-  std::map<ZoneId, SteadyTime> moved_;  // forced moves: not home again for a while
+  /// A block that was moved since its holder did not get its workers' reports: not home again for a
+  /// while, and for longer each time.
+  struct Absence {
+    SteadyTime since;
+    Duration length;
+  };
+  void note_absence(const ZoneId& zone, SteadyTime now);
+  std::map<ZoneId, Absence> absences_;
   std::set<ZoneId> busy_;
   Timer timer_;
 };
--- a/tests/leader_change_test.cpp
+++ b/tests/leader_change_test.cpp
@@ -206,6 +206,30 @@
       << "a leader that stays has work enough";
 }
 
+// Found by inc-9b45: a zone's controller that had lost its workers for two minutes was given its
+// block back every 45 s, and lost it again 20 s later.
+TEST_F(LeaderChangeTest, ABlockWhoseHomeDoesNotReachItsWorkersIsAwayLongerEachTime) {
+  settings_.peers = {{NodeId("n2"), ZoneId("a"), {}}, {NodeId("n3"), ZoneId("b"), {}}};
+  for (const char* node : {"n2", "n3"}) {
+    store_.put(keys::node(NodeId(node)), encode(NodeRecord{NodeId(node), Nonce(5), LeaseId(90)}));
+  }
+  store_.put(keys::block(ZoneId("a")), encode(BlockRecord{ZoneId("a"), NodeId("n2"), Nonce(5), 1}));
+  BlockGrants blocks(loop_, time_, settings_, cache_, election_);
+  begin();
+  blocks.begin();
+  run(Duration{10'000});
+  const auto holder = [&] { return cache_.records().blocks.at(ZoneId("a")).record.holder; };
+  for (const std::int64_t away_ms : {45'000, 90'000, 180'000, 180'000}) {
+    ASSERT_EQ(holder(), NodeId("n2"));
+    blocks.misdirection(ZoneId("a"), NodeId("n3"));
+    run(Duration{1'000});
+    ASSERT_EQ(holder(), NodeId("n3"));
+    run(Duration{away_ms - 3'000});
+    ASSERT_EQ(holder(), NodeId("n3")) << "away for " << away_ms << " ms";
+    run(Duration{5'000});
+  }
+}
+
 /// A leader that stood still for longer than its session's lease and has no word of the records
 /// yet.
 class PausedLeaderTest : public LeaderChangeTest {
