--- a/src/planner/granting.cpp
+++ b/src/planner/granting.cpp
@@ -14,21 +14,16 @@
 constexpr Duration kTick{500};
 constexpr Duration kRoundEvery{15};  // what changes within this is planned together
 constexpr Duration kDisplaceEvery{400};
-constexpr Duration kUnrecordedMachineTimeout{20'000};
 constexpr Duration kDisplaceAnyway{2'000};
 constexpr std::size_t kMaxDisplacing = 6;  // jobs for which room is sought in one round
 constexpr Duration kDisplaceBudget{60};    // after which no further job is tried in it
 constexpr Duration kCoalesce{5};
-constexpr Duration kRentalPlanningInterval{
-    1000};  // at the least, and at most a thirtieth of the time
 constexpr Duration kSummaryEvery{10'000};
 constexpr Duration kSaveMargin{3'000};  // before a machine is taken back
 constexpr Duration kRoomEvery{12'000};  // between two displacements for one job
 constexpr Duration kWorthDisplacing{3'000};
 constexpr Duration kRefusedPause{400};
 constexpr double kPersistSlack = 0.3;
-constexpr double kSweepSlack = 0.6;
-constexpr std::size_t kMaxLeft = 1000;
 constexpr std::size_t kSmallPiece = 8;
 constexpr Duration kUnreachableZoneMaxAge{
     4'000};  // of a holder's word that it reaches no machine of a zone
@@ -38,9 +33,6 @@
 constexpr std::size_t kMaxUnsettledOffers = 10;
 constexpr std::size_t kManyUnsettledOffers = 12;  // of all holders: writes are short
 constexpr Duration kPieceEvery{3'000};
-constexpr std::size_t kMaxUnmetDemands = 30;
-constexpr Duration kSoon{20'000};        // a start this near needs no new machine
-constexpr Duration kOverdueBoot{5'500};  // a machine expected within this is late, or about to come
 constexpr Duration kStarvationCheckInterval{10'000};
 constexpr Duration kStarvedAfter{30'000};  // of waiting: no job may wait for 90 s beside free room
 constexpr Duration kStarvationConfirmTime{
@@ -48,7 +40,6 @@
 constexpr Duration kStarvationLogInterval{60'000};
 constexpr Duration kMachineOutOfUse{60'000};
 constexpr std::size_t kMaxStarved = 32;
-constexpr Duration kUnplacedWait{600'000};  // of a job that no machine can take
 
 /// Time to save, unless saving takes longer than the work that is lost on average by not saving.
 Duration displacement_grace_period(const JobSpec& job) {
@@ -69,6 +60,8 @@
       election_(election),
       fleet_(fleet),
       grants_(clock, settings, cache, election),
+      cleanup_(clock, settings, cache, election, fleet),
+      rentals_(loop.metrics(), clock, settings, fleet),
       timer_(loop, [this] { round(); }) {
   cache_.listen(
       [this](RecordKind topic, const std::string& key) { on_record_changed(topic, key); });
@@ -137,11 +130,9 @@
   pending_.clear();
   unknown_.clear();
   offered_.clear();
-  ending_.clear();
+  cleanup_.begin_term();
   made_room_.clear();
-  unrecorded_since_.clear();
   starved_.clear();
-  sweeping_ = false;
   cursor_ = 0;
   reset_occupancy();
   // The stored guarantees are taken as they are; places are found again at those times.
@@ -186,7 +177,7 @@
   std::vector<std::pair<Txn, std::vector<SliceRecord>>> again;
   again.swap(unknown_);
   for (auto& [txn, slices] : again) commit_slices(std::move(txn), std::move(slices));
-  housekeep();
+  cleanup_.run();
   drain();
   Occupancy::Slices ahead;
   for (const auto& [key, pending] : pending_) ahead.emplace(key, &pending.slice);
@@ -220,9 +211,7 @@
   const bool quiet = starts.empty() && admitted && cursor_ == 0;
   if (quiet || begin - last_displaced_ > kDisplaceAnyway) displace(planner);
   if (clock_.steady() - last_summary_ >= kSummaryEvery) summarize(planner);
-  if (clock_.steady() - last_rental_planning_ >=
-      std::max(kRentalPlanningInterval, rental_planning_took_ * 30.0))
-    plan_rentals(planner);
+  if (rentals_.due()) rentals_.plan(planner, reservations_);
   grants_.flush(reservations_);
   if (clock_.steady() - last_starvation_check_ >= kStarvationCheckInterval)
     check_starvation(planner);
@@ -308,104 +297,6 @@
   return out;
 }
 
-void Granting::end_job(const JobId& job_id) {
-  const auto& records = cache_.records();
-  const Versioned<JobRecord>& job = records.jobs.at(job_id);
-  const std::uint32_t slices = slice_count(job.record.spec);
-  std::uint32_t done = 0;
-  bool placed = false;
-  bool any_done = false;
-  for (auto it = records.slices.lower_bound({job_id, 0});
-       it != records.slices.end() && it->first.first == job_id; ++it) {
-    if (it->second.record.all_done()) ++done;
-    for (const TaskRecord& t : it->second.record.tasks) {
-      placed = placed || t.placed();
-      any_done = any_done || t.state == TaskState::done;
-    }
-  }
-  // A gang completes together, but its slices are seen to end one by one, and what is lost after
-  // the first was done is never started again: it is over once nothing of it is placed.
-  const bool finished = done == slices || (job.record.spec.gang() && any_done && !placed);
-  // What this controller committed itself, as the cancellation, is here before the watch has told
-  // what came before it: a binding, perhaps, of which this copy knows nothing yet.
-  const bool known = cache_.revision().get() >= job.mod_revision.get();
-  const bool cancelled = job.record.cancelled && known && !placed;
-  if ((!finished && !cancelled) || !ending_.insert(job_id).second) return;
-  FinalRecord record;
-  record.job_id = job_id;
-  record.state = job.record.cancelled ? FinalState::cancelled : FinalState::done;
-  record.task_count = job.record.spec.task_count;
-  record.accepted = job.record.accepted;
-  record.ended = clock_.wall();
-  Txn txn;
-  election_.guard(txn);
-  txn.guard(keys::job(job_id), job.mod_revision);
-  if (const auto grant = records.grants.find(job_id); grant != records.grants.end()) {
-    record.notes = grant->second.record.notes;
-  }
-  // Its slices and its grant are swept up afterwards.
-  txn.put(keys::final_job(job_id), encode(record)).remove(keys::job(job_id));
-  cache_.commit(RequestPriority::granting, std::move(txn),
-                [this, job_id](const CommitResult&) { ending_.erase(job_id); });
-}
-
-void Granting::housekeep() {
-  const auto& records = cache_.records();
-  std::set<MachineId> unrecorded;
-  std::vector<JobId> over;  // perhaps
-  for (const auto& [job_id, job] : records.jobs) {
-    if (job.record.cancelled || slice_count(job.record.spec) > 1) over.push_back(job_id);
-    if (!job.record.cancelled) continue;
-    // A cancelled task whose machine does not confirm its end: the machine is deleted in time.
-    const Duration since = clock_.wall() - *job.record.cancelled;
-    if (since < settings_.workers.cancel * 0.4) continue;
-    for (auto it = records.slices.lower_bound({job_id, 0});
-         it != records.slices.end() && it->first.first == job_id; ++it) {
-      for (const TaskRecord& task : it->second.record.tasks) {
-        if (task.state == TaskState::bound)
-          fleet_.request_deletion(task.machine_id, "holds a cancelled task");
-      }
-    }
-  }
-  for (const JobId& job_id : over) end_job(job_id);
-  // A task on a machine that no record knows: nobody could prove it gone but the cloud.
-  for (const auto& [machine_id, placed] : records.placed) {
-    if (!records.machines.contains(machine_id)) unrecorded.insert(machine_id);
-  }
-  for (const MachineId& machine_id : unrecorded) {
-    if (clock_.wall() - unrecorded_since_.try_emplace(machine_id, clock_.wall()).first->second >
-        kUnrecordedMachineTimeout) {
-      fleet_.request_deletion(machine_id, "has tasks, but no record");
-    }
-  }
-  std::erase_if(unrecorded_since_,
-                [&](const auto& entry) { return !unrecorded.contains(entry.first); });
-  // What is left of jobs that are over goes when there is budget to spare, or when it piles up.
-  const std::size_t left = records.slices.size() + records.grants.size();
-  if (cache_.write_slack() < kSweepSlack && left < 2 * records.jobs.size() + kMaxLeft) return;
-  if (sweeping_) return;
-  Txn txn;
-  election_.guard(txn);
-  for (const auto& [key, slice] : records.slices) {
-    if (txn.deletes.size() >= settings_.store.txn_ops) break;
-    if (records.jobs.contains(key.first)) continue;
-    if (records.unreadable.contains(keys::job(key.first))) continue;
-    txn.guard(keys::job(key.first), ModRevision{});  // it is over, and not only unknown here
-    txn.guard(keys::slice(key.first, key.second), slice.mod_revision);
-    txn.remove(keys::slice(key.first, key.second));
-  }
-  for (const auto& [job_id, grant] : records.grants) {
-    if (txn.deletes.size() >= settings_.store.txn_ops) break;
-    if (records.jobs.contains(job_id) || records.unreadable.contains(keys::job(job_id))) continue;
-    txn.guard(keys::job(job_id), ModRevision{});
-    txn.guard(keys::grant(job_id), grant.mod_revision).remove(keys::grant(job_id));
-  }
-  if (txn.deletes.empty()) return;
-  sweeping_ = true;
-  cache_.commit(RequestPriority::record, std::move(txn),
-                [this](const CommitResult&) { sweeping_ = false; });
-}
-
 bool Granting::stop_tasks(const SliceKey& key,
                           const std::function<bool(std::size_t, TaskRecord&)>& stop) {
   if (pending_.contains(key)) return false;
@@ -764,9 +655,7 @@
   const auto& records = cache_.records();
   // One of a single slice is ended by the commit that ends its last task; whatever kept that from
   // happening, it must not stay for ever.
-  std::vector<JobId> jobs;
-  for (const auto& [job_id, job] : records.jobs) jobs.push_back(job_id);
-  for (const JobId& job_id : jobs) end_job(job_id);
+  cleanup_.end_all_finished();
   const auto found =
       find_starved(records, settings_, clock_.wall(), kStarvedAfter, kMachineOutOfUse, kMaxStarved);
   std::set<JobId> still;
@@ -830,83 +719,4 @@
   return {r->second.places.empty() ? "its reservation has no place" : "unknown", true};
 }
 
-bool Granting::worth_renting_for(const QueueItem& item) const {
-  // Work that nobody set an objective for, of a team without a guarantee, runs on what is idle. One
-  // that has waited for too long gets a machine all the same.
-  const auto wanted = [&](const Objective& o) {
-    return o.job_class == item.demand.job->job_class && !o.job_class.empty();
-  };
-  return item.of_guaranteed_team || item.overdue ||
-         std::any_of(settings_.objectives.begin(), settings_.objectives.end(), wanted);
-}
-
-void Granting::plan_rentals(const Planner& planner) {
-  const auto timed = metrics_.time(Duty::rentals);
-  last_rental_planning_ = clock_.steady();
-  const WallTime now = clock_.wall();
-  std::vector<UnmetDemand> unmet_demands;
-  std::set<MachineId> in_use;
-  for (const auto& [job_id, r] : reservations_) {
-    for (const auto& place : r.places) {
-      if (place.start - now < settings_.tuning.idle_return) in_use.insert(place.machine_id);
-    }
-  }
-  const auto& machines = planner.profile().machines();
-  const bool coming = std::any_of(machines.begin(), machines.end(), [&](const PlanMachine& m) {
-    return m.machine_id != MachineId{} && m.ready > now + kOverdueBoot;
-  });
-  // Reservations lag behind what has become possible since (holes are kept on purpose), so what is
-  // missing is read from the plan that the queue would get if it were laid out anew.
-  auto outlook = planner.outlook(kMaxUnmetDemands);
-  // For jobs further back their reservations must do: to lay out a long queue costs too much.
-  for (std::size_t i = outlook.size(); i < planner.queue().size(); ++i) {
-    const QueueItem& item = planner.queue()[i];
-    if (item.demand.tasks == 0) continue;
-    const auto r = reservations_.find(item.job_id);
-    std::optional<Plan> plan;
-    if (r != reservations_.end() && !r->second.places.empty()) {
-      plan.emplace();
-      for (const auto& place : r->second.places)
-        plan->placements.push_back({0, place.start, place.end});
-    }
-    outlook.emplace_back(&item, std::move(plan));
-  }
-  for (const auto& [item, plan] : outlook) {
-    const JobSpec& job = *item->demand.job;
-    if (!worth_renting_for(*item)) continue;
-    const Lane* limit = planner.profile().team(job.team);
-    const double least = job.gang() ? item->demand.tasks : 1;
-    if (limit != nullptr && !fits(job.need * least, limit->whole() - limit->running())) continue;
-    std::uint32_t late = item->demand.tasks;
-    Duration wait = kUnplacedWait;
-    if (plan) {
-      late = 0;
-      wait = plan->start() - now;
-      for (const Placement& spot : plan->placements) late += spot.start - now > kSoon ? 1 : 0;
-      if (item->demand.job->gang() && late > 0) late = item->demand.tasks;
-    }
-    // Where estimates are too low, room is always about to come free. A job that has waited for a
-    // while is believed to wait as long again, unless machines are on their way already.
-    const Duration waited = now - item->accepted;
-    Demand one = item->demand;
-    one.tasks = 1;
-    if (!coming && waited > std::max(wait, kSoon) &&
-        !planner.profile().room_beside_running(one, now)) {
-      wait = waited;
-      late = item->demand.tasks;
-    }
-    if (late == 0) continue;
-    unmet_demands.push_back({item->demand.job, late, item->demand.run, wait, item->demand.zone});
-  }
-  std::map<TeamId, Resources> team_resources;
-  for (const Team& team : settings_.teams) {
-    if (const Lane* lane = planner.profile().team(team.name)) {
-      // Only what runs counts: reservations are what the machines are wanted for.
-      team_resources[team.name] = team.limit() - lane->running();
-    }
-  }
-  fleet_.plan(std::move(unmet_demands), std::move(team_resources), std::move(in_use));
-  rental_planning_took_ = clock_.steady() - last_rental_planning_;
-}
-
 }  // namespace marblevale
--- a/src/planner/granting.hpp
+++ b/src/planner/granting.hpp
@@ -13,8 +13,10 @@
 #include "fleet/fleet.hpp"
 #include "peers/offers.hpp"
 #include "planner/grant_writer.hpp"
+#include "planner/job_cleanup.hpp"
 #include "planner/occupancy.hpp"
 #include "planner/planner.hpp"
+#include "planner/rental_planner.hpp"
 #include "planner/starvation.hpp"
 #include "store/watch_cache.hpp"
 
@@ -60,10 +62,7 @@
   /// The profile is made anew from the records at the next round.
   void reset_occupancy();
   void on_record_changed(RecordKind topic, const std::string& key);
-  void housekeep();
   [[nodiscard]] std::set<ZoneId> unreachable_zones() const;
-  /// Moves the job to its final record if it is over.
-  void end_job(const JobId& job_id);
   /// True when tasks are stopped that were not being stopped before.
   bool stop_tasks(const SliceKey& key, const std::function<bool(std::size_t, TaskRecord&)>& stop);
   void drain();
@@ -86,8 +85,6 @@
                                    const std::unordered_set<JobId>& guaranteed,
                                    const Profile& profile, const std::set<MachineId>& others);
   void summarize(const Planner& planner);
-  void plan_rentals(const Planner& planner);
-  [[nodiscard]] bool worth_renting_for(const QueueItem& item) const;
   void check_starvation(const Planner& planner);
   struct Cause {
     std::string what;
@@ -102,6 +99,8 @@
   Election& election_;
   Fleet& fleet_;
   GrantWriter grants_;
+  JobCleanup cleanup_;
+  RentalPlanner rentals_;
   State state_ = State::idle;
   ModRevision term_;
   Reservations reservations_;
@@ -113,23 +112,18 @@
   OfferChannel* channel_ = nullptr;
   std::map<NodeId, std::pair<std::set<ZoneId>, SteadyTime>>
       out_of_reach_;  // and when that was said
-  std::set<JobId> ending_;
   struct MadeRoom {
     SteadyTime at;
     std::vector<MachineId> machine_ids;
   };
   std::unordered_map<JobId, MadeRoom> made_room_;
-  std::map<MachineId, WallTime> unrecorded_since_;
   std::unordered_map<JobId, SteadyTime> last_release_;  // of arrays that still wait
-  bool sweeping_ = false;
   Occupancy occupancy_;
   Duration displace_took_{};
-  Duration rental_planning_took_{};
   SteadyTime last_displaced_{-1'000'000};
   SteadyTime timer_due_{};
   SteadyTime round_over_{};
   Duration round_took_{};
-  SteadyTime last_rental_planning_{-1'000'000};
   SteadyTime last_summary_{-1'000'000};
   struct StarvedSince {
     SteadyTime first;
