--- a/tests/holder_fixture.hpp
+++ b/tests/holder_fixture.hpp
@@ -89,8 +89,11 @@
 
   /// A job of one task that the leader has released to vm-1.
   void release(bool gang = true) {
+    release(gang ? testing::gang("req-1", 1, 1, 100) : testing::batch("req-1", 1, 1, 100));
+  }
+  void release(const JobSpec& spec) {
     JobRecord job;
-    job.spec = gang ? testing::gang("req-1", 1, 1, 100) : testing::batch("req-1", 1, 1, 100);
+    job.spec = spec;
     job.accepted = time_.wall();
     store_.put(keys::job(job.spec.job_id), encode(job));
     SliceRecord slice;
--- a/tests/holder_test.cpp
+++ b/tests/holder_test.cpp
@@ -287,20 +287,7 @@
   };
   const auto before = slice_commits();
   for (int i = 0; i < kJobs; ++i) {
-    JobRecord job;
-    job.spec = testing::gang("req-" + std::to_string(100 + i), 1, 0.1, 100);
-    job.accepted = time_.wall();
-    store_.put(keys::job(job.spec.job_id), encode(job));
-    SliceRecord slice;
-    slice.job_id = job.spec.job_id;
-    TaskRecord task;
-    task.state = TaskState::released;
-    task.attempt = Attempt(1);
-    task.zone = ZoneId("a");
-    task.machine_id = MachineId("vm-1");
-    task.since = time_.wall();
-    slice.tasks = {task};
-    store_.put(keys::slice(slice.job_id, 0), encode(slice));
+    release(testing::gang("req-" + std::to_string(100 + i), 1, 0.1, 100));
   }
   run(Duration{400});
   EXPECT_EQ(static_cast<std::size_t>(slice_commits() - before), SliceCommits::kMaxInFlight);
