--- a/src/admission/admission.cpp
+++ b/src/api/admission.cpp
@@ -1,4 +1,4 @@
-#include "admission/admission.hpp"
+#include "api/admission.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -6,8 +6,8 @@
 #include <set>
 #include <utility>
 
-#include "admission/feasibility.hpp"
-#include "admission/why.hpp"
+#include "api/feasibility.hpp"
+#include "api/why.hpp"
 
 namespace marblevale {
 
@@ -23,8 +23,8 @@
 constexpr std::size_t kMaxOpenQuestions = 400;
 constexpr Duration kNearlyForgotten{45'000};
 constexpr int kTries = 3;
-constexpr int kComeBackSeconds = 2;
-constexpr int kAskAgainSeconds = 1;
+constexpr int kRetryAfterSeconds = 2;
+constexpr int kQuestionRetryAfterSeconds = 1;
 // Users wait 2 s for the answer to a question and 5 s for the others: what isn't known by then is
 // said so, while they still listen.
 constexpr Duration kQuestionTime{1'700};
@@ -36,7 +36,9 @@
   return {status, out.str(), retry_after_s};
 }
 
-UserAnswer undecided() { return error(503, "the state service does not answer", kComeBackSeconds); }
+UserAnswer undecided() {
+  return error(503, "the state service does not answer", kRetryAfterSeconds);
+}
 
 UserAnswer state(const JobId& job_id, const char* status) {
   json::Writer out;
@@ -130,7 +132,7 @@
   std::uint64_t running = 0;
   const auto& slices = cache_.records().slices;
   for (auto it = slices.lower_bound({job.spec.job_id, 0});
-       it != slices.end() && it->first.first == job.spec.job_id; ++it) {
+       it != slices.end() && it->first.job_id == job.spec.job_id; ++it) {
     for (const TaskRecord& task : it->second.record.tasks) {
       done += task.state == TaskState::done ? 1 : 0;
       running += task.state == TaskState::bound ? 1 : 0;
@@ -302,7 +304,7 @@
                                                 cache_.lasting_value_bytes())) {
     refusal = error(422, *reason);
   } else if (records.jobs.size() >= settings_.tuning.max_open_jobs) {
-    refusal = error(503, "too many unfinished jobs", kComeBackSeconds * 5);
+    refusal = error(503, "too many unfinished jobs", kRetryAfterSeconds * 5);
   } else if (remembered(job->job_id) != nullptr || records.jobs.contains(job->job_id)) {
     refusal = undecided();  // it is known: a commit would be in vain
   }
@@ -363,7 +365,7 @@
 
 void Admission::query(const std::string& job_id, Answer on_answer) {
   if (*open_questions_ >= kMaxOpenQuestions) {
-    on_answer(error(503, "too many questions at a time", kAskAgainSeconds));
+    on_answer(error(503, "too many questions at a time", kQuestionRetryAfterSeconds));
     return;
   }
   const Answer answer = open_question(std::move(on_answer));
--- a/src/admission/admission.hpp
+++ b/src/api/admission.hpp
@@ -9,8 +9,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "app/settings.hpp"
 #include "cancellations/cancellations.hpp"
+#include "config/settings.hpp"
 #include "store/watch_cache.hpp"
 
 namespace marblevale {
--- a/src/admission/feasibility.cpp
+++ b/src/api/feasibility.cpp
@@ -1,9 +1,9 @@
-#include "admission/feasibility.hpp"
+#include "api/feasibility.hpp"
 
 #include <set>
 
-#include "planner/profile.hpp"
-#include "store/records.hpp"
+#include "records/records.hpp"
+#include "scheduling/profile.hpp"
 
 namespace marblevale {
 
--- a/src/admission/feasibility.hpp
+++ b/src/api/feasibility.hpp
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "app/settings.hpp"
-#include "wire/cloud.hpp"
-#include "wire/job_spec.hpp"
+#include "config/settings.hpp"
+#include "protocol/cloud.hpp"
+#include "protocol/job_spec.hpp"
 
 namespace marblevale {
 
--- a/src/admission/why.cpp
+++ b/src/api/why.cpp
@@ -1,11 +1,11 @@
-#include "admission/why.hpp"
+#include "api/why.hpp"
 
 #include <algorithm>
 #include <iomanip>
 #include <set>
 #include <sstream>
 
-#include "planner/queueing.hpp"
+#include "scheduling/job_queue.hpp"
 
 namespace marblevale {
 
@@ -22,8 +22,8 @@
 
 // Failures from which a mistake in the job is likelier than faulty machines: as many machines are
 // seldom faulty at a time.
-constexpr std::uint64_t kMistakenFailures = 3;
-constexpr std::size_t kMistakenMachines = 2;
+constexpr std::uint64_t kFaultyJobFailures = 3;
+constexpr std::size_t kFaultyJobMachines = 2;
 
 /// How the tasks of an unfinished job failed.
 struct Failures {
@@ -32,8 +32,8 @@
   bool worked = false;           // a task was done, or saved progress
   std::optional<Duration> retry_in;
 
-  [[nodiscard]] bool suggest_mistake() const {
-    return !worked && (count >= kMistakenFailures || machines.size() >= kMistakenMachines);
+  [[nodiscard]] bool suggest_faulty_job() const {
+    return !worked && (count >= kFaultyJobFailures || machines.size() >= kFaultyJobMachines);
   }
 };
 
@@ -56,7 +56,7 @@
   Failures failures;
   const JobId& job_id = job.spec.job_id;
   for (auto it = records.slices.lower_bound({job_id, 0});
-       it != records.slices.end() && it->first.first == job_id; ++it) {
+       it != records.slices.end() && it->first.job_id == job_id; ++it) {
     for (const TaskRecord& task : it->second.record.tasks) {
       failures.worked =
           failures.worked || task.state == TaskState::done || task.progress > Duration{0};
@@ -70,7 +70,7 @@
 }
 
 /// The failures in a sentence, for a job that was probably submitted with a mistake.
-std::string mistake_reason(const Failures& failures) {
+std::string faulty_job_reason(const Failures& failures) {
   std::ostringstream out;
   out << std::fixed << std::setprecision(1) << "its tasks failed " << failures.count
       << " times, on at least " << failures.machines.size()
@@ -84,7 +84,7 @@
   if (failures.count == 0) return;
   out.put("failed_machines", static_cast<std::uint64_t>(failures.machines.size()));
   if (failures.retry_in) out.put("retry_in_s", failures.retry_in->seconds());
-  if (failures.suggest_mistake()) out.put("reason", mistake_reason(failures));
+  if (failures.suggest_faulty_job()) out.put("reason", faulty_job_reason(failures));
 }
 
 }  // namespace
@@ -96,7 +96,7 @@
   std::uint64_t bound = 0;
   std::uint64_t stopping = 0;
   for (auto it = records.slices.lower_bound({spec.job_id, 0});
-       it != records.slices.end() && it->first.first == spec.job_id; ++it) {
+       it != records.slices.end() && it->first.job_id == spec.job_id; ++it) {
     for (const TaskRecord& task : it->second.record.tasks) {
       done += task.state == TaskState::done ? 1 : 0;
       bound += task.placed() ? 1 : 0;
@@ -117,15 +117,15 @@
       .put("placed", bound)
       .put("stopping", stopping);
   write_failures(out, failures_of(records, settings, job, now));
-  const auto grant = records.grants.find(spec.job_id);
-  if (grant != records.grants.end()) {
-    if (!grant->second.record.guarantees.empty()) {
-      const Guarantee& g = grant->second.record.guarantees.back();
+  const auto guarantee_record = records.guarantee_records.find(spec.job_id);
+  if (guarantee_record != records.guarantee_records.end()) {
+    if (!guarantee_record->second.record.guarantees.empty()) {
+      const Guarantee& g = guarantee_record->second.record.guarantees.back();
       out.put("granted_start_s", (g.first - job.accepted).seconds())
           .put("planned_start_s", (g.start - job.accepted).seconds())
           .put("planned_end_s", (g.end - job.accepted).seconds());
     }
-    write_history(out, grant->second.record.notes, job.accepted);
+    write_history(out, guarantee_record->second.record.notes, job.accepted);
   } else {
     write_history(out, {}, job.accepted);
   }
--- a/src/admission/why.hpp
+++ b/src/api/why.hpp
@@ -3,8 +3,8 @@
 
 #include <string>
 
-#include "app/settings.hpp"
-#include "store/watch_cache.hpp"
+#include "config/settings.hpp"
+#include "records/record_set.hpp"
 
 namespace marblevale {
 
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -8,7 +8,7 @@
 #include <iostream>
 #include <random>
 
-#include "admission/why.hpp"
+#include "api/why.hpp"
 #include "app/service.hpp"
 
 namespace {
@@ -40,10 +40,11 @@
 int run(const Settings& settings) {
   std::signal(SIGPIPE, SIG_IGN);
   std::random_device device;
-  const Nonce nonce((static_cast<std::uint64_t>(device()) << 32 | device()) >> 1);
+  const ProcessIncarnation incarnation((static_cast<std::uint64_t>(device()) << 32 | device()) >>
+                                       1);
   Loop loop;
   const SystemClock clock;
-  Service service(loop, clock, settings, nonce);
+  Service service(loop, clock, settings, incarnation);
   spdlog::info("marblevale {}: {} in {}, users at {}:{}", MARBLEVALE_VERSION, settings.node.get(),
                settings.zone.get(), settings.users.host, settings.users.port);
   service.begin();
@@ -89,7 +90,7 @@
   app.add_option("--round-budget-ms", tuning.round_budget.ms, "time of one round of decisions")
       ->envname("MARBLEVALE_ROUND_BUDGET_MS")
       ->check(CLI::Range(1, 10'000));
-  app.add_option("--block-lease-ms", tuning.block_lease.ms, "lease of machine blocks")
+  app.add_option("--block-lease-ms", tuning.shard_lease.ms, "lease of machine blocks")
       ->envname("MARBLEVALE_BLOCK_LEASE_MS")
       ->check(CLI::Range(1'000, 600'000));
   app.add_option("--session-lease-ms", tuning.session_lease.ms, "lease of liveness and leadership")
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -12,19 +12,20 @@
 constexpr std::string_view kJobs = "/api/jobs";
 }  // namespace
 
-Service::Service(Loop& loop, const Clock& clock, const Settings& settings, Nonce nonce)
+Service::Service(Loop& loop, const Clock& clock, const Settings& settings,
+                 ProcessIncarnation incarnation)
     : metrics_(loop.metrics()),
       clock_(clock),
       settings_(settings),
       store_(loop, clock, settings.state, settings.store),
-      cache_(loop, clock, store_, nonce.get()),
-      startup_times_(clock, settings, cache_, nonce),
+      cache_(loop, clock, store_, incarnation.get()),
+      startup_times_(clock, settings, cache_, incarnation),
       cancellations_(clock, cache_),
       vouching_(settings.clock_error),
-      election_(loop, clock, settings, store_, cache_, nonce),
+      election_(loop, clock, settings, store_, cache_, incarnation),
       cloud_(loop, clock, settings.cloud, settings.cloud_rps),
-      fleet_(loop, clock, settings, cache_, election_, cloud_),
-      granting_(loop, clock, settings, cache_, election_, fleet_),
+      autoscaler_(loop, clock, settings, cache_, election_, cloud_),
+      leader_loop_(loop, clock, settings, cache_, election_, autoscaler_),
       grants_(loop, clock, settings, cache_, election_),
       order_sender_(loop, order_connections(settings)),
       holder_(loop, clock, settings, cache_, election_, order_sender_, cancellations_),
@@ -33,10 +34,10 @@
       admission_(loop, clock, settings, store_, cache_, cancellations_),
       heartbeats_(
           loop, clock, settings, [this] { return compose(); },
-          [this](const Heartbeat& heartbeat, bool newer) { heard(heartbeat, newer); }),
+          [this](const PeerHeartbeat& heartbeat, bool newer) { received(heartbeat, newer); }),
       peers_(loop, settings.peers_at,
              [this](const HttpRequest& request, const ResponderPtr& responder) {
-               if (request.path == HeartbeatExchange::kPath) {
+               if (request.path == PeerHeartbeatExchange::kPath) {
                  heartbeats_.serve(request, responder);
                } else if (request.path == Offers::kPath) {
                  offers_.serve(request, responder);
@@ -51,14 +52,14 @@
       summary_timer_(loop, [this] { summarize(); }) {}
 
 void Service::begin() {
-  granting_.release_through(offers_);
-  fleet_.delete_overdue([this] { return holder_.overdue(); });
-  cancellations_.on_told([this] { heartbeats_.hurry(); });
-  cancellations_.on_heard([this](const JobId& job_id) { holder_.cancelled(job_id); });
+  leader_loop_.release_through(offers_);
+  autoscaler_.delete_overdue([this] { return holder_.overdue(); });
+  cancellations_.on_confirmed([this] { heartbeats_.send_soon(); });
+  cancellations_.on_peer_cancellation([this](const JobId& job_id) { holder_.cancelled(job_id); });
   cache_.begin();
   election_.begin();
-  fleet_.begin();
-  granting_.begin();
+  autoscaler_.begin();
+  leader_loop_.begin();
   grants_.begin();
   holder_.begin();
   heartbeats_.begin();
@@ -81,43 +82,44 @@
 
 bool Service::healthy() {
   const bool now =
-      takes_users(cache_.ready(), state_answers(kAloneSilence), heartbeats_.peers_say());
+      takes_users(cache_.ready(), state_answers(kAloneSilence), heartbeats_.peer_state_evidence());
   if (now != healthy_) spdlog::info("service: {}", now ? "takes users" : "sends users elsewhere");
   healthy_ = now;
   return now;
 }
 
-Heartbeat Service::compose() {
-  Heartbeat heartbeat;
+PeerHeartbeat Service::compose() {
+  PeerHeartbeat heartbeat;
   heartbeat.node = settings_.node.get();
-  heartbeat.nonce = election_.nonce().get();
+  heartbeat.incarnation = election_.incarnation().get();
   heartbeat.state_ok = state_answers(kStateSilence);
   heartbeat.cancellations = cancellations_.list();
-  for (const ZoneId& zone : holder_.misdirected_zones()) {
-    heartbeat.misdirected_zones.push_back(zone.get());
-    grants_.misdirection(zone, settings_.node);
+  for (const ZoneId& zone : holder_.misrouted_zones()) {
+    heartbeat.misrouted_zones.push_back(zone.get());
+    grants_.note_misrouted_heartbeat(zone, settings_.node);
   }
   const auto unreachable_zones = holder_.unreachable_zones();
   for (const ZoneId& zone : unreachable_zones) heartbeat.unreachable_zones.push_back(zone.get());
-  granting_.out_of_reach(settings_.node, unreachable_zones);
+  leader_loop_.note_unreachable_zones(settings_.node, unreachable_zones);
   if (cache_.ready() && cancellations_.kept_all()) {
     const auto until = vouching_.until(clock_.steady(), clock_.wall(), cache_.fresh_until_wall(),
-                                       heartbeats_.words());
+                                       heartbeats_.peer_cancellation_lists());
     if (until) holder_.extend_freshness(*until);
   }
   return heartbeat;
 }
 
-void Service::heard(const Heartbeat& heartbeat, bool newer) {
+void Service::received(const PeerHeartbeat& heartbeat, bool newer) {
   cancellations_.hear(heartbeat.cancellations);
   if (!newer) return;
-  // A late copy from an earlier life must not move a block.
-  if (!cache_.records().alive(NodeId(heartbeat.node), Nonce(heartbeat.nonce))) return;
+  // A late copy from an earlier life must not move a shard.
+  if (!cache_.records().alive(NodeId(heartbeat.node), ProcessIncarnation(heartbeat.incarnation)))
+    return;
   std::set<ZoneId> unreachable_zones;
   for (const auto& zone : heartbeat.unreachable_zones) unreachable_zones.emplace(zone);
-  granting_.out_of_reach(NodeId(heartbeat.node), unreachable_zones);
-  for (const auto& zone : heartbeat.misdirected_zones)
-    grants_.misdirection(ZoneId(zone), NodeId(heartbeat.node));
+  leader_loop_.note_unreachable_zones(NodeId(heartbeat.node), unreachable_zones);
+  for (const auto& zone : heartbeat.misrouted_zones)
+    grants_.note_misrouted_heartbeat(ZoneId(zone), NodeId(heartbeat.node));
 }
 
 // One branch for each path of the users' interface.
@@ -133,8 +135,8 @@
   const auto refuse_method = [&] { responder->reply(405, R"({"error":"method not allowed"})"); };
   if (path == "/hello") {
     if (!post) return refuse_method();
-    const ReportAnswer handle_report = holder_.handle_report(request.body);
-    responder->reply(handle_report.status, handle_report.body);
+    const HeartbeatReply handle_heartbeat = holder_.handle_heartbeat(request.body);
+    responder->reply(handle_heartbeat.status, handle_heartbeat.body);
   } else if (path == "/up") {
     if (!get) return refuse_method();
     responder->reply(healthy() ? 200 : 503, "{}");
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -1,31 +1,31 @@
 // The assembly of one controller.
 #pragma once
 
-#include "admission/admission.hpp"
-#include "app/settings.hpp"
+#include "api/admission.hpp"
 #include "app/startup_times.hpp"
-#include "blocks/grants.hpp"
-#include "blocks/holder.hpp"
+#include "autoscaler/autoscaler.hpp"
 #include "cancellations/cancellations.hpp"
+#include "config/settings.hpp"
 #include "election/election.hpp"
-#include "fleet/fleet.hpp"
-#include "peers/heartbeat.hpp"
+#include "leader/leader_loop.hpp"
+#include "leader/shard_assigner.hpp"
 #include "peers/offers.hpp"
-#include "planner/granting.hpp"
+#include "peers/peer_heartbeat.hpp"
+#include "shards/shard_holder.hpp"
 
 namespace marblevale {
 
 class Service {
  public:
-  Service(Loop& loop, const Clock& clock, const Settings& settings, Nonce nonce);
+  Service(Loop& loop, const Clock& clock, const Settings& settings, ProcessIncarnation incarnation);
   void begin();
 
  private:
   void serve(const HttpRequest& request, ResponderPtr responder);
   bool healthy();
   [[nodiscard]] bool state_answers(Duration within) const;
-  Heartbeat compose();
-  void heard(const Heartbeat& heartbeat, bool newer);
+  PeerHeartbeat compose();
+  void received(const PeerHeartbeat& heartbeat, bool newer);
 
   void summarize();
 
@@ -39,14 +39,14 @@
   Vouching vouching_;
   Election election_;
   CloudClient cloud_;
-  Fleet fleet_;
-  Granting granting_;
-  BlockGrants grants_;
+  Autoscaler autoscaler_;
+  LeaderLoop leader_loop_;
+  ShardAssigner grants_;
   HttpOrderSender order_sender_;
-  BlockHolder holder_;
+  ShardHolder holder_;
   Offers offers_;
   Admission admission_;
-  HeartbeatExchange heartbeats_;
+  PeerHeartbeatExchange heartbeats_;
   HttpServer peers_;
   bool healthy_ = false;
   HttpServer users_;
--- a/src/app/startup_times.cpp
+++ b/src/app/startup_times.cpp
@@ -13,16 +13,16 @@
 }  // namespace
 
 StartupTimes::StartupTimes(const Clock& clock, const Settings& settings, WatchCache& cache,
-                           Nonce nonce)
+                           ProcessIncarnation incarnation)
     : clock_(clock),
       settings_(settings),
       cache_(cache),
-      nonce_(nonce),
+      incarnation_(incarnation),
       began_(clock.steady()),
       began_wall_(clock.wall()) {
   cache_.listen([this](RecordKind kind, const std::string& key) {
     if (kind == RecordKind::slice) slice_changed(key);
-    if (kind == RecordKind::block) block_changed(ZoneId(key));
+    if (kind == RecordKind::shard) shard_changed(ZoneId(key));
   });
 }
 
@@ -43,9 +43,9 @@
 }
 
 bool StartupTimes::held_here(const ZoneId& zone) const {
-  const auto block = cache_.records().blocks.find(zone);
-  return block != cache_.records().blocks.end() && block->second.record.holder == settings_.node &&
-         block->second.record.nonce == nonce_;
+  const auto shard = cache_.records().shards.find(zone);
+  return shard != cache_.records().shards.end() && shard->second.record.holder == settings_.node &&
+         shard->second.record.incarnation == incarnation_;
 }
 
 void StartupTimes::slice_changed(const std::string& key) {
@@ -62,18 +62,18 @@
   if (bound) reach(StartupMilestone::task_bound, "first task bound here");
 }
 
-bool StartupTimes::all_blocks_held() const {
+bool StartupTimes::all_shards_held() const {
   const Records& records = cache_.records();
   return std::all_of(settings_.zones.begin(), settings_.zones.end(), [&](const ZoneId& zone) {
-    const auto block = records.blocks.find(zone);
-    return block != records.blocks.end() &&
-           records.alive(block->second.record.holder, block->second.record.nonce);
+    const auto shard = records.shards.find(zone);
+    return shard != records.shards.end() &&
+           records.alive(shard->second.record.holder, shard->second.record.incarnation);
   });
 }
 
-void StartupTimes::block_changed(const ZoneId& zone) {
-  if (!held_here(zone) || !all_blocks_held()) return;
-  reach(StartupMilestone::last_block_held, "the last block, " + zone.get() + ", is held here");
+void StartupTimes::shard_changed(const ZoneId& zone) {
+  if (!held_here(zone) || !all_shards_held()) return;
+  reach(StartupMilestone::last_shard_held, "the last block, " + zone.get() + ", is held here");
 }
 
 }  // namespace marblevale
--- a/src/fleet/fleet.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -1,22 +1,22 @@
-#include "fleet/fleet.hpp"
+#include "autoscaler/autoscaler.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "fleet/suspects.hpp"
+#include "autoscaler/suspect_machines.hpp"
 
 namespace marblevale {
 
 namespace {
 
-constexpr Duration kTick{1000};
+constexpr Duration kReconcileInterval{1000};
 constexpr Duration kTypesEvery{60'000};
 constexpr Duration kFirstRefusal{8'000};
 constexpr Duration kMaxRefusal{40'000};
 // Longer than any list lags, and than copies of a machine's reports come late.
-constexpr Duration kTombstone{180'000};
+constexpr Duration kTombstoneRetention{180'000};
 // How long a silent machine is waited for, in leases. Many that fall silent together have more
 // often hung, or are cut off, than died (which the cloud's lists would tell): they are waited for
 // longer, since as many would have to be rented and booted again.
@@ -24,66 +24,67 @@
 constexpr double kManySilentLeases = 1.2;
 constexpr std::size_t kManySilent = 10;
 constexpr Duration kLeaseMargin{1'000};   // clocks, and the way of the last answer
-constexpr double kNeverUp = 3.0;          // boot times after which a machine is given up
+constexpr double kBootTimeout = 3.0;      // boot times after which a machine is given up
 constexpr std::size_t kMaxDeleted = 100;  // by one request, as the protocol has it
 constexpr double kListShare =
     0.3;  // of the cloud's calls: renting and deleting must not wait for lists
-constexpr std::uint32_t kMaxRented = 50;  // by one request, as the protocol has it
+constexpr std::uint32_t kMaxProvisioned = 50;  // by one request, as the protocol has it
 constexpr double kSpareShare = 0.2;       // of the machines that are up: idle ones worth keeping
 constexpr double kSurplusPatience = 0.4;  // of the idle time, for those beyond the spare ones
-constexpr Duration kUnlisted{5'000};      // more than clocks differ
-constexpr Duration kStateSilence{2'500};  // without an answer: the state service is out
+constexpr Duration kUnlistedGracePeriod{5'000};  // more than clocks differ
+constexpr Duration kStateSilence{2'500};         // without an answer: the state service is out
 
 }  // namespace
 
-Fleet::Fleet(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
-             Election& election, Cloud& cloud)
+Autoscaler::Autoscaler(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
+                       Election& election, Cloud& cloud)
     : metrics_(loop.metrics()),
       clock_(clock),
       settings_(settings),
       cache_(cache),
       election_(election),
       cloud_(cloud),
-      random_(election.nonce().get()),
-      machines_(cache, RequestPriority::granting,
+      random_(election.incarnation().get()),
+      machines_(cache, RequestPriority::leader_commit,
                 [this](Txn& txn, const ZoneId&) {
-                  if (!election_.may_act()) return false;
+                  if (!election_.holds_fresh_lease()) return false;
                   election_.guard(txn);
                   return true;
                 }),
       tick_timer_(loop, [this] { tick(); }) {}
 
-void Fleet::begin() { tick_timer_.start({50}); }
+void Autoscaler::begin() { tick_timer_.start({50}); }
 
-Duration Fleet::boot_time(const std::string& machine_type) const {
+Duration Autoscaler::boot_time(const std::string& machine_type) const {
   const MachineType* type = cache_.records().type(machine_type);
   return type == nullptr ? Duration{60'000} : type->boot;
 }
 
-bool Fleet::available(const MachineOffering& offer) const {
+bool Autoscaler::available(const MachineOffering& offer) const {
   const auto it = refused_.find(offer);
   return it == refused_.end() || it->second.until <= clock_.steady();
 }
 
-std::vector<Booting> Fleet::booting() const {
+std::vector<Booting> Autoscaler::booting() const {
   std::vector<Booting> out;
   const auto& records = cache_.records();
   const WallTime now = clock_.wall();
-  for (const auto& [name, rental] : records.rentals) {
-    for (const MachineId& machine_id : rental.record.machine_ids) {
+  for (const auto& [name, provisioning_request] : records.provisioning_requests) {
+    for (const MachineId& machine_id : provisioning_request.record.machine_ids) {
       if (records.machines.contains(machine_id)) continue;
-      const Duration boot = boot_time(rental.record.machine_type);
+      const Duration boot = boot_time(provisioning_request.record.machine_type);
       // One that is late is expected soon, until it is given up.
-      const WallTime likely = std::max(rental.record.asked + boot * 1.1, now + Duration{5'000});
-      out.push_back(
-          {machine_id, rental.record.machine_type, rental.record.zone, rental.record.spot, likely});
+      const WallTime likely =
+          std::max(provisioning_request.record.asked + boot * 1.1, now + Duration{5'000});
+      out.push_back({machine_id, provisioning_request.record.machine_type,
+                     provisioning_request.record.zone, provisioning_request.record.spot, likely});
     }
   }
   return out;
 }
 
-void Fleet::plan(std::vector<UnmetDemand> unmet_demands, std::map<TeamId, Resources> team_resources,
-                 std::set<MachineId> in_use) {
+void Autoscaler::plan(std::vector<UnmetDemand> unmet_demands,
+                      std::map<TeamId, Resources> team_resources, std::set<MachineId> in_use) {
   // The jobs are copied: the records may change before the next tick.
   unmet_jobs_.clear();
   unmet_demands_ = std::move(unmet_demands);
@@ -94,10 +95,10 @@
   in_use_ = std::move(in_use);
 }
 
-void Fleet::tick() {
-  tick_timer_.start(kTick);
+void Autoscaler::tick() {
+  tick_timer_.start(kReconcileInterval);
   delete_unrecorded();
-  if (!election_.in_charge()) {
+  if (!election_.is_established_leader()) {
     term_ = ModRevision{};
     return;
   }
@@ -112,29 +113,29 @@
     machines_.forget_all();
     unmet_demands_.clear();
   }
-  const auto timed = metrics_.time(Duty::fleet);
+  const auto timed = metrics_.time(Duty::autoscaler);
   // Decided and committed before: whoever leads carries it out, however old its records are.
-  pursue_deletions();
-  if (!election_.may_act()) {
+  retry_due_deletions();
+  if (!election_.holds_fresh_lease()) {
     machines_.forget_all();  // decided on records that may have changed since
     return;
   }
   refresh_types();
   refresh_list();
-  pursue_rentals();
-  pursue_machines();
-  rent();
+  retry_due_provisioning();
+  retry_due_machines();
+  scale_out();
   forget_old();
   machines_.flush();
 }
 
-void Fleet::refresh_types() {
+void Autoscaler::refresh_types() {
   const SteadyTime now = clock_.steady();
   if (types_asked_ || (cache_.records().types && now - types_at_ < kTypesEvery)) return;
   types_asked_ = true;
   cloud_.types([this](std::optional<std::vector<MachineType>> types) {
     types_asked_ = false;
-    if (!types || !election_.in_charge()) return;
+    if (!types || !election_.is_established_leader()) return;
     types_at_ = clock_.steady();
     const auto& known = cache_.records().types;
     const std::string value = encode(*types);
@@ -143,13 +144,13 @@
     election_.guard(txn);
     // By its own revision as well: a late one must not bring back earlier prices.
     txn.guard(keys::kTypes, known ? known->mod_revision : ModRevision{}).put(keys::kTypes, value);
-    cache_.commit(RequestPriority::granting, std::move(txn), [](const CommitResult&) {});
+    cache_.commit(RequestPriority::leader_commit, std::move(txn), [](const CommitResult&) {});
   });
 }
 
-void Fleet::refresh_list() {
+void Autoscaler::refresh_list() {
   const SteadyTime now = clock_.steady();
-  // A list of a large fleet takes several calls: the more pages it had, the rarer it is read.
+  // A list of a large cluster takes several calls: the more pages it had, the rarer it is read.
   const Duration every = std::max({Duration{2000}, settings_.list_lag * 0.5,
                                    from_seconds(list_pages_ / (settings_.cloud_rps * kListShare))});
   if (listing_ || now - list_at_ < every) return;
@@ -164,8 +165,8 @@
   });
 }
 
-void Fleet::take_list(const MachineList& page, SteadyTime sent, std::set<MachineId> seen,
-                      int pages) {
+void Autoscaler::take_list(const MachineList& page, SteadyTime sent, std::set<MachineId> seen,
+                           int pages) {
   for (const ListedMachine& m : page.machines) {
     listed_[m.machine_id] = {m, clock_.steady()};
     seen.insert(m.machine_id);
@@ -201,21 +202,25 @@
   }
 }
 
-void Fleet::ask(const RentalRecord& rental, ModRevision mod_revision) {
-  asking_.insert(rental.name);
-  cloud_.rental(
-      rental.name, rental.machine_type, rental.zone, rental.spot, rental.how_many,
-      [this, rental, mod_revision](RentalOutcome outcome, std::vector<MachineId> machine_ids) {
-        const MachineOffering offer{rental.machine_type, rental.zone, rental.spot};
-        if (outcome == RentalOutcome::trouble) {
+void Autoscaler::ask(const ProvisioningRequest& provisioning_request, ModRevision mod_revision) {
+  asking_.insert(provisioning_request.name);
+  cloud_.provisioning_request(
+      provisioning_request.name, provisioning_request.machine_type, provisioning_request.zone,
+      provisioning_request.spot, provisioning_request.how_many,
+      [this, provisioning_request, mod_revision](ProvisioningOutcome outcome,
+                                                 std::vector<MachineId> machine_ids) {
+        const MachineOffering offer{provisioning_request.machine_type, provisioning_request.zone,
+                                    provisioning_request.spot};
+        if (outcome == ProvisioningOutcome::trouble) {
           // Unknown: the same name is asked again at a later tick.
-          asking_.erase(rental.name);
+          asking_.erase(provisioning_request.name);
           return;
         }
-        spdlog::info("fleet: {} asked {} {} in {} ({}), got {}", rental.name, rental.how_many,
-                     rental.machine_type, rental.zone.get(), rental.spot ? "spot" : "ordinary",
-                     machine_ids.size());
-        if (machine_ids.size() < rental.how_many) {
+        spdlog::info("fleet: {} asked {} {} in {} ({}), got {}", provisioning_request.name,
+                     provisioning_request.how_many, provisioning_request.machine_type,
+                     provisioning_request.zone.get(),
+                     provisioning_request.spot ? "spot" : "ordinary", machine_ids.size());
+        if (machine_ids.size() < provisioning_request.how_many) {
           auto [it, fresh] =
               refused_.try_emplace(offer, Refusal{{}, Backoff(kFirstRefusal, kMaxRefusal)});
           it->second.until = clock_.steady() + it->second.backoff.next(random_);
@@ -224,38 +229,40 @@
         }
         Txn txn;
         election_.guard(txn);
-        txn.guard(keys::rental(rental.name), mod_revision);
+        txn.guard(keys::provisioning_request(provisioning_request.name), mod_revision);
         if (machine_ids.empty()) {
-          txn.remove(keys::rental(rental.name));
+          txn.remove(keys::provisioning_request(provisioning_request.name));
         } else {
-          RentalRecord answered = rental;
+          ProvisioningRequest answered = provisioning_request;
           answered.answered = true;
           answered.machine_ids = std::move(machine_ids);
-          txn.put(keys::rental(rental.name), encode(answered));
+          txn.put(keys::provisioning_request(provisioning_request.name), encode(answered));
         }
-        cache_.commit(RequestPriority::granting, std::move(txn),
-                      [this, name = rental.name](const CommitResult&) { asking_.erase(name); });
+        cache_.commit(
+            RequestPriority::leader_commit, std::move(txn),
+            [this, name = provisioning_request.name](const CommitResult&) { asking_.erase(name); });
       });
 }
 
-void Fleet::pursue_rentals() {
-  for (const auto& [name, rental] : cache_.records().rentals) {
-    if (!rental.record.answered && !asking_.contains(name)) ask(rental.record, rental.mod_revision);
+void Autoscaler::retry_due_provisioning() {
+  for (const auto& [name, provisioning_request] : cache_.records().provisioning_requests) {
+    if (!provisioning_request.record.answered && !asking_.contains(name))
+      ask(provisioning_request.record, provisioning_request.mod_revision);
   }
 }
 
-void Fleet::rent() {
+void Autoscaler::scale_out() {
   const auto& records = cache_.records();
   if (unmet_demands_.empty() || !records.types) return;
   // One wave of requests at a time: the next is planned with the answers.
-  for (const auto& [name, rental] : records.rentals) {
-    if (!rental.record.answered) return;
+  for (const auto& [name, provisioning_request] : records.provisioning_requests) {
+    if (!provisioning_request.record.answered) return;
   }
   std::map<ZoneId, std::uint32_t> in_zone;
   for (const auto& [machine_id, machine] : records.machines) {
     if (machine.record.state != MachineState::gone) ++in_zone[machine.record.zone];
   }
-  const auto wanted = machines_for(
+  const auto wanted = plan_scale_out(
       unmet_demands_, records.types->record,
       [this](const MachineOffering& o) { return available(o); }, in_zone, team_resources_);
   unmet_demands_.clear();
@@ -263,33 +270,37 @@
   for (const auto& [offer, count] : wanted) {
     // Where the last request was refused, one asks whether there are any again: each costs two
     // writes, and in a cluster at its capacity they were a twentieth of all.
-    const std::uint32_t asked = refused_.contains(offer) ? std::min(count, kMaxRented) : count;
-    for (std::uint32_t left = asked; left > 0; left -= std::min(left, kMaxRented)) {
-      requests.emplace_back(offer, std::min(left, kMaxRented));
+    const std::uint32_t asked = refused_.contains(offer) ? std::min(count, kMaxProvisioned) : count;
+    for (std::uint32_t left = asked; left > 0; left -= std::min(left, kMaxProvisioned)) {
+      requests.emplace_back(offer, std::min(left, kMaxProvisioned));
     }
   }
   for (const auto& [offer, count] : requests) {
-    RentalRecord rental;
-    rental.name = "h-" + std::to_string(election_.term().get()) + "-" + std::to_string(++serial_);
-    rental.machine_type = offer.machine_type;
-    rental.zone = offer.zone;
-    rental.spot = offer.spot;
-    rental.how_many = count;
-    rental.asked = clock_.wall();
+    ProvisioningRequest provisioning_request;
+    provisioning_request.name =
+        "h-" + std::to_string(election_.term().get()) + "-" + std::to_string(++serial_);
+    provisioning_request.machine_type = offer.machine_type;
+    provisioning_request.zone = offer.zone;
+    provisioning_request.spot = offer.spot;
+    provisioning_request.how_many = count;
+    provisioning_request.asked = clock_.wall();
     Txn txn;
     election_.guard(txn);
-    txn.guard(keys::rental(rental.name), ModRevision{})
-        .put(keys::rental(rental.name), encode(rental));
-    asking_.insert(rental.name);
-    cache_.commit(RequestPriority::granting, std::move(txn), [this, rental](const CommitResult& r) {
-      asking_.erase(rental.name);
-      // An unknown outcome shows in the cache, if it happened, and is pursued from there.
-      if (r.outcome == Outcome::done) ask(rental, ModRevision(r.revision.get()));
-    });
+    txn.guard(keys::provisioning_request(provisioning_request.name), ModRevision{})
+        .put(keys::provisioning_request(provisioning_request.name), encode(provisioning_request));
+    asking_.insert(provisioning_request.name);
+    cache_.commit(RequestPriority::leader_commit, std::move(txn),
+                  [this, provisioning_request](const CommitResult& r) {
+                    asking_.erase(provisioning_request.name);
+                    // An unknown outcome shows in the cache, if it happened, and is pursued from
+                    // there.
+                    if (r.outcome == Outcome::done)
+                      ask(provisioning_request, ModRevision(r.revision.get()));
+                  });
   }
 }
 
-void Fleet::request_deletion(const MachineId& machine_id, const char* why) {
+void Autoscaler::request_deletion(const MachineId& machine_id, const char* why) {
   const auto& machines = cache_.records().machines;
   const auto it = machines.find(machine_id);
   if (machines_.waits(machine_id)) return;
@@ -310,13 +321,13 @@
       const TaskRecord* task = cache_.records().task(placed->second.begin()->first);
       if (task != nullptr) record.zone = task->zone;
     }
-    for (const auto& [name, rental] : cache_.records().rentals) {
-      const auto& machine_ids = rental.record.machine_ids;
+    for (const auto& [name, provisioning_request] : cache_.records().provisioning_requests) {
+      const auto& machine_ids = provisioning_request.record.machine_ids;
       if (std::find(machine_ids.begin(), machine_ids.end(), machine_id) == machine_ids.end())
         continue;
-      record.machine_type = rental.record.machine_type;
-      record.zone = rental.record.zone;
-      record.spot = rental.record.spot;
+      record.machine_type = provisioning_request.record.machine_type;
+      record.zone = provisioning_request.record.zone;
+      record.spot = provisioning_request.record.spot;
     }
   }
   const WallTime now = clock_.wall();
@@ -331,11 +342,11 @@
       },
       [this, machine_id, why] {
         spdlog::info("fleet: {} is to be deleted: {}", machine_id.get(), why);
-        pursue_deletions();
+        retry_due_deletions();
       });
 }
 
-void Fleet::judge_suspect(const MachineRecord& machine, const std::set<JobId>& failed_jobs) {
+void Autoscaler::judge_suspect(const MachineRecord& machine, const std::set<JobId>& failed_jobs) {
   if (machines_.waits(machine.machine_id)) return;
   const WallTime now = clock_.wall();
   const auto verdict = verdict_on_suspect(machine, failed_jobs, cache_.records(), now);
@@ -350,7 +361,7 @@
   });
 }
 
-void Fleet::return_idle() {
+void Autoscaler::return_idle() {
   // A few idle machines are the room in which the next jobs start at once; what is idle beyond them
   // goes back soon.
   const auto& machines = cache_.records().machines;
@@ -377,7 +388,7 @@
   }
 }
 
-bool Fleet::holds_replica(const MachineId& machine_id) const {
+bool Autoscaler::holds_replica(const MachineId& machine_id) const {
   const Records& records = cache_.records();
   const auto placed = records.placed.find(machine_id);
   if (placed == records.placed.end()) return false;
@@ -387,19 +398,19 @@
   });
 }
 
-Duration Fleet::patience_with_silent(const MachineId& machine_id, std::size_t silent) const {
+Duration Autoscaler::patience_with_silent(const MachineId& machine_id, std::size_t silent) const {
   const Duration lease = settings_.workers.lease;
   const Duration ordinary = lease * (silent >= kManySilent ? kManySilentLeases : kSilentLeases);
   if (!holds_replica(machine_id)) return ordinary;
   // Its replicas are down from the end of the worker's lease on, whatever became of the machine: to
   // wait for longer only keeps them from running elsewhere.
-  const Duration silent_before = settings_.workers.report * kSilentReports;
+  const Duration silent_before = settings_.workers.heartbeat * kSilentHeartbeats;
   return std::min(ordinary, std::max(Duration{0}, lease - silent_before) + kLeaseMargin);
 }
 
 // Not split yet, issue 17.
 // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size)
-void Fleet::pursue_machines() {
+void Autoscaler::retry_due_machines() {
   const auto& records = cache_.records();
   const SteadyTime now = clock_.steady();
   const WallTime wall = clock_.wall();
@@ -417,7 +428,7 @@
         // the cloud has stopped listing it: only the deletion proves that its tasks are gone.
         const auto entry = listed_.find(machine_id);
         const bool failed =
-            entry != listed_.end() && entry->second.machine.status == RentalStatus::failed;
+            entry != listed_.end() && entry->second.machine.status == ProvisioningStatus::failed;
         const bool taken = failed || (!listed && last_list_ > charge_since_);
         if (taken || wall - m.since > patience_with_silent(machine_id, silent))
           request_deletion(machine_id, "silent");
@@ -434,7 +445,7 @@
         // Only its record is left, as a late commit may bring it back: its holder knows no such
         // worker and can't call it silent. A list describes a moment at most twice the lag ago.
         const Duration known_for = wall - m.since - (now - last_list_) - settings_.list_lag * 2.0;
-        if (!listed && last_list_ > charge_since_ && known_for > kUnlisted) {
+        if (!listed && last_list_ > charge_since_ && known_for > kUnlistedGracePeriod) {
           request_deletion(machine_id, "up, but not listed");
           break;
         }
@@ -453,27 +464,28 @@
   }
   return_idle();
   for (const Booting& b : booting()) {
-    for (const auto& [name, rental] : records.rentals) {
-      const auto& machine_ids = rental.record.machine_ids;
+    for (const auto& [name, provisioning_request] : records.provisioning_requests) {
+      const auto& machine_ids = provisioning_request.record.machine_ids;
       if (std::find(machine_ids.begin(), machine_ids.end(), b.machine_id) == machine_ids.end())
         continue;
-      if (wall - rental.record.asked > boot_time(rental.record.machine_type) * kNeverUp) {
+      if (wall - provisioning_request.record.asked >
+          boot_time(provisioning_request.record.machine_type) * kBootTimeout) {
         request_deletion(b.machine_id, "never came up");
       }
     }
   }
   for (const auto& [machine_id, entry] : listed_) {
     if (records.machines.contains(machine_id)) continue;
-    if (entry.machine.status == RentalStatus::failed) request_deletion(machine_id, "failed");
+    if (entry.machine.status == ProvisioningStatus::failed) request_deletion(machine_id, "failed");
     // One that nobody expected, and that never reports: it costs money.
-    if (entry.machine.age > boot_time(entry.machine.machine_type) * kNeverUp * 1.5) {
+    if (entry.machine.age > boot_time(entry.machine.machine_type) * kBootTimeout * 1.5) {
       request_deletion(machine_id, "listed, but does not report");
     }
   }
 }
 
-void Fleet::pursue_deletions() {
-  if (deleting_ || !election_.in_charge()) return;
+void Autoscaler::retry_due_deletions() {
+  if (deleting_ || !election_.is_established_leader()) return;
   std::vector<MachineId> machine_ids;
   for (const auto& [machine_id, stored] : cache_.records().machines) {
     if (stored.record.state == MachineState::deleting && machine_ids.size() < kMaxDeleted) {
@@ -484,7 +496,7 @@
   deleting_ = true;
   cloud_.remove(machine_ids, [this, machine_ids](bool removed) {
     deleting_ = false;
-    if (!removed || !election_.in_charge()) return;
+    if (!removed || !election_.is_established_leader()) return;
     // The answer is the proof that the machines and all their tasks are gone.
     const WallTime now = clock_.wall();
     for (const MachineId& machine_id : machine_ids) {
@@ -501,7 +513,7 @@
   });
 }
 
-void Fleet::delete_unrecorded() {
+void Autoscaler::delete_unrecorded() {
   // While the state service does not answer, `deleting` can't be committed, and a cancelled task on
   // a machine that hangs would be there for longer than allowed. Its holder has the machine deleted
   // all the same: that can cost work, but breaks no rule. It is no proof. Once the state service is
@@ -526,14 +538,15 @@
   });
 }
 
-void Fleet::forget_old() {
+void Autoscaler::forget_old() {
   const auto& records = cache_.records();
   const WallTime wall = clock_.wall();
   Txn txn;
   election_.guard(txn);
   const std::size_t most = cache_.max_operations();
   for (const auto& [machine_id, stored] : records.machines) {
-    if (stored.record.state != MachineState::gone || wall - stored.record.since < kTombstone) {
+    if (stored.record.state != MachineState::gone ||
+        wall - stored.record.since < kTombstoneRetention) {
       continue;
     }
     if (records.placed.contains(machine_id) || last_seen_.contains(machine_id)) continue;
@@ -542,19 +555,20 @@
                                                : MachineWriter::EditAction::none;
     });
   }
-  for (const auto& [name, stored] : records.rentals) {
+  for (const auto& [name, stored] : records.provisioning_requests) {
     if (txn.deletes.size() >= most || !stored.record.answered) continue;
     // Kept while it is the only word of a machine that has not reported.
     const bool needed = std::any_of(
         stored.record.machine_ids.begin(), stored.record.machine_ids.end(),
         [&](const MachineId& machine_id) { return !records.machines.contains(machine_id); });
     const bool old =
-        wall - stored.record.asked > boot_time(stored.record.machine_type) * kNeverUp * 4.0;
+        wall - stored.record.asked > boot_time(stored.record.machine_type) * kBootTimeout * 4.0;
     if (needed && !old) continue;
-    txn.guard(keys::rental(name), stored.mod_revision).remove(keys::rental(name));
+    txn.guard(keys::provisioning_request(name), stored.mod_revision)
+        .remove(keys::provisioning_request(name));
   }
   if (!txn.deletes.empty()) {
-    cache_.commit(RequestPriority::granting, std::move(txn), [](const CommitResult&) {});
+    cache_.commit(RequestPriority::leader_commit, std::move(txn), [](const CommitResult&) {});
   }
 }
 
--- a/src/fleet/fleet.hpp
+++ b/src/autoscaler/autoscaler.hpp
@@ -8,20 +8,20 @@
 #include <set>
 #include <unordered_map>
 
-#include "app/settings.hpp"
+#include "autoscaler/cloud_client.hpp"
+#include "config/settings.hpp"
 #include "election/election.hpp"
-#include "fleet/cloud_client.hpp"
-#include "fleet/demand.hpp"
-#include "planner/occupancy.hpp"
+#include "scheduling/occupancy.hpp"
+#include "scheduling/scale_out.hpp"
 #include "store/machine_writer.hpp"
 #include "store/watch_cache.hpp"
 
 namespace marblevale {
 
-class Fleet {
+class Autoscaler {
  public:
-  Fleet(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
-        Election& election, Cloud& cloud);
+  Autoscaler(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
+             Election& election, Cloud& cloud);
 
   void begin();
   /// `overdue`: machines held here on which a cancelled task has been for too long.
@@ -50,8 +50,8 @@
   void refresh_types();
   void refresh_list();
   void take_list(const MachineList& page, SteadyTime sent, std::set<MachineId> seen, int pages);
-  void pursue_rentals();
-  void pursue_machines();
+  void retry_due_provisioning();
+  void retry_due_machines();
   void return_idle();
   /// True for a machine with a replica of a standing job that is not cancelled.
   [[nodiscard]] bool holds_replica(const MachineId& machine_id) const;
@@ -59,10 +59,10 @@
   [[nodiscard]] Duration patience_with_silent(const MachineId& machine_id,
                                               std::size_t silent) const;
   void judge_suspect(const MachineRecord& machine, const std::set<JobId>& failed_jobs);
-  void pursue_deletions();
+  void retry_due_deletions();
   void delete_unrecorded();
-  void rent();
-  void ask(const RentalRecord& rental, ModRevision mod_revision);
+  void scale_out();
+  void ask(const ProvisioningRequest& provisioning_request, ModRevision mod_revision);
   void forget_old();
   [[nodiscard]] bool available(const MachineOffering& offer) const;
   [[nodiscard]] Duration boot_time(const std::string& machine_type) const;
--- a/src/fleet/cloud_client.cpp
+++ b/src/autoscaler/cloud_client.cpp
@@ -1,4 +1,4 @@
-#include "fleet/cloud_client.hpp"
+#include "autoscaler/cloud_client.hpp"
 
 namespace marblevale {
 
@@ -59,22 +59,23 @@
        });
 }
 
-void CloudClient::rental(const std::string& name, const std::string& machine_type,
-                         const ZoneId& zone, bool spot, std::uint32_t how_many,
-                         std::function<void(RentalOutcome, std::vector<MachineId>)> then) {
-  send({EVHTTP_REQ_POST, "/machines", write_rental(name, machine_type, zone, spot, how_many),
-        "application/json", kDeadline},
+void CloudClient::provisioning_request(
+    const std::string& name, const std::string& machine_type, const ZoneId& zone, bool spot,
+    std::uint32_t how_many, std::function<void(ProvisioningOutcome, std::vector<MachineId>)> then) {
+  send({EVHTTP_REQ_POST, "/machines",
+        write_provisioning_request(name, machine_type, zone, spot, how_many), "application/json",
+        kDeadline},
        [then = std::move(then)](const HttpReply& reply) {
          if (reply.status == 200) {
-           if (auto machine_ids = parse_rented(reply.body)) {
-             then(RentalOutcome::rented, std::move(*machine_ids));
+           if (auto machine_ids = parse_provisioned(reply.body)) {
+             then(ProvisioningOutcome::provisioned, std::move(*machine_ids));
              return;
            }
          }
          const bool full =
              reply.status == 400 ||
              (reply.status == 503 && reply.body.find("no capacity") != std::string::npos);
-         then(full ? RentalOutcome::no_capacity : RentalOutcome::trouble, {});
+         then(full ? ProvisioningOutcome::no_capacity : ProvisioningOutcome::trouble, {});
        });
 }
 
--- a/src/fleet/cloud_client.hpp
+++ b/src/autoscaler/cloud_client.hpp
@@ -6,13 +6,13 @@
 #include <string>
 #include <vector>
 
-#include "net/budget.hpp"
 #include "net/http_client.hpp"
-#include "wire/cloud.hpp"
+#include "net/rate_limit.hpp"
+#include "protocol/cloud.hpp"
 
 namespace marblevale {
 
-enum class RentalOutcome { rented, no_capacity, trouble };
+enum class ProvisioningOutcome { provisioned, no_capacity, trouble };
 
 class Cloud {
  public:
@@ -20,9 +20,10 @@
   virtual void types(std::function<void(std::optional<std::vector<MachineType>>)> then) = 0;
   virtual void list(const MachineId& after,
                     std::function<void(std::optional<MachineList>)> then) = 0;
-  virtual void rental(const std::string& name, const std::string& machine_type, const ZoneId& zone,
-                      bool spot, std::uint32_t how_many,
-                      std::function<void(RentalOutcome, std::vector<MachineId>)> then) = 0;
+  virtual void provisioning_request(
+      const std::string& name, const std::string& machine_type, const ZoneId& zone, bool spot,
+      std::uint32_t how_many,
+      std::function<void(ProvisioningOutcome, std::vector<MachineId>)> then) = 0;
   /// True: the machines and everything on them are gone. False: unknown.
   virtual void remove(const std::vector<MachineId>& machine_ids,
                       std::function<void(bool)> then) = 0;
@@ -33,9 +34,10 @@
   CloudClient(Loop& loop, const Clock& clock, const Address& at, double rps);
   void types(std::function<void(std::optional<std::vector<MachineType>>)> then) override;
   void list(const MachineId& after, std::function<void(std::optional<MachineList>)> then) override;
-  void rental(const std::string& name, const std::string& machine_type, const ZoneId& zone,
-              bool spot, std::uint32_t how_many,
-              std::function<void(RentalOutcome, std::vector<MachineId>)> then) override;
+  void provisioning_request(
+      const std::string& name, const std::string& machine_type, const ZoneId& zone, bool spot,
+      std::uint32_t how_many,
+      std::function<void(ProvisioningOutcome, std::vector<MachineId>)> then) override;
   void remove(const std::vector<MachineId>& machine_ids, std::function<void(bool)> then) override;
 
  private:
--- a/src/fleet/suspects.cpp
+++ b/src/autoscaler/suspect_machines.cpp
@@ -1,4 +1,4 @@
-#include "fleet/suspects.hpp"
+#include "autoscaler/suspect_machines.hpp"
 
 namespace marblevale {
 
@@ -13,7 +13,7 @@
                            const Records& records, WallTime now) {
   bool failed_elsewhere = false;
   for (auto it = records.slices.lower_bound({job_id, 0});
-       it != records.slices.end() && it->first.first == job_id; ++it) {
+       it != records.slices.end() && it->first.job_id == job_id; ++it) {
     for (const TaskRecord& task : it->second.record.tasks) {
       if (task.faults == 0) continue;
       const bool lasted = task.running > machine.since && now - task.running > kProvenRun;
@@ -39,7 +39,7 @@
     for (const TaskRecord& task : slice.record.tasks) {
       if (task.faults == 0) continue;
       const auto suspect = failed_jobs.find(task.failed_on);
-      if (suspect != failed_jobs.end()) suspect->second.insert(key.first);
+      if (suspect != failed_jobs.end()) suspect->second.insert(key.job_id);
     }
   }
   return failed_jobs;
--- a/src/fleet/suspects.hpp
+++ b/src/autoscaler/suspect_machines.hpp
@@ -5,7 +5,7 @@
 #include <optional>
 #include <set>
 
-#include "store/watch_cache.hpp"
+#include "records/record_set.hpp"
 
 namespace marblevale {
 
--- a/src/cancellations/cancellations.cpp
+++ b/src/cancellations/cancellations.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "wire/job_spec.hpp"
+#include "protocol/job_spec.hpp"
 
 namespace marblevale {
 
@@ -45,7 +45,7 @@
 void Cancellations::tell(const JobId& job_id, WallTime at) {
   bool news = keep(job_id, at);
   if (recorded_.contains(job_id)) news = announced_.insert(job_id).second;
-  if (news && told_) told_();
+  if (news && confirmed_listener_) confirmed_listener_();
 }
 
 void Cancellations::hear(const CancellationList& list) {
@@ -53,7 +53,8 @@
   for (const auto& item : list.items) {
     const JobId job_id(item.job_id);
     if (!valid_job_id(item.job_id)) continue;
-    if (keep(job_id, std::min(WallTime{item.at_ms}, now)) && heard_) heard_(job_id);
+    if (keep(job_id, std::min(WallTime{item.at_ms}, now)) && peer_cancellation_listener_)
+      peer_cancellation_listener_(job_id);
   }
 }
 
@@ -92,7 +93,7 @@
 
 std::optional<SteadyTime> Vouching::until(
     SteadyTime now, WallTime now_wall, WallTime watched,
-    const std::vector<std::optional<CancellationWord>>& words) {
+    const std::vector<std::optional<PeerCancellationList>>& words) {
   const Duration apart = clock_error_ * 2.0;  // two clocks, each off by the bound
   known_ = std::max(known_, watched);
   for (const auto& word : words) {
--- a/src/cancellations/cancellations.hpp
+++ b/src/cancellations/cancellations.hpp
@@ -58,9 +58,11 @@
   [[nodiscard]] bool kept_all();
 
   /// Called for each that is told here for the first time.
-  void on_told(std::function<void()> listener) { told_ = std::move(listener); }
+  void on_confirmed(std::function<void()> listener) { confirmed_listener_ = std::move(listener); }
   /// Called for each that a peer was the first to tell of.
-  void on_heard(std::function<void(const JobId&)> listener) { heard_ = std::move(listener); }
+  void on_peer_cancellation(std::function<void(const JobId&)> listener) {
+    peer_cancellation_listener_ = std::move(listener);
+  }
 
  private:
   struct Kept {
@@ -77,12 +79,12 @@
   std::set<JobId> announced_;               // of those, the ones that were told here
   std::unordered_map<JobId, Kept> beyond_;  // told or heard, and perhaps not in the records yet
   std::optional<SteadyTime> overflowed_;    // when something could not be kept
-  std::function<void()> told_;
-  std::function<void(const JobId&)> heard_;
+  std::function<void()> confirmed_listener_;
+  std::function<void(const JobId&)> peer_cancellation_listener_;
 };
 
 /// A peer's list, and when the question was sent that it answers.
-struct CancellationWord {
+struct PeerCancellationList {
   SteadyTime asked;
   WallTime asked_wall;
   CancellationList list;
@@ -102,7 +104,7 @@
   /// `words`: one for each peer, none for a peer that has not answered lately. `watched`: time of
   /// day up to which this controller's own records are fresh. Nothing: the peers don't vouch.
   std::optional<SteadyTime> until(SteadyTime now, WallTime now_wall, WallTime watched,
-                                  const std::vector<std::optional<CancellationWord>>& words);
+                                  const std::vector<std::optional<PeerCancellationList>>& words);
 
  private:
   Duration clock_error_;
--- a/src/app/settings.cpp
+++ b/src/config/settings.cpp
@@ -1,4 +1,4 @@
-#include "app/settings.hpp"
+#include "config/settings.hpp"
 
 #include <toml++/toml.h>
 
--- a/src/app/settings.hpp
+++ b/src/config/settings.hpp
@@ -7,11 +7,11 @@
 #include <string>
 #include <vector>
 
-#include "core/amounts.hpp"
-#include "core/strong.hpp"
+#include "config/store_limits.hpp"
+#include "core/address.hpp"
+#include "core/ids.hpp"
+#include "core/resources.hpp"
 #include "core/time.hpp"
-#include "net/http_client.hpp"
-#include "store/client.hpp"
 
 namespace marblevale {
 
@@ -43,20 +43,20 @@
 };
 
 struct WorkerTimes {
-  Duration report;
+  Duration heartbeat;
   Duration lease;
   Duration gang_wait;
   Duration gang_peer;
   Duration cancel;
 };
 
-/// Report intervals without a report after which a machine is called silent.
-inline constexpr double kSilentReports = 2.5;
+/// Report intervals without a heartbeat after which a machine is called silent.
+inline constexpr double kSilentHeartbeats = 2.5;
 
 /// Operators' own settings: flags and variables only.
 struct Tuning {
   Duration round_budget{120};  // time of one round of decisions
-  Duration block_lease{30'000};
+  Duration shard_lease{30'000};
   Duration session_lease{4'000};
   Duration idle_return{90'000};  // a machine idle for this long goes back
   std::uint32_t max_open_jobs = 5000;
--- a/src/core/strong.hpp
+++ b/src/core/ids.hpp
@@ -24,7 +24,7 @@
 using JobId = Strong<struct JobIdTag, std::string>;          // a job, as its user named it
 using MachineId = Strong<struct MachineIdTag, std::string>;  // a rented machine
 using NodeId = Strong<struct NodeTag, std::string>;          // a controller
-using ZoneId = Strong<struct ZoneTag, std::string>;    // a zone, and the block of its machines
+using ZoneId = Strong<struct ZoneTag, std::string>;    // a zone, and the shard of its machines
 using TeamId = Strong<struct TeamTag, std::string>;    // a team
 using ImageId = Strong<struct ImageTag, std::string>;  // an image that tasks need
 
@@ -32,12 +32,13 @@
     Strong<struct ModRevisionTag, std::uint64_t>;          // version of a key; 0: it does not exist
 using Revision = Strong<struct RevTag, std::uint64_t>;     // the state service's change counter
 using LeaseId = Strong<struct LeaseIdTag, std::uint64_t>;  // a lease of the state service; 0: none
-using FencingToken = Strong<struct FencingTokenTag, std::uint64_t>;  // fencing token of a block
-using SessionId = Strong<struct SessionIdTag, std::uint64_t>;        // a worker's session
-using ReportSequence =
-    Strong<struct ReportSequenceTag, std::uint64_t>;       // a worker's message counter
+using FencingToken = Strong<struct FencingTokenTag, std::uint64_t>;  // fencing token of a shard
+using WorkerEpoch = Strong<struct WorkerEpochTag, std::uint64_t>;    // a worker's epoch
+using HeartbeatSequence =
+    Strong<struct HeartbeatSequenceTag, std::uint64_t>;    // a worker's message counter
 using Attempt = Strong<struct AttemptTag, std::uint64_t>;  // one start of a task; 0: never
-using Nonce = Strong<struct NonceTag, std::uint64_t>;      // one life of a controller process
+using ProcessIncarnation =
+    Strong<struct ProcessIncarnationTag, std::uint64_t>;  // one life of a controller process
 
 }  // namespace marblevale
 
--- a/src/core/metrics.hpp
+++ b/src/core/metrics.hpp
@@ -12,7 +12,7 @@
 
 namespace marblevale {
 
-/// `round` is the whole of a leader's round; those up to `rentals` are parts of it.
+/// `round` is the whole of a leader's round; those up to `provisioning requests` are parts of it.
 enum class Duty {
   round,
   profile_sync,
@@ -20,13 +20,13 @@
   restore,
   arrivals,
   compress,
-  displace,
-  rentals,
+  preempt,
+  provisioning_requests,
   holder,
-  report,
+  heartbeat,
   watch,
   users,
-  fleet
+  autoscaler
 };
 inline constexpr std::size_t kDutyCount = 13;
 
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -13,30 +13,31 @@
 }  // namespace
 
 Election::Election(Loop& loop, const Clock& clock, const Settings& settings, Store& store,
-                   WatchCache& cache, Nonce nonce)
+                   WatchCache& cache, ProcessIncarnation incarnation)
     : clock_(clock),
       settings_(settings),
       store_(store),
       cache_(cache),
-      nonce_(nonce),
-      random_(nonce.get()),
+      incarnation_(incarnation),
+      random_(incarnation.get()),
       backoff_(Duration{150}, Duration{1500}),
-      session_timer_(loop, [this] { session_ == LeaseId{} ? open_session() : touch(); }),
-      block_timer_(loop,
-                   [this] { block_lease_id_ == LeaseId{} ? open_block_lease() : touch_blocks(); }),
-      consider_timer_(loop, [this] { consider(); }),
+      session_timer_(loop, [this] { session_ == LeaseId{} ? open_session() : renew_session(); }),
+      shard_timer_(
+          loop,
+          [this] { shard_lease_id_ == LeaseId{} ? open_shard_lease() : renew_shard_lease(); }),
+      leadership_timer_(loop, [this] { check_leadership(); }),
       defer_timer_(loop, [this] {
-        may_stand_ = true;
-        consider();
+        may_campaign_ = true;
+        check_leadership();
       }) {
   cache_.listen([this](RecordKind topic, const std::string&) {
-    if (topic == RecordKind::leader || topic == RecordKind::node) consider_timer_.start({0});
+    if (topic == RecordKind::leader || topic == RecordKind::node) leadership_timer_.start({0});
   });
 }
 
 void Election::begin() {
   open_session();
-  open_block_lease();
+  open_shard_lease();
 }
 
 void Election::transition(State next, const char* why) {
@@ -47,12 +48,12 @@
   if (next != State::leading) term_ = ModRevision{};
 }
 
-bool Election::in_charge() const {
+bool Election::is_established_leader() const {
   return state_ == State::leading && cache_.revision().get() >= term_.get();
 }
 
-bool Election::may_act() {
-  if (!in_charge()) return false;
+bool Election::holds_fresh_lease() {
+  if (!is_established_leader()) return false;
   const Duration age = clock_.steady() - cache_.fresh_until();
   const bool fresh = age < settings_.tuning.session_lease;
   if (!fresh && !stale_logged_) {
@@ -73,11 +74,11 @@
     backoff_.reset();
     session_ = r.lease_id;
     session_timer_.start(settings_.tuning.session_lease * 0.25);
-    consider();
+    check_leadership();
   });
 }
 
-void Election::touch() {
+void Election::renew_session() {
   store_.renew_lease(session_, [this](const LeaseResult& r) {
     if (r.outcome == Outcome::lease_expired) {
       // The keys that hung on it are gone: another may lead by now.
@@ -90,26 +91,26 @@
   });
 }
 
-void Election::open_block_lease() {
-  store_.create_lease(settings_.tuning.block_lease, [this](const LeaseResult& r) {
+void Election::open_shard_lease() {
+  store_.create_lease(settings_.tuning.shard_lease, [this](const LeaseResult& r) {
     if (r.outcome != Outcome::done) {
-      block_timer_.start(backoff_.next(random_));
+      shard_timer_.start(backoff_.next(random_));
       return;
     }
-    block_lease_id_ = r.lease_id;
-    block_timer_.start(settings_.tuning.block_lease * 0.25);
-    consider();
+    shard_lease_id_ = r.lease_id;
+    shard_timer_.start(settings_.tuning.shard_lease * 0.25);
+    check_leadership();
   });
 }
 
-void Election::touch_blocks() {
-  store_.renew_lease(block_lease_id_, [this](const LeaseResult& r) {
+void Election::renew_shard_lease() {
+  store_.renew_lease(shard_lease_id_, [this](const LeaseResult& r) {
     if (r.outcome == Outcome::lease_expired) {
-      block_lease_id_ = LeaseId{};
-      open_block_lease();
+      shard_lease_id_ = LeaseId{};
+      open_shard_lease();
       return;
     }
-    block_timer_.start(settings_.tuning.block_lease * (r.outcome == Outcome::done ? 0.25 : 0.05));
+    shard_timer_.start(settings_.tuning.shard_lease * (r.outcome == Outcome::done ? 0.25 : 0.05));
   });
 }
 
@@ -117,8 +118,8 @@
   if (announcing_) return;
   const auto& nodes = cache_.records().nodes;
   const auto mine = nodes.find(settings_.node);
-  const bool told = mine != nodes.end() && mine->second.record.nonce == nonce_ &&
-                    mine->second.record.block_lease_id == block_lease_id_;
+  const bool told = mine != nodes.end() && mine->second.record.incarnation == incarnation_ &&
+                    mine->second.record.shard_lease_id == shard_lease_id_;
   if (told) return;
   announcing_ = true;
   Txn txn;
@@ -126,22 +127,23 @@
   txn.guard(keys::node(settings_.node),
             mine == nodes.end() ? ModRevision{} : mine->second.mod_revision);
   txn.put(keys::node(settings_.node),
-          encode(NodeRecord{settings_.node, nonce_, block_lease_id_, kReadsForms}), session_);
+          encode(NodeRecord{settings_.node, incarnation_, shard_lease_id_, kReadsForms}), session_);
   cache_.commit(RequestPriority::lease, std::move(txn), [this](const CommitResult& r) {
     announcing_ = false;
-    consider_timer_.start(r.outcome == Outcome::done ? Duration{0} : backoff_.next(random_));
+    leadership_timer_.start(r.outcome == Outcome::done ? Duration{0} : backoff_.next(random_));
   });
 }
 
-void Election::consider() {
-  if (session_ == LeaseId{} || block_lease_id_ == LeaseId{} || !cache_.ready()) {
-    if (session_ != LeaseId{}) consider_timer_.start({100});
+void Election::check_leadership() {
+  if (session_ == LeaseId{} || shard_lease_id_ == LeaseId{} || !cache_.ready()) {
+    if (session_ != LeaseId{}) leadership_timer_.start({100});
     return;
   }
   announce();
   const auto& leader = cache_.records().leader;
-  if (leader) may_stand_ = false;
-  if (leader && leader->record.node == settings_.node && leader->record.nonce == nonce_) {
+  if (leader) may_campaign_ = false;
+  if (leader && leader->record.node == settings_.node &&
+      leader->record.incarnation == incarnation_) {
     term_ = leader->mod_revision;
     transition(State::leading, "the leader record is ours");
     return;
@@ -149,18 +151,19 @@
   if (state_ == State::standing) return;
   transition(State::follower, leader ? "another leads" : "nobody leads");
   if (leader && leader->record.node == settings_.node) {
-    stand(leader->mod_revision);  // an earlier life of this controller led; its successor is here
+    campaign(
+        leader->mod_revision);  // an earlier life of this controller led; its successor is here
   } else if (!leader) {
-    if (needed_at_home() && !may_stand_) {
+    if (needed_at_home() && !may_campaign_) {
       if (!defer_timer_.pending()) defer_timer_.start(kDefer);
       return;
     }
-    stand(ModRevision{});
+    campaign(ModRevision{});
   }
 }
 
 bool Election::needed_at_home() const {
-  // Its zone has no other controller to hold the zone's block, and elsewhere there is one to spare:
+  // Its zone has no other controller to hold the zone's shard, and elsewhere there is one to spare:
   // leading and holding together are too much for one in a large deployment.
   std::map<ZoneId, int> controllers;
   ++controllers[settings_.zone];
@@ -170,20 +173,20 @@
                      [](const auto& zone) { return zone.second > 1; });
 }
 
-void Election::stand(ModRevision over) {
+void Election::campaign(ModRevision over) {
   transition(State::standing, "the place is free");
   Txn txn;
   txn.guard(keys::kLeader, over);
-  txn.put(keys::kLeader, encode(LeaderRecord{settings_.node, nonce_}), session_);
+  txn.put(keys::kLeader, encode(LeaderRecord{settings_.node, incarnation_}), session_);
   cache_.commit(RequestPriority::lease, std::move(txn), [this](const CommitResult& r) {
     if (state_ != State::standing) return;
     if (r.outcome == Outcome::done) {
-      consider();
+      check_leadership();
       return;
     }
     transition(State::follower, "not elected");
     // Whoever won shows in the cache soon; an unknown outcome does, too.
-    consider_timer_.start(kStandJitter + backoff_.next(random_));
+    leadership_timer_.start(kStandJitter + backoff_.next(random_));
   });
 }
 
--- a/src/planner/grant_writer.cpp
+++ b/src/leader/guarantee_writer.cpp
@@ -1,4 +1,4 @@
-#include "planner/grant_writer.hpp"
+#include "leader/guarantee_writer.hpp"
 
 #include <algorithm>
 #include <set>
@@ -13,23 +13,23 @@
 constexpr std::size_t kMaxNotes = 16;  // of one job that wait
 }  // namespace
 
-GrantWriter::GrantWriter(const Clock& clock, WatchCache& cache, Election& election)
+GuaranteeWriter::GuaranteeWriter(const Clock& clock, WatchCache& cache, Election& election)
     : clock_(clock), cache_(cache), election_(election) {}
 
-void GrantWriter::begin_term() {
+void GuaranteeWriter::begin_term() {
   ++life_;
   writing_ = false;
   notes_.clear();
   const auto& records = cache_.records();
   for (const auto& [key, slice] : records.slices) {
-    const auto grant = records.grants.find(key.first);
+    const auto guarantee_record = records.guarantee_records.find(key.job_id);
     for (const TaskRecord& task : slice.record.tasks) {
       if (!task.stop) continue;
       const auto said = [&](const Note& n) { return n.what == task.stop->reason; };
-      const bool known =
-          grant != records.grants.end() &&
-          std::any_of(grant->second.record.notes.begin(), grant->second.record.notes.end(), said);
-      auto& waiting = notes_[key.first];
+      const bool known = guarantee_record != records.guarantee_records.end() &&
+                         std::any_of(guarantee_record->second.record.notes.begin(),
+                                     guarantee_record->second.record.notes.end(), said);
+      auto& waiting = notes_[key.job_id];
       if (!known && std::none_of(waiting.begin(), waiting.end(), said)) {
         waiting.push_back({clock_.wall(), task.stop->reason});
       }
@@ -38,14 +38,14 @@
   std::erase_if(notes_, [](const auto& entry) { return entry.second.empty(); });
 }
 
-void GrantWriter::note(const JobId& job_id, std::string what) {
+void GuaranteeWriter::note(const JobId& job_id, std::string what) {
   auto& list = notes_[job_id];
   if (list.size() < kMaxNotes) list.push_back({clock_.wall(), std::move(what)});
 }
 
 // Not split yet, issue 17.
 // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size)
-void GrantWriter::flush(Reservations& reservations) {
+void GuaranteeWriter::flush(Reservations& reservations) {
   if (writing_) return;
   const auto& records = cache_.records();
   Txn txn;
@@ -74,31 +74,33 @@
       notes_.erase(job_id);
       continue;
     }
-    const auto stored = records.grants.find(job_id);
-    GrantRecord grant;
-    if (stored != records.grants.end()) grant = stored->second.record;
-    grant.job_id = job_id;
+    const auto stored = records.guarantee_records.find(job_id);
+    GuaranteeRecord guarantee_record;
+    if (stored != records.guarantee_records.end()) guarantee_record = stored->second.record;
+    guarantee_record.job_id = job_id;
     if (const auto r = reservations.find(job_id); r != reservations.end()) {
-      if (grant.guarantees.empty()) {
+      if (guarantee_record.guarantees.empty()) {
         const auto wait = r->second.first - job->second.record.accepted;
-        grant.note(clock_.wall(),
-                   "granted a start " + std::to_string(wait.ms / 1000) + " s after acceptance");
+        guarantee_record.note(clock_.wall(), "granted a start " + std::to_string(wait.ms / 1000) +
+                                                 " s after acceptance");
       }
-      grant.guarantees = {{0, r->second.first, r->second.start, r->second.end}};
+      guarantee_record.guarantees = {{0, r->second.first, r->second.start, r->second.end}};
       r->second.changed = false;
       r->second.written = wall;
     }
     auto& told = going[job_id];
     if (const auto notes = notes_.find(job_id); notes != notes_.end()) {
       told = std::move(notes->second);
-      for (const Note& n : told) grant.note(n.at, n.what);
+      for (const Note& n : told) guarantee_record.note(n.at, n.what);
       notes_.erase(notes);
     }
     // The job's guard: a grant must not come back after the job has ended.
     txn.guard(keys::job(job_id), job->second.mod_revision);
-    txn.guard(keys::grant(job_id),
-              stored == records.grants.end() ? ModRevision{} : stored->second.mod_revision);
-    txn.put(keys::grant(job_id), encode(std::move(grant), cache_.lasting_value_bytes()));
+    txn.guard(keys::guarantee_record(job_id), stored == records.guarantee_records.end()
+                                                  ? ModRevision{}
+                                                  : stored->second.mod_revision);
+    txn.put(keys::guarantee_record(job_id),
+            encode(std::move(guarantee_record), cache_.lasting_value_bytes()));
   }
   if (txn.puts.empty()) return;
   writing_ = true;
--- a/src/planner/grant_writer.hpp
+++ b/src/leader/guarantee_writer.hpp
@@ -6,14 +6,14 @@
 #include <vector>
 
 #include "election/election.hpp"
-#include "planner/planner.hpp"
+#include "scheduling/planner.hpp"
 #include "store/watch_cache.hpp"
 
 namespace marblevale {
 
-class GrantWriter {
+class GuaranteeWriter {
  public:
-  GrantWriter(const Clock& clock, WatchCache& cache, Election& election);
+  GuaranteeWriter(const Clock& clock, WatchCache& cache, Election& election);
 
   /// A new term: what an earlier one had not written is no longer ours to write. The reasons of
   /// stops that are still in the slices are noted again where the grants lack them.
--- a/src/planner/job_cleanup.cpp
+++ b/src/leader/job_cleanup.cpp
@@ -1,4 +1,4 @@
-#include "planner/job_cleanup.hpp"
+#include "leader/job_cleanup.hpp"
 
 #include <utility>
 #include <vector>
@@ -13,8 +13,12 @@
 }  // namespace
 
 JobCleanup::JobCleanup(const Clock& clock, const Settings& settings, WatchCache& cache,
-                       Election& election, Fleet& fleet)
-    : clock_(clock), settings_(settings), cache_(cache), election_(election), fleet_(fleet) {}
+                       Election& election, Autoscaler& autoscaler)
+    : clock_(clock),
+      settings_(settings),
+      cache_(cache),
+      election_(election),
+      autoscaler_(autoscaler) {}
 
 void JobCleanup::begin_term() {
   ending_.clear();
@@ -49,7 +53,7 @@
   bool placed = false;
   bool any_done = false;
   for (auto it = records.slices.lower_bound({job_id, 0});
-       it != records.slices.end() && it->first.first == job_id; ++it) {
+       it != records.slices.end() && it->first.job_id == job_id; ++it) {
     if (it->second.record.all_done()) ++done;
     for (const TaskRecord& task : it->second.record.tasks) {
       placed = placed || task.placed();
@@ -77,9 +81,10 @@
   record.task_count = job.record.spec.task_count;
   record.accepted = job.record.accepted;
   record.ended = clock_.wall();
-  const auto& grants = cache_.records().grants;
-  if (const auto grant = grants.find(job_id); grant != grants.end()) {
-    record.notes = grant->second.record.notes;
+  const auto& guarantee_records = cache_.records().guarantee_records;
+  if (const auto guarantee_record = guarantee_records.find(job_id);
+      guarantee_record != guarantee_records.end()) {
+    record.notes = guarantee_record->second.record.notes;
   }
   Txn txn;
   election_.guard(txn);
@@ -87,18 +92,18 @@
   // Its slices and its grant are swept up afterwards.
   txn.put(keys::final_job(job_id), encode(std::move(record), cache_.lasting_value_bytes()))
       .remove(keys::job(job_id));
-  cache_.commit(RequestPriority::granting, std::move(txn),
+  cache_.commit(RequestPriority::leader_commit, std::move(txn),
                 [this, job_id](const CommitResult&) { ending_.erase(job_id); });
 }
 
 void JobCleanup::delete_machines_of_cancelled(const JobId& job_id) {
   // A cancelled task whose machine does not confirm its end: the machine is deleted in time.
   const auto& slices = cache_.records().slices;
-  for (auto it = slices.lower_bound({job_id, 0}); it != slices.end() && it->first.first == job_id;
+  for (auto it = slices.lower_bound({job_id, 0}); it != slices.end() && it->first.job_id == job_id;
        ++it) {
     for (const TaskRecord& task : it->second.record.tasks) {
       if (task.state != TaskState::bound) continue;
-      fleet_.request_deletion(task.machine_id, "holds a cancelled task");
+      autoscaler_.request_deletion(task.machine_id, "holds a cancelled task");
     }
   }
 }
@@ -114,7 +119,7 @@
   for (const MachineId& machine_id : unrecorded) {
     const WallTime since = unrecorded_since_.try_emplace(machine_id, now).first->second;
     if (now - since <= kUnrecordedMachineTimeout) continue;
-    fleet_.request_deletion(machine_id, "has tasks, but no record");
+    autoscaler_.request_deletion(machine_id, "has tasks, but no record");
   }
   std::erase_if(unrecorded_since_,
                 [&](const auto& entry) { return !unrecorded.contains(entry.first); });
@@ -123,7 +128,7 @@
 void JobCleanup::sweep_leftovers() {
   // What is left of jobs that are over goes when there is budget to spare, or when it piles up.
   const auto& records = cache_.records();
-  const std::size_t left = records.slices.size() + records.grants.size();
+  const std::size_t left = records.slices.size() + records.guarantee_records.size();
   const bool piled_up = left >= 2 * records.jobs.size() + kMaxLeft;
   if (sweeping_ || (cache_.write_slack() < kSweepSlack && !piled_up)) return;
   // It is over, and not only unknown here.
@@ -134,16 +139,17 @@
   election_.guard(txn);
   for (const auto& [key, slice] : records.slices) {
     if (txn.deletes.size() >= cache_.max_operations()) break;
-    if (!over(key.first)) continue;
-    txn.guard(keys::job(key.first), ModRevision{});
-    txn.guard(keys::slice(key.first, key.second), slice.mod_revision);
-    txn.remove(keys::slice(key.first, key.second));
+    if (!over(key.job_id)) continue;
+    txn.guard(keys::job(key.job_id), ModRevision{});
+    txn.guard(keys::slice(key.job_id, key.number), slice.mod_revision);
+    txn.remove(keys::slice(key.job_id, key.number));
   }
-  for (const auto& [job_id, grant] : records.grants) {
+  for (const auto& [job_id, guarantee_record] : records.guarantee_records) {
     if (txn.deletes.size() >= cache_.max_operations()) break;
     if (!over(job_id)) continue;
     txn.guard(keys::job(job_id), ModRevision{});
-    txn.guard(keys::grant(job_id), grant.mod_revision).remove(keys::grant(job_id));
+    txn.guard(keys::guarantee_record(job_id), guarantee_record.mod_revision)
+        .remove(keys::guarantee_record(job_id));
   }
   if (txn.deletes.empty()) return;
   sweeping_ = true;
--- a/src/planner/job_cleanup.hpp
+++ b/src/leader/job_cleanup.hpp
@@ -4,9 +4,9 @@
 #include <map>
 #include <set>
 
-#include "app/settings.hpp"
+#include "autoscaler/autoscaler.hpp"
+#include "config/settings.hpp"
 #include "election/election.hpp"
-#include "fleet/fleet.hpp"
 #include "store/watch_cache.hpp"
 
 namespace marblevale {
@@ -17,7 +17,7 @@
 class JobCleanup {
  public:
   JobCleanup(const Clock& clock, const Settings& settings, WatchCache& cache, Election& election,
-             Fleet& fleet);
+             Autoscaler& autoscaler);
 
   void begin_term();
   /// Once a round.
@@ -36,7 +36,7 @@
   const Settings& settings_;
   WatchCache& cache_;
   Election& election_;
-  Fleet& fleet_;
+  Autoscaler& autoscaler_;
   std::set<JobId> ending_;  // with a commit on its way
   std::map<MachineId, WallTime> unrecorded_since_;
   bool sweeping_ = false;
--- a/src/planner/granting.cpp
+++ b/src/leader/leader_loop.cpp
@@ -1,37 +1,37 @@
-#include "planner/granting.hpp"
+#include "leader/leader_loop.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "planner/displacement.hpp"
-#include "planner/limit_waits.hpp"
-#include "planner/machine_evacuation.hpp"
-#include "planner/queueing.hpp"
+#include "leader/limit_waits.hpp"
+#include "scheduling/job_queue.hpp"
+#include "scheduling/machine_evacuation.hpp"
+#include "scheduling/preemption.hpp"
 
 namespace marblevale {
 
 namespace {
 
-constexpr Duration kTick{500};
-constexpr Duration kRoundEvery{15};  // what changes within this is planned together
-constexpr Duration kDisplaceEvery{400};
-constexpr Duration kDisplaceAnyway{2'000};
-constexpr std::size_t kMaxDisplacing = 6;  // jobs for which room is sought in one round
-constexpr Duration kDisplaceBudget{60};    // after which no further job is tried in it
+constexpr Duration kReconcileInterval{500};
+constexpr Duration kRoundCoalesceInterval{15};  // what changes within this is planned together
+constexpr Duration kPreemptionInterval{400};
+constexpr Duration kForcedPreemptionInterval{2'000};
+constexpr std::size_t kMaxPreemptingJobs = 6;  // jobs for which room is sought in one round
+constexpr Duration kPreemptionBudget{60};      // after which no further job is tried in it
 constexpr Duration kCoalesce{5};
 constexpr Duration kSummaryEvery{10'000};
-constexpr Duration kRoomEvery{12'000};  // between two displacements for one job
-constexpr Duration kWorthDisplacing{3'000};
+constexpr Duration kPreemptionRetryInterval{12'000};  // between two displacements for one job
+constexpr Duration kMinWaitForPreemption{3'000};
 constexpr Duration kUnreachableZoneMaxAge{
     4'000};  // of a holder's word that it reaches no machine of a zone
-constexpr Duration kRemakeInterval{60'000};  // between two makings of the profile
+constexpr Duration kProfileRebuildInterval{60'000};  // between two makings of the profile
 constexpr Duration kLimitCheckInterval{2'000};
 constexpr Duration kUnsettledFor{5'000};   // after which it is told as a reason for waiting
 constexpr std::size_t kMaxLimitWaits = 8;  // jobs that are told so at a time
 
 /// Time to save, unless saving takes longer than the work that is lost on average by not saving.
-Duration displacement_grace_period(const JobSpec& job) {
+Duration preemption_grace_period(const JobSpec& job) {
   const Duration saving = job.save_time + Duration{2'000};
   return job.checkpoint_interval > Duration{0} && job.checkpoint_interval * 0.5 <= saving
              ? Duration{0}
@@ -40,27 +40,27 @@
 
 }  // namespace
 
-Granting::Granting(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
-                   Election& election, Fleet& fleet)
+LeaderLoop::LeaderLoop(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
+                       Election& election, Autoscaler& autoscaler)
     : metrics_(loop.metrics()),
       clock_(clock),
       settings_(settings),
       cache_(cache),
       election_(election),
-      fleet_(fleet),
+      autoscaler_(autoscaler),
       grants_(clock, cache, election),
-      cleanup_(clock, settings, cache, election, fleet),
-      rentals_(loop.metrics(), clock, settings, fleet),
+      cleanup_(clock, settings, cache, election, autoscaler),
+      provisioning_requests_(loop.metrics(), clock, settings, autoscaler),
       releaser_(loop.metrics(), clock, settings, cache, election,
                 {.answered = [this] { schedule_round(); },
-                 .limit_exceeded = [this] { remake_profile(); }}),
+                 .limit_exceeded = [this] { rebuild_profile(); }}),
       starvation_(clock, settings, cache, releaser_),
       timer_(loop, [this] { round(); }) {
   cache_.listen(
       [this](RecordKind topic, const std::string& key) { on_record_changed(topic, key); });
 }
 
-void Granting::on_record_changed(RecordKind topic, const std::string& key) {
+void LeaderLoop::on_record_changed(RecordKind topic, const std::string& key) {
   // A term begins with all records: to remember changes before it would only take memory.
   if (state_ != State::leading) {
     schedule_round();
@@ -75,7 +75,7 @@
     }
     case RecordKind::job:
       for (auto it = cache_.records().slices.lower_bound({JobId(key), 0});
-           it != cache_.records().slices.end() && it->first.first.get() == key; ++it) {
+           it != cache_.records().slices.end() && it->first.job_id.get() == key; ++it) {
         touch_slice(it->first);
       }
       break;
@@ -86,7 +86,7 @@
       reset_occupancy();
       break;
     case RecordKind::leader:
-    case RecordKind::rental:
+    case RecordKind::provisioning_request:
       break;
     default:
       return;
@@ -94,38 +94,39 @@
   schedule_round();
 }
 
-void Granting::touch_slice(const SliceKey& key) {
+void LeaderLoop::touch_slice(const SliceKey& key) {
   occupancy_.touch_slice(key);
   releaser_.touch(key);
 }
 
-void Granting::begin() {
-  timer_.start(kTick);
-  timer_due_ = clock_.steady() + kTick;
+void LeaderLoop::begin() {
+  timer_.start(kReconcileInterval);
+  timer_due_ = clock_.steady() + kReconcileInterval;
 }
 
-void Granting::schedule_round() {
-  if (!election_.in_charge()) return;
+void LeaderLoop::schedule_round() {
+  if (!election_.is_established_leader()) return;
   // Rounds take at most about a third of the processor's share.
   const Duration since = clock_.steady() - round_over_;
-  const Duration pause = std::max(kCoalesce, std::max(kRoundEvery, round_took_ * 2.0) - since);
+  const Duration pause =
+      std::max(kCoalesce, std::max(kRoundCoalesceInterval, round_took_ * 2.0) - since);
   if (timer_.pending() && timer_due_ <= clock_.steady() + pause) return;
   timer_due_ = clock_.steady() + pause;
   timer_.start(pause);
 }
 
-void Granting::transition(State next) {
+void LeaderLoop::transition(State next) {
   if (next == state_) return;
   spdlog::info("granting: {}", next == State::leading ? "leading" : "idle");
   state_ = next;
 }
 
-void Granting::reset_occupancy() {
+void LeaderLoop::reset_occupancy() {
   occupancy_.reset();
   failed_starts_.clear();
 }
 
-void Granting::take_over() {
+void LeaderLoop::begin_term() {
   transition(State::leading);
   term_ = election_.term();
   grants_.begin_term();
@@ -133,12 +134,12 @@
   reservations_.clear();
   limit_noted_.clear();
   cleanup_.begin_term();
-  made_room_.clear();
+  preempted_room_.clear();
   starvation_.begin_term();
   cursor_ = 0;
   reset_occupancy();
   // The stored guarantees are taken as they are; places are found again at those times.
-  for (const auto& [job_id, stored] : cache_.records().grants) {
+  for (const auto& [job_id, stored] : cache_.records().guarantee_records) {
     if (stored.record.guarantees.empty()) continue;
     const Guarantee& g = stored.record.guarantees.back();
     Reservation r;
@@ -152,18 +153,18 @@
 
 // Not split yet, issue 17.
 // NOLINTNEXTLINE(readability-function-size)
-void Granting::round() {
-  timer_.start(kTick);
-  timer_due_ = clock_.steady() + kTick;
-  if (!election_.in_charge()) {
+void LeaderLoop::round() {
+  timer_.start(kReconcileInterval);
+  timer_due_ = clock_.steady() + kReconcileInterval;
+  if (!election_.is_established_leader()) {
     transition(State::idle);
     return;
   }
   // The term goes on: what is on its way under it still counts.
-  if (!election_.may_act()) return;
+  if (!election_.holds_fresh_lease()) return;
   const auto timed = metrics_.time(Duty::round);
   const SteadyTime begin = clock_.steady();
-  if (state_ != State::leading || term_ != election_.term()) take_over();
+  if (state_ != State::leading || term_ != election_.term()) begin_term();
   if (!cache_.records().types) return;  // nothing is known of what machines there are
 
   releaser_.pursue();
@@ -174,7 +175,7 @@
   occupancy_.set_unreachable_zones(unreachable_zones(), cache_.records());
   {
     const auto sync_timed = metrics_.time(Duty::profile_sync);
-    occupancy_.sync(cache_.records(), settings_.teams, ahead, fleet_.booting(), now);
+    occupancy_.sync(cache_.records(), settings_.teams, ahead, autoscaler_.booting(), now);
   }
   auto queue = current_queue(now);
   std::unordered_set<JobId> queued;
@@ -199,9 +200,9 @@
   // Best when nothing more could start; a busy leader, whose rounds always start something or end
   // early, looks all the same now and then.
   const bool quiet = starts.empty() && admitted && cursor_ == 0;
-  if (quiet || begin - last_displaced_ > kDisplaceAnyway) displace(planner);
+  if (quiet || begin - last_preempted_ > kForcedPreemptionInterval) preempt(planner);
   if (clock_.steady() - last_summary_ >= kSummaryEvery) summarize(planner);
-  if (rentals_.due()) rentals_.plan(planner, reservations_);
+  if (provisioning_requests_.due()) provisioning_requests_.plan(planner, reservations_);
   if (clock_.steady() - last_limit_check_ >= kLimitCheckInterval) note_limit_waits(planner);
   grants_.flush(reservations_);
   if (starvation_.due()) check_starvation(planner);
@@ -213,7 +214,7 @@
   if (!admitted || cursor_ != 0) schedule_round();
 }
 
-std::vector<QueueItem> Granting::current_queue(WallTime now) {
+std::vector<QueueItem> LeaderLoop::current_queue(WallTime now) {
   const auto timed = metrics_.time(Duty::queue);
   return build_queue(
       cache_.records(), settings_,
@@ -223,11 +224,11 @@
       now, releaser_.short_of_writes());
 }
 
-void Granting::restore(Planner& planner, SteadyTime begin) {
+void LeaderLoop::restore(Planner& planner, SteadyTime begin) {
   const auto timed = metrics_.time(Duty::restore);
   Pins pins;
-  for (const auto& [job_id, made] : made_room_) {
-    if (begin - made.at < kRoomEvery) pins.emplace(job_id, made.machine_ids);
+  for (const auto& [job_id, made] : preempted_room_) {
+    if (begin - made.at < kPreemptionRetryInterval) pins.emplace(job_id, made.machine_ids);
   }
   for (const Moved& moved : planner.restore(pins)) {
     grants_.note(moved.job_id,
@@ -237,26 +238,26 @@
   }
 }
 
-bool Granting::admit(Planner& planner) {
+bool LeaderLoop::admit(Planner& planner) {
   const auto timed = metrics_.time(Duty::arrivals);
   return planner.admit_arrivals();
 }
 
-std::vector<Start> Granting::compress(Planner& planner) {
+std::vector<Start> LeaderLoop::compress(Planner& planner) {
   const auto timed = metrics_.time(Duty::compress);
   return planner.compress(cursor_);
 }
 
-void Granting::out_of_reach(const NodeId& holder, std::set<ZoneId> zones) {
-  out_of_reach_[holder] = {std::move(zones), clock_.steady()};
+void LeaderLoop::note_unreachable_zones(const NodeId& holder, std::set<ZoneId> zones) {
+  unreachable_reports_[holder] = {std::move(zones), clock_.steady()};
 }
 
-std::set<ZoneId> Granting::unreachable_zones() const {
+std::set<ZoneId> LeaderLoop::unreachable_zones() const {
   // Nothing could be bound there: jobs would be released there and given back, again and again.
   std::set<ZoneId> out;
-  for (const auto& [zone, block] : cache_.records().blocks) {
-    const auto said = out_of_reach_.find(block.record.holder);
-    if (said == out_of_reach_.end() ||
+  for (const auto& [zone, shard] : cache_.records().shards) {
+    const auto said = unreachable_reports_.find(shard.record.holder);
+    if (said == unreachable_reports_.end() ||
         clock_.steady() - said->second.second > kUnreachableZoneMaxAge)
       continue;
     if (said->second.first.contains(zone)) out.insert(zone);
@@ -264,7 +265,7 @@
   return out;
 }
 
-void Granting::evacuate() {
+void LeaderLoop::evacuate() {
   for (const auto& entry : find_evacuations(cache_.records(), clock_.wall())) {
     const JobId& job_id = entry.first;
     const Evacuation& evacuation = entry.second;
@@ -283,12 +284,12 @@
   }
 }
 
-void Granting::displace(const Planner& planner) {
+void LeaderLoop::preempt(const Planner& planner) {
   const SteadyTime now = clock_.steady();
-  // To look through all that runs takes long in a large fleet: at most a tenth of the time.
-  if (now - last_displaced_ < std::max(kDisplaceEvery, displace_took_ * 10.0)) return;
-  const auto timed = metrics_.time(Duty::displace);
-  last_displaced_ = now;
+  // To look through all that runs takes long in a large cluster: at most a tenth of the time.
+  if (now - last_preempted_ < std::max(kPreemptionInterval, preempt_took_ * 10.0)) return;
+  const auto timed = metrics_.time(Duty::preempt);
+  last_preempted_ = now;
   const auto guaranteed = guaranteed_jobs(cache_.records(), settings_);
   const WallTime wall = clock_.wall();
   std::size_t tried = 0;
@@ -297,39 +298,39 @@
   // Room that is being made for one job is not another's: without this, all the others would wait
   // for it, and a burst of urgent jobs would get its room one job after the other.
   std::set<MachineId> others;
-  for (const auto& [job_id, made] : made_room_) {
-    if (now - made.at < kRoomEvery && waiting.contains(job_id)) {
+  for (const auto& [job_id, made] : preempted_room_) {
+    if (now - made.at < kPreemptionRetryInterval && waiting.contains(job_id)) {
       others.insert(made.machine_ids.begin(), made.machine_ids.end());
     }
   }
   for (const QueueItem& item : planner.queue()) {
     const auto r = reservations_.find(item.job_id);
     if (r == reservations_.end() || item.not_before > wall) continue;
-    if (r->second.start - wall < kWorthDisplacing) continue;
+    if (r->second.start - wall < kMinWaitForPreemption) continue;
     if (!item.guaranteed && item.demand.job->urgency == Urgency::low) continue;
     // Submitted with a mistake, it seems: nothing is stopped so that it can fail once more.
     if (item.failing) continue;
-    const auto last = made_room_.find(item.job_id);
-    if (last != made_room_.end() && now - last->second.at < kRoomEvery) continue;
-    if (++tried > kMaxDisplacing || clock_.steady() - now > kDisplaceBudget) break;
-    const auto machine_ids = make_room(item, guaranteed, planner.profile(), others);
+    const auto last = preempted_room_.find(item.job_id);
+    if (last != preempted_room_.end() && now - last->second.at < kPreemptionRetryInterval) continue;
+    if (++tried > kMaxPreemptingJobs || clock_.steady() - now > kPreemptionBudget) break;
+    const auto machine_ids = preempt_for(item, guaranteed, planner.profile(), others);
     if (machine_ids.empty()) continue;
-    made_room_[item.job_id] = {now, machine_ids};
+    preempted_room_[item.job_id] = {now, machine_ids};
     others.insert(machine_ids.begin(), machine_ids.end());
   }
-  displace_took_ = clock_.steady() - now;
-  std::erase_if(made_room_,
+  preempt_took_ = clock_.steady() - now;
+  std::erase_if(preempted_room_,
                 [&](const auto& entry) { return now - entry.second.at > Duration{60'000}; });
 }
 
-std::vector<MachineId> Granting::make_room(const QueueItem& item,
-                                           const std::unordered_set<JobId>& guaranteed,
-                                           const Profile& profile,
-                                           const std::set<MachineId>& others) {
+std::vector<MachineId> LeaderLoop::preempt_for(const QueueItem& item,
+                                               const std::unordered_set<JobId>& guaranteed,
+                                               const Profile& profile,
+                                               const std::set<MachineId>& others) {
   const auto& records = cache_.records();
   const JobSpec& spec = *item.demand.job;
   const auto resources =
-      find_room(item, guaranteed, records, settings_, profile, clock_.wall(), others);
+      select_victims(item, guaranteed, records, settings_, profile, clock_.wall(), others);
   if (!resources) return {};
   std::map<SliceKey, std::set<std::size_t>> by_slice;
   for (const TaskId& id : resources->victims) {
@@ -344,19 +345,19 @@
   for (const auto& entry : by_slice) {
     const SliceKey& key = entry.first;
     const auto& indices = entry.second;
-    const Duration grace_period = displacement_grace_period(records.job(key.first)->spec);
+    const Duration grace_period = preemption_grace_period(records.job(key.job_id)->spec);
     releaser_.stop_tasks(key, [&](std::size_t i, TaskRecord& task) {
       if (!indices.contains(i)) return false;
       task.stop = StopOrder{grace_period, reason};
       return true;
     });
-    grants_.note(key.first, reason);
+    grants_.note(key.job_id, reason);
   }
   spdlog::info("granting: {} tasks displaced for {}", resources->victims.size(), spec.job_id.get());
   return resources->machine_ids;
 }
 
-void Granting::summarize(const Planner& planner) {
+void LeaderLoop::summarize(const Planner& planner) {
   last_summary_ = clock_.steady();
   const WallTime now = clock_.wall();
   Resources whole{};
@@ -365,8 +366,8 @@
   for (std::size_t i = 0; i < planner.profile().machines().size(); ++i) {
     if (planner.profile().machines()[i].ready > now) continue;  // coming, or gone from the profile
     ++up;
-    whole += planner.profile().lane(i).whole();
-    free += planner.profile().lane(i).free(now, now + Duration{1});
+    whole += planner.profile().timeline(i).whole();
+    free += planner.profile().timeline(i).free(now, now + Duration{1});
   }
   std::size_t waiting = 0;
   for (const QueueItem& item : planner.queue()) waiting += item.demand.tasks;
@@ -377,24 +378,24 @@
       releaser_.open().size());
 }
 
-void Granting::check_starvation(const Planner& planner) {
+void LeaderLoop::check_starvation(const Planner& planner) {
   // One of a single slice is ended by the commit that ends its last task; whatever kept that from
   // happening, it must not stay for ever.
   cleanup_.end_all_finished();
-  if (starvation_.run(planner, reservations_, unreachable_zones())) remake_profile();
+  if (starvation_.run(planner, reservations_, unreachable_zones())) rebuild_profile();
 }
 
-void Granting::remake_profile() {
+void LeaderLoop::rebuild_profile() {
   // It has gone wrong and is made anew from the records. Guarantees stay.
   const SteadyTime now = clock_.steady();
-  if (now - last_remade_ < kRemakeInterval) return;
-  last_remade_ = now;
+  if (now - last_profile_rebuild_ < kProfileRebuildInterval) return;
+  last_profile_rebuild_ = now;
   metrics_.count("profile made anew");
   reset_occupancy();
   schedule_round();
 }
 
-void Granting::note_limit_waits(const Planner& planner) {
+void LeaderLoop::note_limit_waits(const Planner& planner) {
   last_limit_check_ = clock_.steady();
   const auto unsettled = releaser_.open().unsettled_for(kUnsettledFor, last_limit_check_);
   const auto waits = find_limit_waits(planner.queue(), settings_, cache_.records(),
--- a/src/planner/granting.hpp
+++ b/src/leader/leader_loop.hpp
@@ -8,30 +8,30 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "app/settings.hpp"
+#include "autoscaler/autoscaler.hpp"
+#include "config/settings.hpp"
 #include "election/election.hpp"
-#include "fleet/fleet.hpp"
-#include "planner/grant_writer.hpp"
-#include "planner/job_cleanup.hpp"
-#include "planner/occupancy.hpp"
-#include "planner/planner.hpp"
-#include "planner/releaser.hpp"
-#include "planner/rental_planner.hpp"
-#include "planner/starvation_check.hpp"
+#include "leader/guarantee_writer.hpp"
+#include "leader/job_cleanup.hpp"
+#include "leader/releaser.hpp"
+#include "leader/scale_out_planner.hpp"
+#include "leader/starvation_check.hpp"
+#include "scheduling/occupancy.hpp"
+#include "scheduling/planner.hpp"
 #include "store/watch_cache.hpp"
 
 namespace marblevale {
 
-class Granting {
+class LeaderLoop {
  public:
-  Granting(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
-           Election& election, Fleet& fleet);
+  LeaderLoop(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
+             Election& election, Autoscaler& autoscaler);
 
   void begin();
   /// Releases go to holders by this as well; without it they are committed first.
   void release_through(OfferChannel& channel) { releaser_.release_through(channel); }
   /// What a controller says of the zones that it holds: in these it reaches no machine.
-  void out_of_reach(const NodeId& holder, std::set<ZoneId> zones);
+  void note_unreachable_zones(const NodeId& holder, std::set<ZoneId> zones);
 
  private:
   enum class State { idle, leading };
@@ -44,7 +44,7 @@
   void restore(Planner& planner, SteadyTime begin);
   bool admit(Planner& planner);
   std::vector<Start> compress(Planner& planner);
-  void take_over();
+  void begin_term();
   /// The profile is made anew from the records at the next round.
   void reset_occupancy();
   void on_record_changed(RecordKind topic, const std::string& key);
@@ -52,27 +52,27 @@
   [[nodiscard]] std::set<ZoneId> unreachable_zones() const;
   /// Stops tasks on machines that are about to go.
   void evacuate();
-  void displace(const Planner& planner);
+  void preempt(const Planner& planner);
   /// Stops tasks so that the job can start; the machines on which that made room.
-  std::vector<MachineId> make_room(const QueueItem& item,
-                                   const std::unordered_set<JobId>& guaranteed,
-                                   const Profile& profile, const std::set<MachineId>& others);
+  std::vector<MachineId> preempt_for(const QueueItem& item,
+                                     const std::unordered_set<JobId>& guaranteed,
+                                     const Profile& profile, const std::set<MachineId>& others);
   void summarize(const Planner& planner);
   void check_starvation(const Planner& planner);
   /// Notes for whom an unsettled release is the reason for waiting.
   void note_limit_waits(const Planner& planner);
   /// The profile disagrees with the records: it is made anew, at most once a minute.
-  void remake_profile();
+  void rebuild_profile();
 
   Metrics& metrics_;
   const Clock& clock_;
   const Settings& settings_;
   WatchCache& cache_;
   Election& election_;
-  Fleet& fleet_;
-  GrantWriter grants_;
+  Autoscaler& autoscaler_;
+  GuaranteeWriter grants_;
   JobCleanup cleanup_;
-  RentalPlanner rentals_;
+  ScaleOutPlanner provisioning_requests_;
   Releaser releaser_;
   StarvationCheck starvation_;
   State state_ = State::idle;
@@ -81,20 +81,20 @@
   FailedStarts failed_starts_;
   std::size_t cursor_ = 0;
   std::map<NodeId, std::pair<std::set<ZoneId>, SteadyTime>>
-      out_of_reach_;  // and when that was said
-  struct MadeRoom {
+      unreachable_reports_;  // and when that was said
+  struct PreemptedRoom {
     SteadyTime at;
     std::vector<MachineId> machine_ids;
   };
-  std::unordered_map<JobId, MadeRoom> made_room_;
+  std::unordered_map<JobId, PreemptedRoom> preempted_room_;
   Occupancy occupancy_;
-  Duration displace_took_{};
-  SteadyTime last_displaced_{-1'000'000};
+  Duration preempt_took_{};
+  SteadyTime last_preempted_{-1'000'000};
   SteadyTime timer_due_{};
   SteadyTime round_over_{};
   Duration round_took_{};
   SteadyTime last_summary_{-1'000'000};
-  SteadyTime last_remade_{-1'000'000};
+  SteadyTime last_profile_rebuild_{-1'000'000};
   SteadyTime last_limit_check_{};
   std::unordered_set<JobId> limit_noted_;  // jobs that wait and have the note already
   Timer timer_;
--- a/src/planner/limit_waits.cpp
+++ b/src/leader/limit_waits.cpp
@@ -1,4 +1,4 @@
-#include "planner/limit_waits.hpp"
+#include "leader/limit_waits.hpp"
 
 #include <map>
 
@@ -15,10 +15,10 @@
                                              const std::vector<SliceKey>& unsettled) {
   std::map<TeamId, UnsettledUse> by_team;
   for (const SliceKey& key : unsettled) {
-    const JobRecord* job = records.job(key.first);
+    const JobRecord* job = records.job(key.job_id);
     if (job == nullptr) continue;
     UnsettledUse& use =
-        by_team.try_emplace(job->spec.team, UnsettledUse{key.first, {}}).first->second;
+        by_team.try_emplace(job->spec.team, UnsettledUse{key.job_id, {}}).first->second;
     use.resources += usage.of(key);
   }
   return by_team;
--- a/src/planner/limit_waits.hpp
+++ b/src/leader/limit_waits.hpp
@@ -4,9 +4,9 @@
 
 #include <vector>
 
-#include "app/settings.hpp"
-#include "planner/planner.hpp"
-#include "planner/team_usage.hpp"
+#include "config/settings.hpp"
+#include "leader/team_usage.hpp"
+#include "scheduling/planner.hpp"
 
 namespace marblevale {
 
--- a/src/planner/open_releases.cpp
+++ b/src/leader/open_releases.cpp
@@ -1,4 +1,4 @@
-#include "planner/open_releases.hpp"
+#include "leader/open_releases.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -40,7 +40,7 @@
 }
 
 ModRevision slice_revision(const Records& records, const SliceKey& key) {
-  const auto* stored = records.slice(key.first, key.second);
+  const auto* stored = records.slice(key.job_id, key.number);
   return stored == nullptr ? ModRevision{} : stored->mod_revision;
 }
 
@@ -144,7 +144,7 @@
   const auto level = notable ? spdlog::level::info : spdlog::level::debug;
   const GuardedSlice& first = release.slices.front();
   spdlog::log(level, "releases: {} {} of {}/{}: {} -> {} ({})", name_of(release.kind), id.get(),
-              first.key.first.get(), first.key.second, name_of(release.state), name_of(next), why);
+              first.key.job_id.get(), first.key.number, name_of(release.state), name_of(next), why);
   release.state = next;
 }
 
@@ -155,7 +155,7 @@
   transition(id, release, State::sent, repeated ? "sent again" : "sent");
   Txn txn = release.txn;
   for (const GuardedSlice& slice : release.slices) {
-    const std::string key = keys::slice(slice.key.first, slice.key.second);
+    const std::string key = keys::slice(slice.key.job_id, slice.key.number);
     for (Put& put : txn.puts) {
       if (put.key == key) put.value = encode(slice.after, size);
     }
@@ -219,10 +219,10 @@
       release.slices.begin(), release.slices.end(),
       [&](const GuardedSlice& slice) { return slice_revision(records, slice.key) != slice.guard; });
   if (slice_changed) return SettledBy::slice_revision;
-  const JobId& job_id = release.slices.front().key.first;
+  const JobId& job_id = release.slices.front().key.job_id;
   // The release may have been applied just before the job changed, and the copy have only our own
   // change of the job: then the slice follows.
-  if (release.job_guard && cache.told_by_watch(keys::job(job_id))) {
+  if (release.job_guard && cache.observed_by_watch(keys::job(job_id))) {
     const auto job = records.jobs.find(job_id);
     if (job == records.jobs.end() || job->second.mod_revision != *release.job_guard) {
       return SettledBy::job_revision;
@@ -247,7 +247,7 @@
     const auto level = release.commit_open ? spdlog::level::info : spdlog::level::debug;
     const SliceKey& first = release.slices.front().key;
     spdlog::log(level, "releases: {} {} of {}/{} settled by {} after {} repeats",
-                name_of(release.kind), it->first.get(), first.first.get(), first.second,
+                name_of(release.kind), it->first.get(), first.job_id.get(), first.number,
                 name_of(*reason), release.repeats);
     for (const GuardedSlice& slice : release.slices) {
       settled.push_back(slice.key);
--- a/src/planner/open_releases.hpp
+++ b/src/leader/open_releases.hpp
@@ -1,5 +1,5 @@
 // The leader's changes of slices whose outcome is open: releases and stops that were sent to the
-// state service, and releases that were offered to the holder of a block.
+// state service, and releases that were offered to the holder of a shard.
 //
 // Whatever may still be applied counts in full against room and team limits. A change is settled by
 // nothing but its own definite answer, by a guarded revision that has moved on in the records, or
@@ -12,9 +12,9 @@
 #include <optional>
 #include <vector>
 
-#include "core/strong.hpp"
+#include "core/ids.hpp"
 #include "core/time.hpp"
-#include "planner/occupancy.hpp"
+#include "scheduling/occupancy.hpp"
 #include "store/watch_cache.hpp"
 
 namespace marblevale {
@@ -90,7 +90,7 @@
   [[nodiscard]] std::optional<State> state(const SliceKey& key) const;
   [[nodiscard]] State state(ReleaseId id) const { return open_.at(id).state; }
   [[nodiscard]] const JobId& job_of(ReleaseId id) const {
-    return open_.at(id).slices.front().key.first;
+    return open_.at(id).slices.front().key.job_id;
   }
   /// Slices whose changes have had no definite answer for at least `least`.
   [[nodiscard]] std::vector<SliceKey> unsettled_for(Duration least, SteadyTime now) const;
--- a/src/planner/releaser.cpp
+++ b/src/leader/releaser.cpp
@@ -1,4 +1,4 @@
-#include "planner/releaser.hpp"
+#include "leader/releaser.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -69,7 +69,7 @@
 }
 
 void Releaser::send(ReleaseId id) {
-  cache_.commit(cache_.records().binding_priority(open_.job_of(id)),
+  cache_.commit(binding_priority(cache_.records(), open_.job_of(id)),
                 open_.mark_sent(id, cache_.record_size()), [this, id](const CommitResult& r) {
                   open_.on_commit_answer(id, r, clock_.steady());
                   events_.answered();
@@ -84,7 +84,7 @@
 
 bool Releaser::stop_tasks(const SliceKey& key, const StopDecision& stop) {
   if (open_.contains(key)) return false;
-  const auto* stored = cache_.records().slice(key.first, key.second);
+  const auto* stored = cache_.records().slice(key.job_id, key.number);
   if (stored == nullptr) return false;
   SliceRecord slice = stored->record;
   bool changed = false;
@@ -95,8 +95,8 @@
   if (!changed) return false;
   SliceChangeRequest request{SliceChangeRequest::Kind::stop, {}, {slice}, false};
   election_.guard(request.txn);
-  request.txn.guard(keys::slice(key.first, key.second), stored->mod_revision);
-  request.txn.put(keys::slice(key.first, key.second), encode(slice, cache_.record_size()));
+  request.txn.guard(keys::slice(key.job_id, key.number), stored->mod_revision);
+  request.txn.put(keys::slice(key.job_id, key.number), encode(slice, cache_.record_size()));
   commit(request);
   return true;
 }
@@ -270,10 +270,10 @@
   const auto& records = cache_.records();
   std::optional<NodeId> holder;
   for (const Placement& spot : start.plan.placements) {
-    const auto block = records.blocks.find(planner.profile().machines()[spot.machine].zone);
-    if (block == records.blocks.end()) return std::nullopt;
-    const BlockRecord& held = block->second.record;
-    if (!records.alive(held.holder, held.nonce) || (holder && *holder != held.holder)) {
+    const auto shard = records.shards.find(planner.profile().machines()[spot.machine].zone);
+    if (shard == records.shards.end()) return std::nullopt;
+    const ShardRecord& held = shard->second.record;
+    if (!records.alive(held.holder, held.incarnation) || (holder && *holder != held.holder)) {
       return std::nullopt;
     }
     holder = held.holder;
@@ -293,7 +293,7 @@
   message.over = stored == nullptr ? 0 : stored->mod_revision.get();
   message.revision = cache_.revision().get();
   message.serial = id.get();
-  message.holder_nonce = cache_.records().nodes.at(holder).record.nonce.get();
+  message.holder_incarnation = cache_.records().nodes.at(holder).record.incarnation.get();
   message.job_revision = cache_.records().jobs.at(slice.job_id).mod_revision.get();
   for (const std::uint32_t task_index : start.task_indices) {
     const std::uint32_t index = task_index % kSliceTasks;
--- a/src/planner/releaser.hpp
+++ b/src/leader/releaser.hpp
@@ -1,4 +1,4 @@
-// Turns the planner's starts into releases: offers to the holder of a block, or commits of slices.
+// Turns the planner's starts into releases: offers to the holder of a shard, or commits of slices.
 // It also commits the stops of tasks, and sends again what went without an answer. What is open
 // stands in `OpenReleases`; what the teams have in use is checked before each release.
 #pragma once
@@ -9,12 +9,12 @@
 #include <unordered_set>
 #include <vector>
 
-#include "app/settings.hpp"
+#include "config/settings.hpp"
 #include "election/election.hpp"
+#include "leader/open_releases.hpp"
+#include "leader/team_usage.hpp"
 #include "peers/offers.hpp"
-#include "planner/open_releases.hpp"
-#include "planner/planner.hpp"
-#include "planner/team_usage.hpp"
+#include "scheduling/planner.hpp"
 #include "store/watch_cache.hpp"
 
 namespace marblevale {
--- a/src/planner/rental_planner.cpp
+++ b/src/leader/scale_out_planner.cpp
@@ -1,4 +1,4 @@
-#include "planner/rental_planner.hpp"
+#include "leader/scale_out_planner.hpp"
 
 #include <algorithm>
 
@@ -13,16 +13,16 @@
 constexpr Duration kUnplacedWait{600'000};  // of a job that no machine can take
 }  // namespace
 
-RentalPlanner::RentalPlanner(Metrics& metrics, const Clock& clock, const Settings& settings,
-                             Fleet& fleet)
-    : metrics_(metrics), clock_(clock), settings_(settings), fleet_(fleet) {}
+ScaleOutPlanner::ScaleOutPlanner(Metrics& metrics, const Clock& clock, const Settings& settings,
+                                 Autoscaler& autoscaler)
+    : metrics_(metrics), clock_(clock), settings_(settings), autoscaler_(autoscaler) {}
 
-bool RentalPlanner::due() const {
+bool ScaleOutPlanner::due() const {
   return clock_.steady() - last_ >= std::max(kInterval, took_ * kIdleShare);
 }
 
-void RentalPlanner::plan(const Planner& planner, const Reservations& reservations) {
-  const auto timed = metrics_.time(Duty::rentals);
+void ScaleOutPlanner::plan(const Planner& planner, const Reservations& reservations) {
+  const auto timed = metrics_.time(Duty::provisioning_requests);
   last_ = clock_.steady();
   const WallTime now = clock_.wall();
   const Profile& profile = planner.profile();
@@ -32,15 +32,15 @@
   });
   std::vector<UnmetDemand> demands;
   for (const auto& [item, plan] : outlook(planner, reservations)) {
-    if (!worth_renting_for(*item)) continue;
+    if (!worth_scaling_out_for(*item)) continue;
     if (const auto demand = unmet(*item, plan, profile, coming, now)) demands.push_back(*demand);
   }
-  fleet_.plan(std::move(demands), team_resources(profile), machines_in_use(reservations, now));
+  autoscaler_.plan(std::move(demands), team_resources(profile), machines_in_use(reservations, now));
   took_ = clock_.steady() - last_;
 }
 
-RentalPlanner::Outlook RentalPlanner::outlook(const Planner& planner,
-                                              const Reservations& reservations) {
+ScaleOutPlanner::Outlook ScaleOutPlanner::outlook(const Planner& planner,
+                                                  const Reservations& reservations) {
   // Reservations lag behind what has become possible since (holes are kept on purpose), so what is
   // missing is read from the plan that the queue would get if it were laid out anew.
   Outlook out = planner.outlook(kMaxLaidOut);
@@ -61,8 +61,8 @@
   return out;
 }
 
-std::set<MachineId> RentalPlanner::machines_in_use(const Reservations& reservations,
-                                                   WallTime now) const {
+std::set<MachineId> ScaleOutPlanner::machines_in_use(const Reservations& reservations,
+                                                     WallTime now) const {
   std::set<MachineId> in_use;
   for (const auto& [job_id, reservation] : reservations) {
     for (const auto& place : reservation.places) {
@@ -72,7 +72,7 @@
   return in_use;
 }
 
-bool RentalPlanner::worth_renting_for(const QueueItem& item) const {
+bool ScaleOutPlanner::worth_scaling_out_for(const QueueItem& item) const {
   // Work that nobody set an objective for, of a team without a guarantee, runs on what is idle. One
   // that has waited for too long gets a machine all the same.
   const auto wanted = [&](const Objective& objective) {
@@ -82,11 +82,12 @@
          std::any_of(settings_.objectives.begin(), settings_.objectives.end(), wanted);
 }
 
-std::optional<UnmetDemand> RentalPlanner::unmet(const QueueItem& item,
-                                                const std::optional<Plan>& plan,
-                                                const Profile& profile, bool coming, WallTime now) {
+std::optional<UnmetDemand> ScaleOutPlanner::unmet(const QueueItem& item,
+                                                  const std::optional<Plan>& plan,
+                                                  const Profile& profile, bool coming,
+                                                  WallTime now) {
   const JobSpec& job = *item.demand.job;
-  const Lane* limit = profile.team(job.team);
+  const ResourceTimeline* limit = profile.team(job.team);
   const double least = job.gang() ? item.demand.tasks : 1;
   if (limit != nullptr && !fits(job.need * least, limit->whole() - limit->running())) {
     return std::nullopt;
@@ -114,12 +115,12 @@
   return UnmetDemand{item.demand.job, late, item.demand.run, wait, item.demand.zone};
 }
 
-std::map<TeamId, Resources> RentalPlanner::team_resources(const Profile& profile) const {
+std::map<TeamId, Resources> ScaleOutPlanner::team_resources(const Profile& profile) const {
   std::map<TeamId, Resources> resources;
   for (const Team& team : settings_.teams) {
     // Only what runs counts: reservations are what the machines are wanted for.
-    const Lane* lane = profile.team(team.name);
-    if (lane != nullptr) resources[team.name] = team.limit() - lane->running();
+    const ResourceTimeline* timeline = profile.team(team.name);
+    if (timeline != nullptr) resources[team.name] = team.limit() - timeline->running();
   }
   return resources;
 }
--- a/src/planner/rental_planner.hpp
+++ b/src/leader/scale_out_planner.hpp
@@ -7,18 +7,19 @@
 #include <utility>
 #include <vector>
 
-#include "app/settings.hpp"
+#include "autoscaler/autoscaler.hpp"
+#include "config/settings.hpp"
 #include "core/metrics.hpp"
-#include "fleet/fleet.hpp"
-#include "planner/planner.hpp"
+#include "scheduling/planner.hpp"
 
 namespace marblevale {
 
-/// Tells the fleet which demands a round left unmet, and which machines the plan has a use for.
+/// Tells the cluster which demands a round left unmet, and which machines the plan has a use for.
 /// Owns the pace at which that is done, since laying out the queue anew is dear.
-class RentalPlanner {
+class ScaleOutPlanner {
  public:
-  RentalPlanner(Metrics& metrics, const Clock& clock, const Settings& settings, Fleet& fleet);
+  ScaleOutPlanner(Metrics& metrics, const Clock& clock, const Settings& settings,
+                  Autoscaler& autoscaler);
 
   [[nodiscard]] bool due() const;
   void plan(const Planner& planner, const Reservations& reservations);
@@ -30,7 +31,7 @@
   [[nodiscard]] static Outlook outlook(const Planner& planner, const Reservations& reservations);
   [[nodiscard]] std::set<MachineId> machines_in_use(const Reservations& reservations,
                                                     WallTime now) const;
-  [[nodiscard]] bool worth_renting_for(const QueueItem& item) const;
+  [[nodiscard]] bool worth_scaling_out_for(const QueueItem& item) const;
   /// `coming`: machines that were rented are still to come up.
   [[nodiscard]] static std::optional<UnmetDemand> unmet(const QueueItem& item,
                                                         const std::optional<Plan>& plan,
@@ -41,7 +42,7 @@
   Metrics& metrics_;
   const Clock& clock_;
   const Settings& settings_;
-  Fleet& fleet_;
+  Autoscaler& autoscaler_;
   SteadyTime last_{-1'000'000};
   Duration took_{};
 };
--- a/src/blocks/grants.cpp
+++ b/src/leader/shard_assigner.cpp
@@ -1,4 +1,4 @@
-#include "blocks/grants.hpp"
+#include "leader/shard_assigner.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -7,41 +7,41 @@
 namespace marblevale {
 
 namespace {
-constexpr Duration kTick{500};
+constexpr Duration kReconcileInterval{500};
 constexpr Duration kHomeAfter{6'000};  // a controller must have been back for this long
-// A leader hands its own block to another of its zone when its term lasts: where leaders change
-// again and again, blocks would move with each.
+// A leader hands its own shard to another of its zone when its term lasts: where leaders change
+// again and again, shards would move with each.
 constexpr Duration kLeaderKeeps{20'000};
 // Against flapping, after a move for cause. The home controller can't tell whether its workers
-// reach it again but by being given the block, and each try costs its machines some of their
+// reach it again but by being given the shard, and each try costs its machines some of their
 // leases.
 constexpr Duration kFirstAbsence{45'000};
 constexpr Duration kMaxAbsence{180'000};
 constexpr Duration kRelapseWindow{300'000};  // within which the next absence is twice as long
-constexpr Duration kMisdirectionMaxAge{3'000};
+constexpr Duration kMisroutedMaxAge{3'000};
 }  // namespace
 
-BlockGrants::BlockGrants(Loop& loop, const Clock& clock, const Settings& settings,
-                         WatchCache& cache, Election& election)
+ShardAssigner::ShardAssigner(Loop& loop, const Clock& clock, const Settings& settings,
+                             WatchCache& cache, Election& election)
     : clock_(clock), settings_(settings), cache_(cache), election_(election), timer_(loop, [this] {
         tick();
       }) {
   cache_.listen([this](RecordKind topic, const std::string&) {
-    if (topic == RecordKind::node || topic == RecordKind::block || topic == RecordKind::leader)
+    if (topic == RecordKind::node || topic == RecordKind::shard || topic == RecordKind::leader)
       timer_.start({0});
   });
 }
 
-void BlockGrants::begin() { timer_.start(kTick); }
+void ShardAssigner::begin() { timer_.start(kReconcileInterval); }
 
-void BlockGrants::misdirection(const ZoneId& zone, const NodeId& witness) {
-  misdirections_[zone] = {witness, clock_.steady()};
+void ShardAssigner::note_misrouted_heartbeat(const ZoneId& zone, const NodeId& witness) {
+  misrouted_heartbeats_[zone] = {witness, clock_.steady()};
   timer_.start({0});
 }
 
-std::optional<NodeId> BlockGrants::home(const ZoneId& zone, const BlockRecord* held) const {
+std::optional<NodeId> ShardAssigner::home(const ZoneId& zone, const ShardRecord* held) const {
   // A living controller of the zone, so that a zone that is cut off has its holder inside. The
-  // leader has work enough: it holds a block only where it is the zone's only one.
+  // leader has work enough: it holds a shard only where it is the zone's only one.
   const auto& nodes = cache_.records().nodes;
   std::vector<NodeId> there;
   if (settings_.zone == zone) there.push_back(settings_.node);
@@ -59,7 +59,7 @@
   return best;
 }
 
-void BlockGrants::note_absence(const ZoneId& zone, SteadyTime now) {
+void ShardAssigner::note_absence(const ZoneId& zone, SteadyTime now) {
   const auto last = absences_.find(zone);
   const bool relapse = last != absences_.end() && now - last->second.since < kRelapseWindow;
   const Duration length =
@@ -67,17 +67,17 @@
   absences_[zone] = {now, length};
 }
 
-std::optional<NodeId> BlockGrants::choose(const ZoneId& zone, const BlockRecord* held) {
+std::optional<NodeId> ShardAssigner::choose(const ZoneId& zone, const ShardRecord* held) {
   const auto& records = cache_.records();
   const SteadyTime now = clock_.steady();
   const auto alive = [&](const NodeId& node) { return records.nodes.contains(node); };
-  const bool holder_lives = held != nullptr && records.alive(held->holder, held->nonce);
+  const bool holder_lives = held != nullptr && records.alive(held->holder, held->incarnation);
 
-  const auto misdirection = misdirections_.find(zone);
-  if (misdirection != misdirections_.end() &&
-      now - misdirection->second.second < kMisdirectionMaxAge) {
-    const NodeId witness = misdirection->second.first;
-    misdirections_.erase(misdirection);
+  const auto note_misrouted_heartbeat = misrouted_heartbeats_.find(zone);
+  if (note_misrouted_heartbeat != misrouted_heartbeats_.end() &&
+      now - note_misrouted_heartbeat->second.second < kMisroutedMaxAge) {
+    const NodeId witness = note_misrouted_heartbeat->second.first;
+    misrouted_heartbeats_.erase(note_misrouted_heartbeat);
     if (alive(witness) && held != nullptr && held->holder != witness) {
       note_absence(zone, now);
       return witness;
@@ -95,25 +95,25 @@
   }
   if (holder_lives) return held->holder;
 
-  // Otherwise the living controller with the fewest blocks.
+  // Otherwise the living controller with the fewest shards.
   std::optional<NodeId> best;
   std::size_t fewest = 0;
   for (const auto& [node, stored] : records.nodes) {
-    std::size_t blocks = 0;
-    for (const auto& [other, block] : records.blocks) {
-      if (other != zone && block.record.holder == node) ++blocks;
+    std::size_t shards = 0;
+    for (const auto& [other, shard] : records.shards) {
+      if (other != zone && shard.record.holder == node) ++shards;
     }
-    if (!best || blocks < fewest) {
+    if (!best || shards < fewest) {
       best = node;
-      fewest = blocks;
+      fewest = shards;
     }
   }
   return best;
 }
 
-void BlockGrants::tick() {
-  timer_.start(kTick);
-  if (!election_.may_act()) return;
+void ShardAssigner::tick() {
+  timer_.start(kReconcileInterval);
+  if (!election_.holds_fresh_lease()) return;
   if (term_ != election_.term()) {
     term_ = election_.term();
     charge_since_ = clock_.steady();
@@ -125,25 +125,27 @@
                 [&](const auto& entry) { return !records.nodes.contains(entry.first); });
   for (const auto& [node, stored] : records.nodes) {
     auto& seen = alive_since_[node];
-    if (seen.first != stored.record.nonce) seen = {stored.record.nonce, clock_.steady()};
+    if (seen.first != stored.record.incarnation)
+      seen = {stored.record.incarnation, clock_.steady()};
   }
   for (const ZoneId& zone : settings_.zones) {
     if (busy_.contains(zone)) continue;
-    const auto it = records.blocks.find(zone);
-    const BlockRecord* held = it == records.blocks.end() ? nullptr : &it->second.record;
+    const auto it = records.shards.find(zone);
+    const ShardRecord* held = it == records.shards.end() ? nullptr : &it->second.record;
     const auto wanted = choose(zone, held);
     if (!wanted) continue;
     const NodeRecord& holder = records.nodes.at(*wanted).record;
-    if (held != nullptr && held->holder == *wanted && held->nonce == holder.nonce) continue;
+    if (held != nullptr && held->holder == *wanted && held->incarnation == holder.incarnation)
+      continue;
     spdlog::info("blocks: {} goes to {}", zone.get(), wanted->get());
     Txn txn;
     election_.guard(txn);
-    txn.guard(keys::block(zone),
-              it == records.blocks.end() ? ModRevision{} : it->second.mod_revision);
-    txn.put(keys::block(zone),
-            encode(BlockRecord{zone, *wanted, holder.nonce,
+    txn.guard(keys::shard(zone),
+              it == records.shards.end() ? ModRevision{} : it->second.mod_revision);
+    txn.put(keys::shard(zone),
+            encode(ShardRecord{zone, *wanted, holder.incarnation,
                                held == nullptr ? 1 : held->generation + 1}),
-            holder.block_lease_id);
+            holder.shard_lease_id);
     busy_.insert(zone);
     cache_.commit(RequestPriority::lease, std::move(txn),
                   [this, zone](const CommitResult&) { busy_.erase(zone); });
--- a/src/planner/starvation_check.cpp
+++ b/src/leader/starvation_check.cpp
@@ -1,4 +1,4 @@
-#include "planner/starvation_check.hpp"
+#include "leader/starvation_check.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -76,7 +76,7 @@
                                                         : "a release has not been settled"};
   }
   for (const SliceKey& key : open.unsettled_for(kUnsettledFor, clock_.steady())) {
-    const JobRecord* other = records.job(key.first);
+    const JobRecord* other = records.job(key.job_id);
     if (other != nullptr && other->spec.team == spec.team) {
       return Cause{"a release of its team has not been settled"};
     }
@@ -97,9 +97,9 @@
     }
   }
   const Profile& profile = round.planner.profile();
-  const auto lane = profile.find(job.machine_id);
-  if (!lane) return {"it is not in the profile", true};
-  if (!profile.lane(*lane).takes(item.demand.job->need, now, now + Duration{1})) {
+  const auto timeline = profile.find(job.machine_id);
+  if (!timeline) return {"it is not in the profile", true};
+  if (!profile.timeline(*timeline).takes(item.demand.job->need, now, now + Duration{1})) {
     return {"its room is taken in the profile", true};
   }
   const auto reservation = round.reservations.find(job.job_id);
--- a/src/planner/starvation_check.hpp
+++ b/src/leader/starvation_check.hpp
@@ -6,9 +6,9 @@
 #include <set>
 #include <string>
 
-#include "planner/planner.hpp"
-#include "planner/releaser.hpp"
-#include "planner/starvation.hpp"
+#include "leader/releaser.hpp"
+#include "scheduling/planner.hpp"
+#include "scheduling/starvation.hpp"
 
 namespace marblevale {
 
--- a/src/planner/team_usage.cpp
+++ b/src/leader/team_usage.cpp
@@ -1,4 +1,4 @@
-#include "planner/team_usage.hpp"
+#include "leader/team_usage.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -43,18 +43,18 @@
     by_slice_.erase(old);
   }
   of_unreadable_jobs_.erase(key);
-  const auto* stored = records.slice(key.first, key.second);
-  const JobRecord* job = records.job(key.first);
+  const auto* stored = records.slice(key.job_id, key.number);
+  const JobRecord* job = records.job(key.job_id);
   std::size_t placed = count_placed(stored == nullptr ? nullptr : &stored->record, open.slice(key));
   if (job == nullptr) {
     // The slices of a job that is over stay for a while; its tasks are proven gone.
-    if (placed > 0 && records.unreadable.contains(keys::job(key.first))) {
+    if (placed > 0 && records.unreadable.contains(keys::job(key.job_id))) {
       of_unreadable_jobs_.insert(key);
     }
     return;
   }
-  if (records.unreadable.contains(keys::slice(key.first, key.second))) {
-    placed = slice_size(job->spec, key.second);
+  if (records.unreadable.contains(keys::slice(key.job_id, key.number))) {
+    placed = slice_size(job->spec, key.number);
   }
   if (placed == 0) return;
   const Resources resources = job->spec.need * static_cast<double>(placed);
--- a/src/planner/team_usage.hpp
+++ b/src/leader/team_usage.hpp
@@ -7,7 +7,7 @@
 #include <optional>
 #include <set>
 
-#include "planner/open_releases.hpp"
+#include "leader/open_releases.hpp"
 
 namespace marblevale {
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -5,7 +5,7 @@
 
 namespace marblevale {
 
-struct HttpClient::Lane {
+struct HttpClient::Connection {
   HttpClient& owner;
   Timer deadline;
   evhttp_connection* connection = nullptr;
@@ -13,10 +13,10 @@
   bool spoilt = false;  // to be closed before its next use, never inside evhttp's own callback
   HttpHandler handler;
 
-  explicit Lane(HttpClient& client)
+  explicit Connection(HttpClient& client)
       : owner(client),
         deadline(client.loop_, [this] { owner.finish(*this, {}, Ending::timed_out); }) {}
-  ~Lane() { close(); }
+  ~Connection() { close(); }
   void close() {
     if (connection != nullptr) evhttp_connection_free(connection);
     connection = nullptr;
@@ -29,23 +29,24 @@
       to_(std::move(to)),
       queue_limit_(queue_limit),
       pump_later_(loop, [this] { pump(); }) {
-  for (std::size_t i = 0; i < connections; ++i) lanes_.push_back(std::make_unique<Lane>(*this));
+  for (std::size_t i = 0; i < connections; ++i)
+    connections_.push_back(std::make_unique<Connection>(*this));
 }
 
 HttpClient::~HttpClient() = default;
 
 bool HttpClient::idle() const {
   if (!queue_.empty()) return false;
-  for (const auto& lane : lanes_) {
-    if (lane->busy) return false;
+  for (const auto& connection : connections_) {
+    if (connection->busy) return false;
   }
   return true;
 }
 
 void HttpClient::send(HttpCall call, HttpHandler handler) {
-  for (auto& lane : lanes_) {
-    if (lane->busy || !queue_.empty()) continue;
-    begin(*lane, {std::move(call), std::move(handler), nullptr});
+  for (auto& connection : connections_) {
+    if (connection->busy || !queue_.empty()) continue;
+    begin(*connection, {std::move(call), std::move(handler), nullptr});
     return;
   }
   if (queue_.size() >= queue_limit_) {
@@ -63,17 +64,18 @@
   entry->expiry->start(entry->call.deadline);
 }
 
-void HttpClient::begin(Lane& lane, Waiting next) {
-  if (lane.spoilt) lane.close();
-  if (lane.connection == nullptr) {
-    lane.connection = evhttp_connection_base_new(loop_.base(), nullptr, to_.host.c_str(), to_.port);
-    evhttp_connection_set_timeout(lane.connection, 120);
+void HttpClient::begin(Connection& connection, Waiting next) {
+  if (connection.spoilt) connection.close();
+  if (connection.connection == nullptr) {
+    connection.connection =
+        evhttp_connection_base_new(loop_.base(), nullptr, to_.host.c_str(), to_.port);
+    evhttp_connection_set_timeout(connection.connection, 120);
   }
-  lane.busy = true;
-  lane.handler = std::move(next.handler);
+  connection.busy = true;
+  connection.handler = std::move(next.handler);
   evhttp_request* request = evhttp_request_new(
       [](evhttp_request* req, void* arg) {
-        auto& self = *static_cast<Lane*>(arg);
+        auto& self = *static_cast<Connection*>(arg);
         HttpReply reply;
         if (req != nullptr) reply.status = evhttp_request_get_response_code(req);
         if (reply.status == 0) {
@@ -85,7 +87,7 @@
         evbuffer_copyout(body, reply.body.data(), reply.body.size());
         self.owner.finish(self, std::move(reply), Ending::answered);
       },
-      &lane);
+      &connection);
   auto* headers = evhttp_request_get_output_headers(request);
   evhttp_add_header(headers, "Host", (to_.host + ":" + std::to_string(to_.port)).c_str());
   if (!next.call.body.empty()) {
@@ -93,34 +95,34 @@
     evbuffer_add(evhttp_request_get_output_buffer(request), next.call.body.data(),
                  next.call.body.size());
   }
-  lane.deadline.start(next.call.deadline);
-  if (evhttp_make_request(lane.connection, request, next.call.method, next.call.path.c_str()) !=
-      0) {
+  connection.deadline.start(next.call.deadline);
+  if (evhttp_make_request(connection.connection, request, next.call.method,
+                          next.call.path.c_str()) != 0) {
     // evhttp took the request off the connection and will call nothing back for it.
-    finish(lane, {0, true, {}}, Ending::broken);
+    finish(connection, {0, true, {}}, Ending::broken);
   }
 }
 
-void HttpClient::finish(Lane& lane, HttpReply reply, Ending ending) {
-  if (!lane.busy) return;
-  lane.busy = false;
-  lane.deadline.stop();
-  if (ending == Ending::timed_out) lane.close();
-  if (ending == Ending::broken) lane.spoilt = true;
-  HttpHandler handler = std::move(lane.handler);
-  lane.handler = nullptr;
+void HttpClient::finish(Connection& connection, HttpReply reply, Ending ending) {
+  if (!connection.busy) return;
+  connection.busy = false;
+  connection.deadline.stop();
+  if (ending == Ending::timed_out) connection.close();
+  if (ending == Ending::broken) connection.spoilt = true;
+  HttpHandler handler = std::move(connection.handler);
+  connection.handler = nullptr;
   if (!queue_.empty()) pump_later_.start({0});
   handler(reply);
 }
 
 void HttpClient::pump() {
-  for (auto& lane : lanes_) {
+  for (auto& connection : connections_) {
     if (queue_.empty()) return;
-    if (lane->busy) continue;
+    if (connection->busy) continue;
     Waiting next = std::move(queue_.front());
     queue_.pop_front();
     next.expiry.reset();
-    begin(*lane, std::move(next));
+    begin(*connection, std::move(next));
   }
 }
 
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -11,17 +11,12 @@
 #include <memory>
 #include <string>
 
+#include "core/address.hpp"
 #include "core/time.hpp"
 #include "net/loop.hpp"
 
 namespace marblevale {
 
-struct Address {
-  std::string host;
-  std::uint16_t port = 0;
-  auto operator<=>(const Address&) const = default;
-};
-
 struct HttpReply {
   int status = 0;           // 0: no answer
   bool never_sent = false;  // the request did not leave this process
@@ -49,7 +44,7 @@
   [[nodiscard]] bool idle() const;
 
  private:
-  struct Lane;
+  struct Connection;
   struct Waiting {
     HttpCall call;
     HttpHandler handler;
@@ -57,14 +52,14 @@
   };
   enum class Ending { answered, broken, timed_out };
 
-  void begin(Lane& lane, Waiting next);
-  void finish(Lane& lane, HttpReply reply, Ending ending);
+  void begin(Connection& connection, Waiting next);
+  void finish(Connection& connection, HttpReply reply, Ending ending);
   void pump();
 
   Loop& loop_;
   Address to_;
   std::size_t queue_limit_;
-  std::list<std::unique_ptr<Lane>> lanes_;
+  std::list<std::unique_ptr<Connection>> connections_;
   std::list<Waiting> queue_;
   Timer pump_later_;
 };
--- a/src/peers/offers.hpp
+++ b/src/peers/offers.hpp
@@ -1,6 +1,6 @@
-// A release told straight to the block's holder, which binds it in one commit instead of two: the
+// A release told straight to the shard's holder, which binds it in one commit instead of two: the
 // leader's of the release and its own. It only makes things quicker and cheaper: the holder's
-// commit is guarded by the leader's term, the block, the job and the slice as the leader knew it,
+// commit is guarded by the leader's term, the shard, the job and the slice as the leader knew it,
 // so it passes only while the release is still meant, and once. Where no word comes back the leader
 // commits the release itself, which the same revisions keep from passing beside the binding.
 //
@@ -15,7 +15,7 @@
 #include <string>
 #include <vector>
 
-#include "app/settings.hpp"
+#include "config/settings.hpp"
 #include "net/http_server.hpp"
 #include "store/watch_cache.hpp"
 
@@ -39,13 +39,13 @@
   std::uint64_t over = 0;      // revision of the slice that the leader knew; 0: none
   std::uint64_t revision = 0;  // what the leader's copy had: a holder that lags waits for it
   std::vector<Task> tasks;
-  std::uint64_t serial = 0;        // of the leader's process, rising; never used twice in a term
-  std::uint64_t holder_nonce = 0;  // the life of the holder that is meant
-  std::uint64_t job_revision = 0;  // revision of the job that the leader knew
+  std::uint64_t serial = 0;  // of the leader's process, rising; never used twice in a term
+  std::uint64_t holder_incarnation = 0;  // the life of the holder that is meant
+  std::uint64_t job_revision = 0;        // revision of the job that the leader knew
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(term, job_id, slice, over, revision, tasks, serial, holder_nonce, job_revision);
+    archive(term, job_id, slice, over, revision, tasks, serial, holder_incarnation, job_revision);
   }
 };
 
--- a/src/peers/heartbeat.cpp
+++ b/src/peers/peer_heartbeat.cpp
@@ -1,4 +1,4 @@
-#include "peers/heartbeat.hpp"
+#include "peers/peer_heartbeat.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -17,76 +17,77 @@
 constexpr Duration kLife{2500};
 }  // namespace
 
-std::string encode(const Heartbeat& heartbeat) { return to_bytes(heartbeat); }
+std::string encode(const PeerHeartbeat& heartbeat) { return to_bytes(heartbeat); }
 
-std::optional<Heartbeat> decode_heartbeat(const std::string& bytes) {
-  auto heartbeat = from_bytes<Heartbeat>(bytes);
-  if (heartbeat && heartbeat->format != kHeartbeatFormat) return std::nullopt;
+std::optional<PeerHeartbeat> decode_peer_heartbeat(const std::string& bytes) {
+  auto heartbeat = from_bytes<PeerHeartbeat>(bytes);
+  if (heartbeat && heartbeat->format != kPeerHeartbeatFormat) return std::nullopt;
   return heartbeat;
 }
 
-bool HeartbeatOrder::newer(const Heartbeat& heartbeat) {
-  auto [it, fresh] = last_.try_emplace(heartbeat.node, heartbeat.nonce, heartbeat.serial);
+bool PeerHeartbeatOrder::newer(const PeerHeartbeat& heartbeat) {
+  auto [it, fresh] = last_.try_emplace(heartbeat.node, heartbeat.incarnation, heartbeat.serial);
   if (fresh) return true;
-  auto& [nonce, serial] = it->second;
-  if (nonce == heartbeat.nonce && heartbeat.serial <= serial) return false;
+  auto& [incarnation, serial] = it->second;
+  if (incarnation == heartbeat.incarnation && heartbeat.serial <= serial) return false;
   // Another life: whether it is the present one is for the records to tell.
-  nonce = heartbeat.nonce;
+  incarnation = heartbeat.incarnation;
   serial = heartbeat.serial;
   return true;
 }
 
-HeartbeatExchange::HeartbeatExchange(Loop& loop, const Clock& clock, const Settings& settings,
-                                     Compose compose, Heard heard)
+PeerHeartbeatExchange::PeerHeartbeatExchange(Loop& loop, const Clock& clock,
+                                             const Settings& settings, Compose compose,
+                                             Received received)
     : clock_(clock),
       settings_(settings),
       compose_(std::move(compose)),
-      heard_(std::move(heard)),
+      received_(std::move(received)),
       timer_(loop, [this] { tick(); }) {
   for (const Peer& peer : settings_.peers) {
     peers_[peer.node].client = std::make_unique<HttpClient>(loop, peer.address, 1, 1);
   }
 }
 
-void HeartbeatExchange::drop(const char* what) {
+void PeerHeartbeatExchange::drop(const char* what) {
   if (!dropped_) spdlog::warn("heartbeats: {} is dropped (logged once)", what);
   dropped_ = true;
 }
 
-void HeartbeatExchange::serve(const HttpRequest& request, const ResponderPtr& responder) {
-  const auto heartbeat = decode_heartbeat(request.body);
+void PeerHeartbeatExchange::serve(const HttpRequest& request, const ResponderPtr& responder) {
+  const auto heartbeat = decode_peer_heartbeat(request.body);
   if (!heartbeat) {
     drop("a heartbeat that can't be read");
     responder->reply(400, "{}");
     return;
   }
-  heard_(*heartbeat, order_.newer(*heartbeat));
-  Heartbeat answer = compose_();
+  received_(*heartbeat, order_.newer(*heartbeat));
+  PeerHeartbeat answer = compose_();
   answer.serial = ++serial_;
   answer.answers = heartbeat->serial;
   responder->reply(200, encode(answer));
 }
 
-void HeartbeatExchange::begin() { timer_.start({200}); }
+void PeerHeartbeatExchange::begin() { timer_.start({200}); }
 
-void HeartbeatExchange::hurry() {
-  hurried_ = true;
+void PeerHeartbeatExchange::send_soon() {
+  send_soon_ = true;
   timer_.start(std::max(Duration{0}, kMinApart - (clock_.steady() - last_tick_)));
 }
 
-void HeartbeatExchange::tick() {
+void PeerHeartbeatExchange::tick() {
   timer_.start(kEvery);
   const SteadyTime now = clock_.steady();
   const WallTime wall = clock_.wall();
   last_tick_ = now;
-  const bool hurried = hurried_;
-  hurried_ = false;
-  Heartbeat heartbeat = compose_();
+  const bool hurried = send_soon_;
+  send_soon_ = false;
+  PeerHeartbeat heartbeat = compose_();
   heartbeat.serial = ++serial_;
   const std::string body = encode(heartbeat);
   for (auto& [node, peer] : peers_) {
     if (peer.busy) {
-      peer.again = peer.again || hurried;
+      peer.retry = peer.retry || hurried;
       continue;
     }
     peer.busy = true;
@@ -98,16 +99,16 @@
   }
 }
 
-void HeartbeatExchange::answered(const NodeId& name, SteadyTime sent, WallTime sent_wall,
-                                 const HttpReply& reply) {
+void PeerHeartbeatExchange::answered(const NodeId& name, SteadyTime sent, WallTime sent_wall,
+                                     const HttpReply& reply) {
   PeerState& state = peers_.at(name);
   state.busy = false;
-  if (state.again) {
-    state.again = false;
-    hurry();
+  if (state.retry) {
+    state.retry = false;
+    send_soon();
   }
   if (reply.status != 200) return;
-  auto answer = decode_heartbeat(reply.body);
+  auto answer = decode_peer_heartbeat(reply.body);
   // Its age counts from what it answers, and an answer to anything but this question, or of
   // another controller, tells nothing of now.
   if (!answer || answer->answers != state.serial || answer->node != name.get()) {
@@ -117,29 +118,31 @@
   state.last = std::move(answer);
   state.asked = sent;
   state.asked_wall = sent_wall;
-  heard_(*state.last, order_.newer(*state.last));
+  received_(*state.last, order_.newer(*state.last));
 }
 
-bool takes_users(bool loaded, bool state_answers, PeersSay peers) {
+bool takes_users(bool loaded, bool state_answers, PeerStateEvidence peers) {
   if (!loaded || state_answers) return loaded;
-  return peers == PeersSay::no_peers || peers == PeersSay::no_state;
+  return peers == PeerStateEvidence::no_peers || peers == PeerStateEvidence::no_state;
 }
 
-PeersSay HeartbeatExchange::peers_say() const {
-  PeersSay out = peers_.empty() ? PeersSay::no_peers : PeersSay::nothing;
+PeerStateEvidence PeerHeartbeatExchange::peer_state_evidence() const {
+  PeerStateEvidence out = peers_.empty() ? PeerStateEvidence::no_peers : PeerStateEvidence::nothing;
   for (const auto& [node, peer] : peers_) {
     if (!peer.last || clock_.steady() - peer.asked >= kLife) continue;
-    out = std::max(out, peer.last->state_ok ? PeersSay::state : PeersSay::no_state);
+    out =
+        std::max(out, peer.last->state_ok ? PeerStateEvidence::state : PeerStateEvidence::no_state);
   }
   return out;
 }
 
-std::vector<std::optional<CancellationWord>> HeartbeatExchange::words() const {
-  std::vector<std::optional<CancellationWord>> out;
+std::vector<std::optional<PeerCancellationList>> PeerHeartbeatExchange::peer_cancellation_lists()
+    const {
+  std::vector<std::optional<PeerCancellationList>> out;
   for (const auto& [node, peer] : peers_) {
     auto& word = out.emplace_back();
     if (!peer.last || clock_.steady() - peer.asked > kLife) continue;
-    word = CancellationWord{peer.asked, peer.asked_wall, peer.last->cancellations};
+    word = PeerCancellationList{peer.asked, peer.asked_wall, peer.last->cancellations};
   }
   return out;
 }
--- a/src/wire/cloud.cpp
+++ b/src/protocol/cloud.cpp
@@ -1,4 +1,4 @@
-#include "wire/cloud.hpp"
+#include "protocol/cloud.hpp"
 
 namespace marblevale {
 
@@ -67,15 +67,15 @@
     m.zone = ZoneId(json::text(item, "district").value_or(""));
     m.spot = json::flag(item, "loaners").value_or(false);
     m.age = from_seconds(json::number(item, "age_s").value_or(0));
-    m.status = *status == "running"  ? RentalStatus::running
-               : *status == "failed" ? RentalStatus::failed
-                                     : RentalStatus::starting;
+    m.status = *status == "running"  ? ProvisioningStatus::running
+               : *status == "failed" ? ProvisioningStatus::failed
+                                     : ProvisioningStatus::starting;
     out.machines.push_back(std::move(m));
   }
   return out;
 }
 
-std::optional<std::vector<MachineId>> parse_rented(std::string_view body) {
+std::optional<std::vector<MachineId>> parse_provisioned(std::string_view body) {
   json::Document doc;
   if (!json::parse(doc, body)) return std::nullopt;
   const json::Value* machine_ids = json::list(doc, "hosts");
@@ -87,8 +87,8 @@
   return out;
 }
 
-std::string write_rental(const std::string& name, const std::string& machine_type,
-                         const ZoneId& zone, bool spot, std::uint32_t how_many) {
+std::string write_provisioning_request(const std::string& name, const std::string& machine_type,
+                                       const ZoneId& zone, bool spot, std::uint32_t how_many) {
   json::Writer out;
   out.open()
       .put("hire", name)
--- a/src/wire/cloud.hpp
+++ b/src/protocol/cloud.hpp
@@ -6,10 +6,10 @@
 #include <string_view>
 #include <vector>
 
-#include "core/amounts.hpp"
-#include "core/strong.hpp"
+#include "core/ids.hpp"
+#include "core/resources.hpp"
 #include "core/time.hpp"
-#include "wire/json.hpp"
+#include "protocol/json.hpp"
 
 namespace marblevale {
 
@@ -29,7 +29,7 @@
 std::optional<std::vector<MachineType>> parse_machine_types(const json::Value& object);
 void write_machine_types(json::Writer& out, const std::vector<MachineType>& types);
 
-enum class RentalStatus { starting, running, failed };
+enum class ProvisioningStatus { starting, running, failed };
 
 struct ListedMachine {
   MachineId machine_id;
@@ -37,7 +37,7 @@
   std::string machine_type;
   ZoneId zone;
   bool spot = false;
-  RentalStatus status = RentalStatus::starting;
+  ProvisioningStatus status = ProvisioningStatus::starting;
   Duration age;
 };
 
@@ -47,10 +47,10 @@
 };
 
 std::optional<MachineList> parse_machine_list(std::string_view body);
-std::optional<std::vector<MachineId>> parse_rented(std::string_view body);
+std::optional<std::vector<MachineId>> parse_provisioned(std::string_view body);
 
-std::string write_rental(const std::string& name, const std::string& machine_type,
-                         const ZoneId& zone, bool spot, std::uint32_t how_many);
+std::string write_provisioning_request(const std::string& name, const std::string& machine_type,
+                                       const ZoneId& zone, bool spot, std::uint32_t how_many);
 std::string write_delete(const std::vector<MachineId>& machine_ids);
 
 }  // namespace marblevale
--- a/src/wire/job_spec.cpp
+++ b/src/protocol/job_spec.cpp
@@ -1,4 +1,4 @@
-#include "wire/job_spec.hpp"
+#include "protocol/job_spec.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/wire/job_spec.hpp
+++ b/src/protocol/job_spec.hpp
@@ -6,10 +6,10 @@
 #include <string_view>
 #include <vector>
 
-#include "core/amounts.hpp"
-#include "core/strong.hpp"
+#include "core/ids.hpp"
+#include "core/resources.hpp"
 #include "core/time.hpp"
-#include "wire/json.hpp"
+#include "protocol/json.hpp"
 
 namespace marblevale {
 
--- a/src/wire/worker.cpp
+++ b/src/protocol/worker.cpp
@@ -1,9 +1,9 @@
-#include "wire/worker.hpp"
+#include "protocol/worker.hpp"
 
 #include <charconv>
 
-#include "wire/job_spec.hpp"
-#include "wire/json.hpp"
+#include "protocol/job_spec.hpp"
+#include "protocol/json.hpp"
 
 namespace marblevale {
 
@@ -70,40 +70,40 @@
   return id;
 }
 
-std::optional<Report> parse_report(std::string_view body) {
+std::optional<WorkerHeartbeat> parse_worker_heartbeat(std::string_view body) {
   json::Document doc;
   if (!json::parse(doc, body)) return std::nullopt;
   const auto machine_id = json::text(doc, "host");
   const auto address = json::text(doc, "address");
   const auto machine_type = json::text(doc, "build");
   const auto zone = json::text(doc, "district");
-  const auto session = json::count(doc, "tenure");
+  const auto epoch = json::count(doc, "tenure");
   const auto sequence = json::count(doc, "tally");
   const auto token = json::count(doc, "warrant");
   const json::Value* tasks = json::list(doc, "parts");
-  if (!machine_id || machine_id->empty() || !address || !machine_type || !zone || !session ||
+  if (!machine_id || machine_id->empty() || !address || !machine_type || !zone || !epoch ||
       !sequence || !token || tasks == nullptr) {
     return std::nullopt;
   }
-  Report report;
-  report.machine_id = MachineId(*machine_id);
-  report.address = *address;
-  report.machine_type = *machine_type;
-  report.zone = ZoneId(*zone);
-  report.spot = json::flag(doc, "loaners").value_or(false);
-  report.session = SessionId(*session);
-  report.sequence = ReportSequence(*sequence);
-  report.token = FencingToken(*token);
+  WorkerHeartbeat heartbeat;
+  heartbeat.machine_id = MachineId(*machine_id);
+  heartbeat.address = *address;
+  heartbeat.machine_type = *machine_type;
+  heartbeat.zone = ZoneId(*zone);
+  heartbeat.spot = json::flag(doc, "loaners").value_or(false);
+  heartbeat.epoch = WorkerEpoch(*epoch);
+  heartbeat.sequence = HeartbeatSequence(*sequence);
+  heartbeat.token = FencingToken(*token);
   if (const auto reclaim_in = json::number(doc, "recall_s"))
-    report.reclaim_in = from_seconds(*reclaim_in);
-  report.tasks.reserve(tasks->Size());
+    heartbeat.reclaim_in = from_seconds(*reclaim_in);
+  heartbeat.tasks.reserve(tasks->Size());
   for (const auto& item : tasks->GetArray()) {
     auto task = parse_task(item);
-    // A report that can't be read whole must not count as proof that a task is absent.
+    // A heartbeat that can't be read whole must not count as proof that a task is absent.
     if (!task) return std::nullopt;
-    report.tasks.push_back(std::move(*task));
+    heartbeat.tasks.push_back(std::move(*task));
   }
-  return report;
+  return heartbeat;
 }
 
 std::string write_answer(FencingToken token, const std::vector<Order>& orders) {
@@ -120,9 +120,9 @@
   return out.str();
 }
 
-std::string write_direct(FencingToken token, SessionId session, const std::vector<Order>& orders) {
+std::string write_direct(FencingToken token, WorkerEpoch epoch, const std::vector<Order>& orders) {
   json::Writer out;
-  out.open().put("warrant", token.get()).put("tenure", session.get());
+  out.open().put("warrant", token.get()).put("tenure", epoch.get());
   write_orders(out, orders);
   out.close();
   return out.str();
--- a/src/wire/worker.hpp
+++ b/src/protocol/worker.hpp
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/strong.hpp"
+#include "core/ids.hpp"
 #include "core/time.hpp"
 
 namespace marblevale {
@@ -30,20 +30,20 @@
   bool saved = false;
 };
 
-struct Report {
+struct WorkerHeartbeat {
   MachineId machine_id;
   std::string address;
   std::string machine_type;
   ZoneId zone;
   bool spot = false;
-  SessionId session;
-  ReportSequence sequence;
+  WorkerEpoch epoch;
+  HeartbeatSequence sequence;
   FencingToken token;
   std::optional<Duration> reclaim_in;
   std::vector<ReportedTask> tasks;
 };
 
-std::optional<Report> parse_report(std::string_view body);
+std::optional<WorkerHeartbeat> parse_worker_heartbeat(std::string_view body);
 
 enum class Verb { start, kill, clear };
 
@@ -54,12 +54,12 @@
   Duration grace_period;  // of a kill
 };
 
-/// The answer to a report.
+/// The answer to a heartbeat.
 std::string write_answer(FencingToken token, const std::vector<Order>& orders);
-/// The answer to a report that belongs to another controller, which holds the block.
+/// The answer to a heartbeat that belongs to another controller, which holds the shard.
 std::string write_redirect(const NodeId& holder);
 /// The body of POST /orders.
-std::string write_direct(FencingToken token, SessionId session, const std::vector<Order>& orders);
+std::string write_direct(FencingToken token, WorkerEpoch epoch, const std::vector<Order>& orders);
 
 }  // namespace marblevale
 
--- a/src/store/compact_encoding.cpp
+++ b/src/records/compact_encoding.cpp
@@ -1,4 +1,4 @@
-#include "store/compact_encoding.hpp"
+#include "records/compact_encoding.hpp"
 
 #include <algorithm>
 #include <cereal/external/base64.hpp>
--- a/src/store/compact_encoding.hpp
+++ b/src/records/compact_encoding.hpp
@@ -1,4 +1,4 @@
-// The building blocks of the compact forms of records: numbers of variable length in base64, and
+// The building shards of the compact forms of records: numbers of variable length in base64, and
 // machine names by their numbers. The compact forms are written only once the state service takes
 // smaller values than a record in its plain form has.
 #pragma once
--- a/src/store/machine_page_codec.cpp
+++ b/src/records/machine_page_codec.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <cmath>
 
-#include "store/compact_encoding.hpp"
-#include "store/record_fields.hpp"
-#include "store/records.hpp"
+#include "records/compact_encoding.hpp"
+#include "records/record_fields.hpp"
+#include "records/records.hpp"
 
 namespace marblevale {
 
--- a/src/store/record_fields.hpp
+++ b/src/records/record_fields.hpp
@@ -6,8 +6,8 @@
 #include <vector>
 
 #include "core/time.hpp"
-#include "store/compact_encoding.hpp"
-#include "wire/json.hpp"
+#include "protocol/json.hpp"
+#include "records/compact_encoding.hpp"
 
 namespace marblevale::record_fields {
 
--- /dev/null
+++ b/src/records/record_set.hpp
@@ -0,0 +1,56 @@
+// The live records of the cluster as one typed set. Decisions read it; only the watch cache and
+// tests write it.
+#pragma once
+
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "records/records.hpp"
+
+namespace marblevale {
+
+/// A record with the revision at which it was last written.
+template <typename Record>
+struct Versioned {
+  Record record;
+  ModRevision mod_revision;
+};
+
+/// Names a slice: the job, and the slice's number within it.
+struct SliceKey {
+  JobId job_id;
+  std::uint32_t number = 0;
+  auto operator<=>(const SliceKey&) const = default;
+};
+
+/// All live records, by kind.
+struct Records {
+  std::optional<Versioned<LeaderRecord>> leader;
+  std::optional<Versioned<std::vector<MachineType>>> types;
+  std::map<NodeId, Versioned<NodeRecord>> nodes;
+  std::map<ZoneId, Versioned<ShardRecord>> shards;
+  std::unordered_map<JobId, Versioned<JobRecord>> jobs;
+  std::unordered_map<JobId, Versioned<GuaranteeRecord>> guarantee_records;
+  std::map<SliceKey, Versioned<SliceRecord>> slices;
+  std::map<MachineId, Versioned<MachineRecord>>
+      machines;  // the revision is that of the machine's page
+  std::map<std::string, Versioned<std::vector<MachineId>>> pages;  // by key
+  std::map<std::string, Versioned<ProvisioningRequest>> provisioning_requests;
+  /// Keys whose values this version can't read: what hangs on them is left alone.
+  std::set<std::string> unreadable;
+  /// The tasks that are placed on each machine.
+  std::unordered_map<MachineId, std::map<TaskId, Attempt>> placed;
+
+  [[nodiscard]] const JobRecord* job(const JobId& job_id) const;
+  [[nodiscard]] const Versioned<SliceRecord>* slice(const JobId& job_id,
+                                                    std::uint32_t number) const;
+  [[nodiscard]] const TaskRecord* task(const TaskId& id) const;
+  [[nodiscard]] const MachineType* type(const std::string& name) const;
+  [[nodiscard]] bool alive(const NodeId& node, ProcessIncarnation incarnation) const;
+};
+
+}  // namespace marblevale
--- a/src/store/records.cpp
+++ b/src/records/records.cpp
@@ -1,9 +1,9 @@
-#include "store/records.hpp"
+#include "records/records.hpp"
 
 #include <algorithm>
 #include <charconv>
 
-#include "store/record_fields.hpp"
+#include "records/record_fields.hpp"
 
 namespace marblevale {
 
@@ -31,9 +31,9 @@
 
 namespace keys {
 std::string node(const NodeId& node) { return "mv/nodes/" + node.get(); }
-std::string block(const ZoneId& zone) { return "mv/blocks/" + zone.get(); }
+std::string shard(const ZoneId& zone) { return "mv/blocks/" + zone.get(); }
 std::string job(const JobId& job_id) { return "mv/jobs/" + job_id.get(); }
-std::string grant(const JobId& job_id) { return "mv/grants/" + job_id.get(); }
+std::string guarantee_record(const JobId& job_id) { return "mv/grants/" + job_id.get(); }
 std::string slice(const JobId& job_id, std::uint32_t number) {
   return "mv/slices/" + job_id.get() + "/" + std::to_string(number);
 }
@@ -48,11 +48,11 @@
   return "mv/machines/" + zone.get() + "/" + name.substr(0, digits) +
          (numbered ? std::to_string(number / kPageMachines) : "");
 }
-std::string rental(const std::string& name) { return "mv/hires/" + name; }
+std::string provisioning_request(const std::string& name) { return "mv/hires/" + name; }
 std::string final_job(const JobId& job_id) { return "final/" + job_id.get(); }
 }  // namespace keys
 
-void GrantRecord::note(WallTime at, std::string what) {
+void GuaranteeRecord::note(WallTime at, std::string what) {
   if (notes.size() >= kMaxNotes) {
     // The first note tells what was granted at arrival; it stays.
     notes.erase(notes.begin() + 1);
@@ -93,12 +93,12 @@
 
 std::string encode(const LeaderRecord& r) {
   json::Writer out;
-  out.open().put("v", kFormat).put("node", r.node.get()).put("nonce", r.nonce.get()).close();
+  out.open().put("v", kFormat).put("node", r.node.get()).put("nonce", r.incarnation.get()).close();
   return out.str();
 }
 
 bool decode(const json::Value& v, LeaderRecord& out) {
-  return known_format(v) && read(v, "node", out.node) && read(v, "nonce", out.nonce);
+  return known_format(v) && read(v, "node", out.node) && read(v, "nonce", out.incarnation);
 }
 
 std::string encode(const NodeRecord& r) {
@@ -106,8 +106,8 @@
   out.open()
       .put("v", kFormat)
       .put("node", r.node.get())
-      .put("nonce", r.nonce.get())
-      .put("permit", r.block_lease_id.get())
+      .put("nonce", r.incarnation.get())
+      .put("permit", r.shard_lease_id.get())
       .put("reads", r.reads_forms)
       .close();
   return out.str();
@@ -115,26 +115,26 @@
 
 bool decode(const json::Value& v, NodeRecord& out) {
   out.reads_forms = json::count(v, "reads").value_or(1);
-  return known_format(v) && read(v, "node", out.node) && read(v, "nonce", out.nonce) &&
-         read(v, "permit", out.block_lease_id);
+  return known_format(v) && read(v, "node", out.node) && read(v, "nonce", out.incarnation) &&
+         read(v, "permit", out.shard_lease_id);
 }
 
-std::string encode(const BlockRecord& r) {
+std::string encode(const ShardRecord& r) {
   json::Writer out;
   out.open()
       .put("v", kFormat)
       .put("zone", r.zone.get())
       .put("holder", r.holder.get())
-      .put("nonce", r.nonce.get())
+      .put("nonce", r.incarnation.get())
       .put("gen", r.generation)
       .close();
   return out.str();
 }
 
-bool decode(const json::Value& v, BlockRecord& out) {
+bool decode(const json::Value& v, ShardRecord& out) {
   out.generation = json::count(v, "gen").value_or(0);
   return known_format(v) && read(v, "zone", out.zone) && read(v, "holder", out.holder) &&
-         read(v, "nonce", out.nonce);
+         read(v, "nonce", out.incarnation);
 }
 
 std::string encode(const JobRecord& r) {
@@ -179,7 +179,7 @@
   return text;
 }
 
-std::string encode_whole(const GrantRecord& r) {
+std::string encode_whole(const GuaranteeRecord& r) {
   json::Writer out;
   out.open().put("v", kFormat).put("uid", r.job_id.get()).key("grants").open_list();
   for (const Guarantee& g : r.guarantees) {
@@ -198,14 +198,14 @@
 
 }  // namespace
 
-std::string encode(GrantRecord r, std::size_t max_bytes) {
-  return encode_with_notes(r, max_bytes, [](const GrantRecord& g) { return encode_whole(g); });
+std::string encode(GuaranteeRecord r, std::size_t max_bytes) {
+  return encode_with_notes(r, max_bytes, [](const GuaranteeRecord& g) { return encode_whole(g); });
 }
 
-bool decode(const json::Value& v, GrantRecord& out) {
-  const json::Value* grants = json::list(v, "grants");
-  if (!known_format(v) || grants == nullptr || !read(v, "uid", out.job_id)) return false;
-  for (const auto& item : grants->GetArray()) {
+bool decode(const json::Value& v, GuaranteeRecord& out) {
+  const json::Value* guarantee_records = json::list(v, "grants");
+  if (!known_format(v) || guarantee_records == nullptr || !read(v, "uid", out.job_id)) return false;
+  for (const auto& item : guarantee_records->GetArray()) {
     Guarantee g;
     const auto slice = json::count(item, "slice");
     if (!slice || !read(item, "first", g.first) || !read(item, "start", g.start) ||
@@ -218,7 +218,7 @@
   return read_notes(v, out.notes);
 }
 
-std::string encode(const RentalRecord& r) {
+std::string encode(const ProvisioningRequest& r) {
   json::Writer out;
   out.open()
       .put("v", kFormat)
@@ -236,7 +236,7 @@
   return out.str();
 }
 
-bool decode(const json::Value& v, RentalRecord& out) {
+bool decode(const json::Value& v, ProvisioningRequest& out) {
   const json::Value* machine_ids = json::list(v, "hosts");
   const auto name = json::text(v, "name");
   if (!known_format(v) || machine_ids == nullptr || !name || !read(v, "zone", out.zone) ||
--- a/src/store/records.hpp
+++ b/src/records/records.hpp
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-#include "core/strong.hpp"
+#include "core/ids.hpp"
 #include "core/time.hpp"
-#include "wire/cloud.hpp"
-#include "wire/job_spec.hpp"
-#include "wire/worker.hpp"
+#include "protocol/cloud.hpp"
+#include "protocol/job_spec.hpp"
+#include "protocol/worker.hpp"
 
 namespace marblevale {
 
@@ -23,13 +23,13 @@
 inline constexpr const char* kLeader = "mv/leader";
 inline constexpr const char* kTypes = "mv/types";
 std::string node(const NodeId& node);
-std::string block(const ZoneId& zone);
+std::string shard(const ZoneId& zone);
 std::string job(const JobId& job_id);
-std::string grant(const JobId& job_id);
+std::string guarantee_record(const JobId& job_id);
 std::string slice(const JobId& job_id, std::uint32_t number);
 /// The page that has the machine: machines whose names follow one another share one.
 std::string machine_page(const ZoneId& zone, const MachineId& machine_id);
-std::string rental(const std::string& name);
+std::string provisioning_request(const std::string& name);
 std::string final_job(const JobId& job_id);
 }  // namespace keys
 
@@ -46,22 +46,22 @@
 
 struct LeaderRecord {
   NodeId node;
-  Nonce nonce;
+  ProcessIncarnation incarnation;
 };
 
-/// A live controller. Its blocks hang on `block_permit`, the lease that it renews for them.
+/// A live controller. Its shards hang on `shard_permit`, the lease that it renews for them.
 struct NodeRecord {
   NodeId node;
-  Nonce nonce;
-  LeaseId block_lease_id;
+  ProcessIncarnation incarnation;
+  LeaseId shard_lease_id;
   std::uint64_t reads_forms = 1;  // absent in the records of versions that read only plain ones
 };
 
-/// Whose block it is. The revision of this record is the block's fencing token.
-struct BlockRecord {
+/// Whose shard it is. The revision of this record is the shard's fencing token.
+struct ShardRecord {
   ZoneId zone;
   NodeId holder;
-  Nonce nonce;
+  ProcessIncarnation incarnation;
   std::uint64_t generation = 0;
 };
 
@@ -85,7 +85,7 @@
   WallTime end;
 };
 
-struct GrantRecord {
+struct GuaranteeRecord {
   JobId job_id;
   std::vector<Guarantee> guarantees;  // of the slices that are reserved now
   std::vector<Note> notes;            // the latest, bounded
@@ -107,7 +107,7 @@
   Attempt attempt;
   ZoneId zone;
   MachineId machine_id;
-  SessionId session;         // the worker's session when it was bound
+  WorkerEpoch epoch;         // the worker's epoch when it was bound
   WallTime since;            // of the release, the binding, or the last end
   WallTime running;          // when it was first seen running; 0: not yet
   Duration progress;         // saved
@@ -181,7 +181,7 @@
 bool note_image(std::vector<std::pair<ImageId, double>>& images, const ImageId& image, double gb,
                 double cache_gb);
 
-struct RentalRecord {
+struct ProvisioningRequest {
   std::string name;
   std::string machine_type;
   ZoneId zone;
@@ -205,10 +205,10 @@
 
 std::string encode(const LeaderRecord& r);
 std::string encode(const NodeRecord& r);
-std::string encode(const BlockRecord& r);
+std::string encode(const ShardRecord& r);
 std::string encode(const JobRecord& r);
 /// Notes are left out, the oldest but the first, until the record stays within `max_bytes`.
-std::string encode(GrantRecord r, std::size_t max_bytes);
+std::string encode(GuaranteeRecord r, std::size_t max_bytes);
 /// In the plain form, whatever its size.
 std::string encode(const SliceRecord& r);
 /// In the plain form if it fits, else in the compact one as far as that is allowed.
@@ -216,7 +216,7 @@
 /// Images are left out, the longest unused first, until the page fits; where the plain form is too
 /// large without them and the compact one is allowed, that is taken.
 std::string encode(const MachinePage& page, const RecordSize& size);
-std::string encode(const RentalRecord& r);
+std::string encode(const ProvisioningRequest& r);
 /// Notes are left out as in a grant.
 std::string encode(FinalRecord r, std::size_t max_bytes);
 std::string encode(const std::vector<MachineType>& types);
@@ -224,12 +224,12 @@
 // Each returns false, leaving `out` in an unspecified state, for what this version can't read.
 bool decode(const json::Value& v, LeaderRecord& out);
 bool decode(const json::Value& v, NodeRecord& out);
-bool decode(const json::Value& v, BlockRecord& out);
+bool decode(const json::Value& v, ShardRecord& out);
 bool decode(const json::Value& v, JobRecord& out);
-bool decode(const json::Value& v, GrantRecord& out);
+bool decode(const json::Value& v, GuaranteeRecord& out);
 bool decode(const json::Value& v, SliceRecord& out);
 bool decode(const json::Value& v, MachinePage& out);
-bool decode(const json::Value& v, RentalRecord& out);
+bool decode(const json::Value& v, ProvisioningRequest& out);
 bool decode(const json::Value& v, FinalRecord& out);
 bool decode(const json::Value& v, std::vector<MachineType>& out);
 
--- a/src/store/slice_codec.cpp
+++ b/src/records/slice_codec.cpp
@@ -1,9 +1,9 @@
 // The codec of slice records.
 #include <algorithm>
 
-#include "store/compact_encoding.hpp"
-#include "store/record_fields.hpp"
-#include "store/records.hpp"
+#include "records/compact_encoding.hpp"
+#include "records/record_fields.hpp"
+#include "records/records.hpp"
 
 namespace marblevale {
 
@@ -35,7 +35,7 @@
 };
 
 // A task is a list: state, attempt, since, progress, faults, last failed on; when it is placed,
-// also zone, host, session, running; when it is to stop, also grace period and reason. Times count
+// also zone, host, epoch, running; when it is to stop, also grace period and reason. Times count
 // from the base, plus one, so that 0 stands for none.
 void write_task(json::Writer& out, const TaskRecord& task, SliceCommon& common) {
   const auto time = [&](WallTime at) { return at.ms == 0 ? 0 : at.ms - common.base + 1; };
@@ -44,7 +44,7 @@
   out.value(static_cast<std::uint64_t>(task.faults)).value(task.failed_on.get());
   if (task.placed()) {
     out.value(SliceCommon::index(common.zones, task.zone.get())).value(task.machine_id.get());
-    out.value(task.session.get()).value(time(task.running));
+    out.value(task.epoch.get()).value(time(task.running));
     if (task.stop) {
       out.value(task.stop->grace_period.ms);
       out.value(SliceCommon::index(common.reasons, task.stop->reason));
@@ -97,7 +97,7 @@
   if (!task.placed()) return in.ok();
   const std::uint64_t zone = in.count();
   task.machine_id = MachineId(in.text());
-  task.session = SessionId(in.count());
+  task.epoch = WorkerEpoch(in.count());
   task.running = time(in.integer());
   if (!in.ok() || zone >= common.zones.size()) return false;
   task.zone = ZoneId(common.zones[zone]);
@@ -159,7 +159,7 @@
   void write_place(const TaskRecord& task, std::uint64_t head) {
     bytes_.put(index(zones_, task.zone.get()));
     bytes_.put(names_.number_of(task.machine_id.get()));
-    bytes_.put(task.session.get());
+    bytes_.put(task.epoch.get());
     if ((head & kHasRunning) != 0) bytes_.put(time(task.running));
     if ((head & kHasStop) == 0) return;
     put_duration(task.stop->grace_period);
@@ -222,7 +222,7 @@
     const std::uint64_t zone = bytes_.number();
     if (zone >= zones_.size() || !read_machine(task.machine_id)) return false;
     task.zone = ZoneId(zones_[zone]);
-    task.session = SessionId(bytes_.number());
+    task.epoch = WorkerEpoch(bytes_.number());
     if ((head & kHasRunning) != 0) task.running = time();
     if ((head & kHasStop) == 0) return true;
     const Duration grace_period = duration();
--- a/src/planner/image_set.hpp
+++ b/src/scheduling/image_set.hpp
@@ -1,12 +1,12 @@
-// The images that a machine holds, as placement asks for them: for every machine of a fleet, again
-// and again.
+// The images that a machine holds, as placement asks for them: for every machine of a cluster,
+// again and again.
 #pragma once
 
 #include <algorithm>
 #include <cstdint>
 #include <vector>
 
-#include "core/strong.hpp"
+#include "core/ids.hpp"
 
 namespace marblevale {
 
--- a/src/planner/queueing.cpp
+++ b/src/scheduling/job_queue.cpp
@@ -1,4 +1,4 @@
-#include "planner/queueing.hpp"
+#include "scheduling/job_queue.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -21,9 +21,9 @@
 constexpr std::size_t kOpenTasks = std::size_t{4} * kSliceTasks;
 
 /// An array that failed on that many machines and has not worked anywhere is taken for mistaken.
-constexpr std::size_t kMistakenMachines = 3;
+constexpr std::size_t kFaultyJobMachines = 3;
 /// The same for one task: its record names only the last machine.
-constexpr std::uint32_t kMistakenFaults = 3;
+constexpr std::uint32_t kFaultyJobFaults = 3;
 constexpr Duration kProvenRun{4'000};  // a task that ran this long is not mistaken
 
 Duration retry_pause(std::uint32_t faults) {
@@ -124,20 +124,20 @@
           .push_back(n * kSliceTasks + i);
     }
   }
-  item.failing = !worked && (failed_on.size() >= kMistakenMachines || faults >= kMistakenFaults);
+  item.failing = !worked && (failed_on.size() >= kFaultyJobMachines || faults >= kFaultyJobFaults);
   if (spec.gang()) {
     // A gang starts whole: not before all its earlier tasks are proven gone.
     if (placed) return std::nullopt;
     item.task_indices.insert(item.task_indices.end(), paused.begin(), paused.end());
     // It waits as a whole. When one of its tasks fails, the others only end with it and have no
     // pause of their own: counted by them, a gang with a mistake began again every few seconds, and
-    // displaced others each time.
+    // preempted others each time.
     if (!paused.empty()) item.not_before = last_fault + retry_pause(faults);
     if (item.task_indices.size() != spec.task_count) return std::nullopt;
     std::sort(item.task_indices.begin(), item.task_indices.end());
-  } else if (worst && !worked && failed_on.size() >= kMistakenMachines) {
+  } else if (worst && !worked && failed_on.size() >= kFaultyJobMachines) {
     // Submitted with a mistake, it seems: one task at a time tries again, until one works. With a
-    // pause for each task alone, 14 of them failed 68 times in 90 s and displaced others.
+    // pause for each task alone, 14 of them failed 68 times in 90 s and preempted others.
     if (placed) return std::nullopt;
     item.task_indices = {*worst};
     item.not_before = last_fault + retry_pause(faults);
--- a/src/planner/queueing.hpp
+++ b/src/scheduling/job_queue.hpp
@@ -6,9 +6,9 @@
 #include <unordered_set>
 #include <vector>
 
-#include "app/settings.hpp"
-#include "planner/planner.hpp"
-#include "store/watch_cache.hpp"
+#include "config/settings.hpp"
+#include "records/record_set.hpp"
+#include "scheduling/planner.hpp"
 
 namespace marblevale {
 
--- a/src/planner/machine_evacuation.cpp
+++ b/src/scheduling/machine_evacuation.cpp
@@ -1,4 +1,4 @@
-#include "planner/machine_evacuation.hpp"
+#include "scheduling/machine_evacuation.hpp"
 
 namespace marblevale {
 
@@ -17,11 +17,11 @@
 template <typename Leaves>
 void add_tasks(Evacuation& out, const JobId& job_id, const Records& records, const Leaves& leaves) {
   for (auto it = records.slices.lower_bound({job_id, 0});
-       it != records.slices.end() && it->first.first == job_id; ++it) {
+       it != records.slices.end() && it->first.job_id == job_id; ++it) {
     const auto& tasks = it->second.record.tasks;
     for (std::size_t i = 0; i < tasks.size(); ++i) {
       if (tasks[i].placed() && !tasks[i].stop && leaves(tasks[i])) {
-        out.tasks[it->first.second].insert(i);
+        out.tasks[it->first.number].insert(i);
       }
     }
   }
@@ -31,7 +31,7 @@
 bool complete(const JobSpec& job, const Records& records) {
   std::uint32_t placed = 0;
   for (auto it = records.slices.lower_bound({job.job_id, 0});
-       it != records.slices.end() && it->first.first == job.job_id; ++it) {
+       it != records.slices.end() && it->first.job_id == job.job_id; ++it) {
     for (const TaskRecord& task : it->second.record.tasks) {
       if (task.placed() && !task.stop && task.running.ms != 0) ++placed;
     }
--- a/src/planner/machine_evacuation.hpp
+++ b/src/scheduling/machine_evacuation.hpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <string>
 
-#include "store/watch_cache.hpp"
+#include "records/record_set.hpp"
 
 namespace marblevale {
 
--- a/src/planner/occupancy.cpp
+++ b/src/scheduling/occupancy.cpp
@@ -1,4 +1,4 @@
-#include "planner/occupancy.hpp"
+#include "scheduling/occupancy.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -9,11 +9,11 @@
 constexpr Duration kMinRun{5'000};
 constexpr Duration kReached{1'000};  // an end this near has been reached
 constexpr double kStretch = 0.2;
-constexpr Duration kPlanningStep{1000};  // of ends: fewer steps make lanes quicker to ask
+constexpr Duration kPlanningStep{1000};  // of ends: fewer steps make timelines quicker to ask
 
 Owner owner_of(const SliceKey& key) {
   // Apart from the owners of reservations and starts by its second bit.
-  const std::uint64_t hash = std::hash<JobId>{}(key.first) * 31 + key.second;
+  const std::uint64_t hash = std::hash<JobId>{}(key.job_id) * 31 + key.number;
   return Owner{(hash & ~(3ULL << 62)) | (1ULL << 62)};
 }
 }  // namespace
@@ -71,8 +71,8 @@
     const SliceKey of_task{id.job_id, id.task_index / kSliceTasks};
     if (of_task != key) {
       key = of_task;
-      slice = records.slice(key.first, key.second);
-      job = records.job(key.first);
+      slice = records.slice(key.job_id, key.number);
+      job = records.job(key.job_id);
     }
     if (slice == nullptr || job == nullptr) continue;
     const TaskRecord& task = slice->record.tasks.at(id.task_index % kSliceTasks);
@@ -155,11 +155,11 @@
     on_.erase(old);
   }
   const auto ahead = pending.find(key);
-  const auto* stored = records.slice(key.first, key.second);
+  const auto* stored = records.slice(key.job_id, key.number);
   const SliceRecord* slice = ahead != pending.end() ? ahead->second
                              : stored != nullptr    ? &stored->record
                                                     : nullptr;
-  const JobRecord* job = records.job(key.first);
+  const JobRecord* job = records.job(key.job_id);
   if (slice == nullptr || job == nullptr) return;
   const JobSpec& spec = job->spec;
   WallTime first{std::numeric_limits<std::int64_t>::max()};
--- a/src/planner/occupancy.hpp
+++ b/src/scheduling/occupancy.hpp
@@ -7,9 +7,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "app/settings.hpp"
-#include "planner/profile.hpp"
-#include "store/watch_cache.hpp"
+#include "config/settings.hpp"
+#include "records/record_set.hpp"
+#include "scheduling/profile.hpp"
 
 namespace marblevale {
 
--- a/src/planner/placement_search.cpp
+++ b/src/scheduling/placement_search.cpp
@@ -1,4 +1,4 @@
-#include "planner/placement_search.hpp"
+#include "scheduling/placement_search.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -14,7 +14,8 @@
 constexpr double kWasteSeconds =
     30;  // waiting that a whole machine's stranded accelerators are worth
 constexpr double kApartSeconds = 10;  // waiting that staying in one zone is worth
-/// Ends are planned to this: lanes with fewer steps are quicker to ask, and estimates are rougher.
+/// Ends are planned to this: timelines with fewer steps are quicker to ask, and estimates are
+/// rougher.
 constexpr Duration kPlanningStep{1000};
 const Resources kNoLimit{1e12, 1e12, 1e12};
 constexpr WallTime kNever{std::numeric_limits<std::int64_t>::max()};
@@ -32,7 +33,9 @@
 }  // namespace
 
 double PlacementSearch::price_weight(double share, const PlanMachine& machine) const {
-  return profile_.dearest() > 0 ? kPriceSeconds * share * machine.price / profile_.dearest() : 0;
+  return profile_.highest_price() > 0
+             ? kPriceSeconds * share * machine.price / profile_.highest_price()
+             : 0;
 }
 
 double PlacementSearch::score(const Demand& demand, std::size_t machine, Duration fetch,
@@ -41,7 +44,8 @@
   // decided by job and machine together, so that no zone is favoured.
   const JobSpec& job = *demand.job;
   const PlanMachine& m = profile_.machines()[machine];
-  const std::uint64_t draw = mix(profile_.salt(machine) ^ std::hash<JobId>{}(job.job_id)) % 997;
+  const std::uint64_t draw =
+      mix(profile_.tie_break_seed(machine) ^ std::hash<JobId>{}(job.job_id)) % 997;
   // A job with a deadline can rather wait for its image than take what others can't do without.
   // What it takes of memory or CPUs beyond its share of the accelerators strands the rest of them,
   // on ordinary machines for jobs that may use no others.
@@ -61,7 +65,7 @@
 
 bool PlacementSearch::team_takes(const Demand& demand, WallTime at) const {
   const JobSpec& job = *demand.job;
-  const Lane* team = profile_.team(job.team);
+  const ResourceTimeline* team = profile_.team(job.team);
   const double tasks = job.gang() ? demand.tasks : 1;
   return team == nullptr || team->takes(job.need * tasks, at, at + demand.run);
 }
@@ -72,15 +76,16 @@
   std::vector<std::pair<ZoneId, std::uint32_t>> found;
   bool enough = false;
   profile_.each_allowed(demand, demand.zone, [&](std::size_t i) {
-    if (enough || profile_.machines()[i].ready > at || profile_.lane(i).surely_full(job.need, at))
+    if (enough || profile_.machines()[i].ready > at ||
+        profile_.timeline(i).surely_full(job.need, at))
       return;
     const ZoneId key = job.together ? profile_.machines()[i].zone : ZoneId{};
     auto zone = std::find_if(found.begin(), found.end(),
                              [&](const auto& entry) { return entry.first == key; });
     if (zone == found.end()) zone = found.insert(found.end(), {key, 0});
     Resources sum = job.need;
-    while (zone->second < wanted && !profile_.lane(i).surely_full(sum, at) &&
-           fits(sum, profile_.lane(i).whole())) {
+    while (zone->second < wanted && !profile_.timeline(i).surely_full(sum, at) &&
+           fits(sum, profile_.timeline(i).whole())) {
       ++zone->second;
       sum += job.need;
     }
@@ -102,12 +107,12 @@
   const JobSpec& job = *demand.job;
   std::vector<Candidate> out;
   profile_.each_allowed(demand, zone, [&](std::size_t i) {
-    const Lane& lane = profile_.lane(i);
-    if (profile_.machines()[i].ready > at || lane.surely_full(job.need, at)) return;
+    const ResourceTimeline& timeline = profile_.timeline(i);
+    if (profile_.machines()[i].ready > at || timeline.surely_full(job.need, at)) return;
     const Duration fetch = profile_.fetch_time(job, profile_.machines()[i]);
     const Duration run = std::max(least_run, planned_run(demand, fetch));
-    const Resources free =
-        room == Room::unreserved ? lane.free(at, at + run) : lane.whole() - lane.running();
+    const Resources free = room == Room::unreserved ? timeline.free(at, at + run)
+                                                    : timeline.whole() - timeline.running();
     if (!fits(job.need, free)) return;
     out.push_back({i, free, score(demand, i, fetch, free), run});
   });
@@ -150,7 +155,7 @@
   const JobSpec& job = *demand.job;
   if (!team_takes(demand, at)) return std::nullopt;
   std::vector<Candidate> found = candidates(demand, at, zone, Room::unreserved, least_run);
-  const Lane* team = profile_.team(job.team);
+  const ResourceTimeline* team = profile_.team(job.team);
   Duration longest = demand.run;
   for (const Candidate& c : found) longest = std::max(longest, c.run);
   const Resources team_free = team == nullptr ? kNoLimit : team->free(at, at + longest);
@@ -169,7 +174,7 @@
 }
 
 Plan PlacementSearch::beside_running(const Demand& demand, WallTime at) const {
-  const Lane* team = profile_.team(demand.job->team);
+  const ResourceTimeline* team = profile_.team(demand.job->team);
   const Resources team_free = team == nullptr ? kNoLimit : team->whole() - team->running();
   return assign(demand, at, candidates(demand, at, demand.zone, Room::beside_running, Duration{0}),
                 team_free);
@@ -233,9 +238,9 @@
 // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size)
 std::optional<Plan> PlacementSearch::gang_in(const Demand& demand, WallTime from,
                                              const std::optional<ZoneId>& zone) const {
-  // For each place that a task could have on a lane (the first, the second, ...), the next moment
-  // at which it is free. The gang can't start before as many are free as it has tasks, so that
-  // moment is tried next; only lanes that were free before it are asked anew.
+  // For each place that a task could have on a timeline (the first, the second, ...), the next
+  // moment at which it is free. The gang can't start before as many are free as it has tasks, so
+  // that moment is tried next; only timelines that were free before it are asked anew.
   const JobSpec& job = *demand.job;
   struct Open {
     WallTime next;
@@ -247,8 +252,8 @@
   const auto ask = [&](Open& open, WallTime at) {
     profile_.count_looked();
     const WallTime begin = std::max(at, profile_.machines()[open.machine].ready);
-    const auto next =
-        profile_.lane(open.machine).next(job.need * static_cast<double>(open.nth), begin, open.run);
+    const auto next = profile_.timeline(open.machine)
+                          .next(job.need * static_cast<double>(open.nth), begin, open.run);
     open.next = next.value_or(kNever);
   };
   profile_.each_allowed(demand, zone, [&](std::size_t i) {
@@ -262,7 +267,7 @@
     }
   });
   if (opens.size() < demand.tasks || demand.tasks == 0) return std::nullopt;
-  const Lane* limit = profile_.team(job.team);
+  const ResourceTimeline* limit = profile_.team(job.team);
   const Resources all = job.need * static_cast<double>(demand.tasks);
   WallTime at = from;
   for (std::size_t step = 0; step < kMaxSteps; ++step) {
@@ -287,7 +292,7 @@
     WallTime later = kNever;
     for (const Open& open : opens) {
       if (open.next > at) later = std::min(later, open.next);
-      if (const auto change = profile_.lane(open.machine).change_after(at)) {
+      if (const auto change = profile_.timeline(open.machine).change_after(at)) {
         later = std::min(later, *change);
       }
     }
@@ -311,24 +316,24 @@
     bool operator>(const Open& o) const { return next != o.next ? next > o.next : score > o.score; }
   };
   std::priority_queue<Open, std::vector<Open>, std::greater<>> opens;
-  std::unordered_map<std::size_t, Lane> scratch;
-  const auto lane_of = [&](std::size_t i) -> const Lane& {
+  std::unordered_map<std::size_t, ResourceTimeline> scratch;
+  const auto lane_of = [&](std::size_t i) -> const ResourceTimeline& {
     const auto it = scratch.find(i);
-    return it == scratch.end() ? profile_.lane(i) : it->second;
+    return it == scratch.end() ? profile_.timeline(i) : it->second;
   };
   const auto ask = [&](std::size_t i, Duration run, WallTime at) {
     profile_.count_looked();
-    const Lane& lane = lane_of(i);
-    const auto next = lane.next(job.need, std::max(at, profile_.machines()[i].ready), run);
+    const ResourceTimeline& timeline = lane_of(i);
+    const auto next = timeline.next(job.need, std::max(at, profile_.machines()[i].ready), run);
     if (!next) return;
-    const Resources left = lane.whole() - lane.running();
+    const Resources left = timeline.whole() - timeline.running();
     opens.push({*next, score(demand, i, run - demand.run, left), i, run});
   };
   profile_.each_allowed(demand, zone, [&](std::size_t i) {
     ask(i, planned_run(demand, profile_.fetch_time(job, profile_.machines()[i])), from);
   });
-  std::optional<Lane> limit;
-  const Lane* team = profile_.team(job.team);
+  std::optional<ResourceTimeline> limit;
+  const ResourceTimeline* team = profile_.team(job.team);
   if (team != nullptr) limit = *team;
   const std::uint32_t zone_most = max_tasks_in_zone(job);
   std::unordered_map<ZoneId, std::uint32_t> in_zone;
--- a/src/planner/placement_search.hpp
+++ b/src/scheduling/placement_search.hpp
@@ -4,7 +4,7 @@
 #include <optional>
 #include <vector>
 
-#include "planner/profile.hpp"
+#include "scheduling/profile.hpp"
 
 namespace marblevale {
 
--- a/src/planner/planner.cpp
+++ b/src/scheduling/planner.cpp
@@ -1,9 +1,9 @@
-#include "planner/planner.hpp"
+#include "scheduling/planner.hpp"
 
 #include <algorithm>
 #include <unordered_set>
 
-#include "planner/placement_search.hpp"
+#include "scheduling/placement_search.hpp"
 
 namespace marblevale {
 
@@ -85,12 +85,13 @@
 }
 
 bool Planner::holds(const Plan& plan, const Demand& demand) const {
-  return profile_.holds(plan, *demand.job) && profile_.keeps_zones(plan, demand);
+  return profile_.holds(plan, *demand.job) && profile_.satisfies_zone_constraints(plan, demand);
 }
 
-bool Planner::keeps_zones(const Reservation& r, const Demand& demand) const {
+bool Planner::satisfies_zone_constraints(const Reservation& r, const Demand& demand) const {
   // Asked of every reservation in every round: the plan is made only where it matters.
-  return !Profile::has_tasks_elsewhere(demand) || profile_.keeps_zones(plan_of(r), demand);
+  return !Profile::has_tasks_elsewhere(demand) ||
+         profile_.satisfies_zone_constraints(plan_of(r), demand);
 }
 
 void Planner::set(const QueueItem& item, const Plan& plan) {
@@ -143,7 +144,7 @@
       return std::find(there.only.begin(), there.only.end(), place.machine_id) != there.only.end();
     });
     if (kept && now.places.size() == item.demand.tasks && first_of(now) >= now_ &&
-        profile_.intact(item.owner) && keeps_zones(now, item.demand)) {
+        profile_.intact(item.owner) && satisfies_zone_constraints(now, item.demand)) {
       pinned.insert(item.job_id);
       continue;
     }
@@ -175,7 +176,8 @@
     Reservation& r = reservations_.at(item->job_id);
     // Most stand in the profile since an earlier round, and nothing has come in their way.
     if (!disturbed && r.places.size() == item->demand.tasks && r.start > now_ &&
-        first_of(r) >= now_ && profile_.intact(item->owner) && keeps_zones(r, item->demand)) {
+        first_of(r) >= now_ && profile_.intact(item->owner) &&
+        satisfies_zone_constraints(r, item->demand)) {
       continue;
     }
     if (!disturbed && repair(*item, moved)) continue;
@@ -345,12 +347,12 @@
   return some;
 }
 
-std::optional<Plan> Planner::take_precedence(const QueueItem& item) {
+std::optional<Plan> Planner::displace_reservations(const QueueItem& item) {
   const JobSpec& job = *item.demand.job;
   if (!job.endless()) return std::nullopt;
   const Plan plan = profile_.beside_running(item.demand, now_);
   if (plan.placements.empty()) return std::nullopt;
-  const Lane* team = profile_.team(job.team);
+  const ResourceTimeline* team = profile_.team(job.team);
   const Resources wanted = job.need * static_cast<double>(plan.placements.size());
   if (team != nullptr && !team->takes(wanted, now_, plan.end())) return std::nullopt;
   // Looked at before any gives way: a job that waits here for long must not break the reservations
@@ -428,14 +430,15 @@
   }
 }
 
-bool Planner::could_begin_on(const QueueItem& item, const std::vector<std::size_t>& lanes) const {
-  return std::any_of(lanes.begin(), lanes.end(), [&](std::size_t lane) {
-    return Profile::allowed(*item.demand.job, profile_.machines()[lane]) &&
-           profile_.lane(lane).takes(item.demand.job->need, now_, now_ + item.demand.run);
+bool Planner::could_begin_on(const QueueItem& item,
+                             const std::vector<std::size_t>& timelines) const {
+  return std::any_of(timelines.begin(), timelines.end(), [&](std::size_t timeline) {
+    return Profile::allowed(*item.demand.job, profile_.machines()[timeline]) &&
+           profile_.timeline(timeline).takes(item.demand.job->need, now_, now_ + item.demand.run);
   });
 }
 
-bool Planner::still_hopeless(const QueueItem& item) const {
+bool Planner::would_fail_again(const QueueItem& item) const {
   const auto known = failed_.find(item.job_id);
   if (known == failed_.end()) return false;
   const FailedStart& failure = known->second;
@@ -485,7 +488,7 @@
       ++i;
       continue;
     }
-    if (still_hopeless(item)) {
+    if (would_fail_again(item)) {
       blocked[i++] = true;
       continue;
     }
@@ -496,7 +499,7 @@
     }
     profile_.release_for_trial(item.owner);
     auto plan = start_now(item);
-    if (!plan) plan = take_precedence(item);
+    if (!plan) plan = displace_reservations(item);
     if (!plan) {
       note_failed_start(item);
       put_back(item);
--- a/src/planner/planner.hpp
+++ b/src/scheduling/planner.hpp
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "planner/profile.hpp"
+#include "scheduling/profile.hpp"
 
 namespace marblevale {
 
@@ -113,7 +113,7 @@
   /// The plan fits into the profile, and its zones go together with those of the job's tasks that
   /// are placed already.
   [[nodiscard]] bool holds(const Plan& plan, const Demand& demand) const;
-  [[nodiscard]] bool keeps_zones(const Reservation& r, const Demand& demand) const;
+  [[nodiscard]] bool satisfies_zone_constraints(const Reservation& r, const Demand& demand) const;
   void set(const QueueItem& item, const Plan& plan);
   void put_back(const QueueItem& item);
   /// Keeps a reservation that broke, or places it again, where that moves nobody else and makes it
@@ -126,17 +126,17 @@
   [[nodiscard]] std::optional<Plan> start_now(const QueueItem& item) const;
   /// A standing job never fits before reservations, as it has no end. It starts all the same where
   /// nothing runs, if only reservations of lower urgency are in its way: these are placed again.
-  std::optional<Plan> take_precedence(const QueueItem& item);
+  std::optional<Plan> displace_reservations(const QueueItem& item);
   /// Those in the queue, other than `except`, that have a place on one of the plan's machines.
   [[nodiscard]] std::vector<const QueueItem*> reserved_on(const Plan& plan,
                                                           const JobId& except) const;
   /// True when trying would fail as it did before.
-  [[nodiscard]] bool still_hopeless(const QueueItem& item) const;
+  [[nodiscard]] bool would_fail_again(const QueueItem& item) const;
   void note_failed_start(const QueueItem& item);
   void begin_now(QueueItem& item, const Plan& plan);
   void keep_rest(const QueueItem& item);
   [[nodiscard]] bool could_begin_on(const QueueItem& item,
-                                    const std::vector<std::size_t>& lanes) const;
+                                    const std::vector<std::size_t>& timelines) const;
 
   Profile profile_;
   std::vector<QueueItem> queue_;
--- a/src/planner/displacement.cpp
+++ b/src/scheduling/preemption.cpp
@@ -1,4 +1,4 @@
-#include "planner/displacement.hpp"
+#include "scheduling/preemption.hpp"
 
 #include <algorithm>
 #include <map>
@@ -23,14 +23,14 @@
 
 // Not split yet, issue 17.
 // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size)
-std::optional<Displacement> find_room(const QueueItem& item,
-                                      const std::unordered_set<JobId>& guaranteed,
-                                      const Records& records, const Settings& settings,
-                                      const Profile& profile, WallTime now,
-                                      const std::set<MachineId>& others) {
+std::optional<Preemption> select_victims(const QueueItem& item,
+                                         const std::unordered_set<JobId>& guaranteed,
+                                         const Records& records, const Settings& settings,
+                                         const Profile& profile, WallTime now,
+                                         const std::set<MachineId>& others) {
   const JobSpec& spec = *item.demand.job;
   const Team* team = settings.team(spec.team);
-  struct Victim {
+  struct VictimTask {
     TaskId id;
     Resources resources;
     double loss;
@@ -40,7 +40,7 @@
     ZoneId zone;
     Resources free;
     double fetch = 0;  // seconds until the job's image is there
-    std::vector<Victim> victims;
+    std::vector<VictimTask> victims;
   };
   Resources team_used{};
   std::vector<Place> places;
@@ -49,9 +49,9 @@
     const MachineType* type = records.type(m.machine_type);
     if (type == nullptr) continue;
     Place place{machine_id, m.zone, type->resources, 0, {}};
-    const auto lane = profile.find(machine_id);
-    if (lane) {
-      place.fetch = profile.fetch_time(spec, profile.machines()[*lane]).seconds();
+    const auto timeline = profile.find(machine_id);
+    if (timeline) {
+      place.fetch = profile.fetch_time(spec, profile.machines()[*timeline]).seconds();
     }
     if (const auto placed = records.placed.find(machine_id); placed != records.placed.end()) {
       for (const auto& [id, attempt] : placed->second) {
@@ -87,13 +87,13 @@
     rules.zone = m.zone;
     rules.spot = m.spot;
     rules.resources = type->resources;
-    const bool usable = lane && !others.contains(machine_id) && m.state == MachineState::up &&
+    const bool usable = timeline && !others.contains(machine_id) && m.state == MachineState::up &&
                         !m.reclaim_at && Profile::allowed(spec, rules) &&
                         (!item.demand.zone || *item.demand.zone == m.zone);
     if (!usable || zone_is_full(item.demand, m.zone)) continue;
     // Those that lose least first.
     std::sort(place.victims.begin(), place.victims.end(),
-              [](const Victim& a, const Victim& b) { return a.loss < b.loss; });
+              [](const VictimTask& a, const VictimTask& b) { return a.loss < b.loss; });
     places.push_back(std::move(place));
   }
   const Resources all = spec.need * static_cast<double>(item.demand.tasks);
@@ -165,7 +165,7 @@
     }
   }
   if (best.empty()) return std::nullopt;
-  return Displacement{std::move(best), std::move(best_machine_ids)};
+  return Preemption{std::move(best), std::move(best_machine_ids)};
 }
 
 }  // namespace marblevale
