--- a/src/planner/profile.cpp
+++ b/src/scheduling/profile.cpp
@@ -1,11 +1,11 @@
-#include "planner/profile.hpp"
+#include "scheduling/profile.hpp"
 
 #include <algorithm>
 #include <limits>
 #include <map>
 #include <tuple>
 
-#include "planner/placement_search.hpp"
+#include "scheduling/placement_search.hpp"
 
 namespace marblevale {
 
@@ -32,20 +32,20 @@
 }
 
 std::size_t Profile::add_machine(PlanMachine machine) {
-  dearest_ = std::max(dearest_, machine.price);
+  highest_price_ = std::max(highest_price_, machine.price);
   std::size_t at = machines_.size();
   if (unused_.empty()) {
     machines_.emplace_back();
-    salts_.push_back(0);
-    lanes_.emplace_back(Resources{});
+    tie_break_seeds_.push_back(0);
+    timelines_.emplace_back(Resources{});
     opened_.emplace_back();
   } else {
     at = unused_.back();
     unused_.pop_back();
   }
-  lanes_[at] = Lane(machine.resources);
+  timelines_[at] = ResourceTimeline(machine.resources);
   note_opened(at);
-  salts_[at] = std::hash<MachineId>{}(machine.machine_id);
+  tie_break_seeds_[at] = std::hash<MachineId>{}(machine.machine_id);
   index_[machine.machine_id] = at;
   auto group = std::find_if(groups_.begin(), groups_.end(), [&](const Group& g) {
     return g.kind.machine_type == machine.machine_type && g.kind.zone == machine.zone &&
@@ -64,7 +64,7 @@
   for (Group& group : groups_) std::erase(group.members, machine);
   index_.erase(machines_[machine].machine_id);
   break_owners_on(machine);
-  lanes_[machine] = Lane(Resources{});
+  timelines_[machine] = ResourceTimeline(Resources{});
   machines_[machine] = PlanMachine{};
   machines_[machine].ready = kNever;
   unused_.push_back(machine);
@@ -89,17 +89,17 @@
 
 void Profile::note_team_opened(const TeamId& team) {
   next_version();
-  for (TeamLane& known : teams_) {
+  for (TeamTimeline& known : teams_) {
     if (known.name == team) known.opened = version_;
   }
 }
 
 void Profile::break_owners_on(std::size_t machine) {
-  for (const Allocation& t : lanes_[machine].allocations()) broken_.insert(t.owner);
+  for (const Allocation& t : timelines_[machine].allocations()) broken_.insert(t.owner);
 }
 
 void Profile::set_team(const TeamId& team, Resources limit) {
-  teams_.push_back({team, Lane(limit), {}});
+  teams_.push_back({team, ResourceTimeline(limit), {}});
 }
 
 std::optional<std::size_t> Profile::find(const MachineId& machine_id) const {
@@ -108,30 +108,31 @@
   return it->second;
 }
 
-const Lane* Profile::team(const TeamId& team) const {
-  for (const TeamLane& known : teams_) {
-    if (known.name == team) return &known.lane;
+const ResourceTimeline* Profile::team(const TeamId& team) const {
+  for (const TeamTimeline& known : teams_) {
+    if (known.name == team) return &known.timeline;
   }
   return nullptr;
 }
 
 void Profile::take(std::size_t machine, const TeamId& team, const Allocation& allocation) {
-  lanes_[machine].take(allocation);
-  auto& lanes = owners_[allocation.owner];
-  if (std::find(lanes.begin(), lanes.end(), machine) == lanes.end()) lanes.push_back(machine);
+  timelines_[machine].take(allocation);
+  auto& timelines = owners_[allocation.owner];
+  if (std::find(timelines.begin(), timelines.end(), machine) == timelines.end())
+    timelines.push_back(machine);
   take_team(team, allocation);
 }
 
 void Profile::take_team(const TeamId& team, const Allocation& allocation) {
   for (std::size_t i = 0; i < teams_.size(); ++i) {
     if (teams_[i].name != team) continue;
-    teams_[i].lane.take(allocation);
+    teams_[i].timeline.take(allocation);
     team_of_[allocation.owner] = i;
   }
 }
 
 void Profile::take(const Plan& plan, const JobSpec& job, Owner owner) {
-  // Tasks of one place and time are one allocation: a lane's cost follows their number.
+  // Tasks of one place and time are one allocation: a timeline's cost follows their number.
   std::vector<Placement> sorted = plan.placements;
   const auto each_run = [&sorted](auto same, auto take_run) {
     for (std::size_t i = 0; i < sorted.size();) {
@@ -144,14 +145,15 @@
   std::sort(sorted.begin(), sorted.end(), [](const Placement& a, const Placement& b) {
     return std::tie(a.machine, a.start, a.end) < std::tie(b.machine, b.start, b.end);
   });
-  auto& lanes = owners_[owner];
+  auto& timelines = owners_[owner];
   each_run(
       [](const Placement& a, const Placement& b) {
         return a.machine == b.machine && a.start == b.start && a.end == b.end;
       },
       [&](const Placement& first, double count) {
-        lanes_[first.machine].take({first.start, first.end, job.need * count, owner});
-        if (lanes.empty() || lanes.back() != first.machine) lanes.push_back(first.machine);
+        timelines_[first.machine].take({first.start, first.end, job.need * count, owner});
+        if (timelines.empty() || timelines.back() != first.machine)
+          timelines.push_back(first.machine);
       });
   std::sort(sorted.begin(), sorted.end(), [](const Placement& a, const Placement& b) {
     return std::tie(a.start, a.end) < std::tie(b.start, b.end);
@@ -163,19 +165,19 @@
       });
 }
 
-std::vector<std::size_t> Profile::give_up(Owner owner) {
+std::vector<std::size_t> Profile::release_allocations(Owner owner) {
   broken_.erase(owner);
-  std::vector<std::size_t> lanes;
+  std::vector<std::size_t> timelines;
   if (const auto it = owners_.find(owner); it != owners_.end()) {
-    lanes = std::move(it->second);
-    for (const std::size_t lane : lanes) lanes_[lane].release(owner);
+    timelines = std::move(it->second);
+    for (const std::size_t timeline : timelines) timelines_[timeline].release(owner);
     owners_.erase(it);
   }
   if (const auto it = team_of_.find(owner); it != team_of_.end()) {
-    teams_[it->second].lane.release(owner);
+    teams_[it->second].timeline.release(owner);
     team_of_.erase(it);
   }
-  return lanes;
+  return timelines;
 }
 
 void Profile::release(Owner owner) {
@@ -184,10 +186,10 @@
     next_version();
     teams_[team->second].opened = version_;
   }
-  for (const std::size_t lane : give_up(owner)) note_opened(lane);
+  for (const std::size_t timeline : release_allocations(owner)) note_opened(timeline);
 }
 
-void Profile::release_for_trial(Owner owner) { give_up(owner); }
+void Profile::release_for_trial(Owner owner) { release_allocations(owner); }
 
 bool Profile::opened_for(const Demand& demand, Version since, WallTime ready_since,
                          WallTime now) const {
@@ -197,20 +199,20 @@
     const WallTime ready = machines_[machine].ready;
     const bool became_ready = ready > ready_since && ready <= now;
     if (opened_[machine] <= since && !became_ready) return;
-    found = ready <= now && lanes_[machine].takes(demand.job->need, now, now + demand.run);
+    found = ready <= now && timelines_[machine].takes(demand.job->need, now, now + demand.run);
   });
   return found;
 }
 
 bool Profile::team_opened_since(const TeamId& team, Version since) const {
-  return std::any_of(teams_.begin(), teams_.end(), [&](const TeamLane& known) {
+  return std::any_of(teams_.begin(), teams_.end(), [&](const TeamTimeline& known) {
     return known.name == team && known.opened > since;
   });
 }
 
 void Profile::release_reservations_on(std::size_t machine) {
   std::vector<Owner> owners;
-  for (const Allocation& t : lanes_[machine].allocations()) {
+  for (const Allocation& t : timelines_[machine].allocations()) {
     if (t.from.ms != 0) owners.push_back(t.owner);
   }
   for (const Owner owner : owners) release(owner);
@@ -233,13 +235,13 @@
 }
 
 bool Profile::intact(Owner owner) const {
-  const auto lanes = owners_.find(owner);
+  const auto timelines = owners_.find(owner);
   const auto limit = team_of_.find(owner);
-  if (lanes == owners_.end() || broken_.contains(owner)) return false;
-  if (limit != team_of_.end() && !teams_[limit->second].lane.intact(owner)) return false;
-  return std::all_of(lanes->second.begin(), lanes->second.end(), [&](std::size_t lane) {
+  if (timelines == owners_.end() || broken_.contains(owner)) return false;
+  if (limit != team_of_.end() && !teams_[limit->second].timeline.intact(owner)) return false;
+  return std::all_of(timelines->second.begin(), timelines->second.end(), [&](std::size_t timeline) {
     ++looked_;
-    return lanes_[lane].intact(owner);
+    return timelines_[timeline].intact(owner);
   });
 }
 
@@ -251,7 +253,7 @@
       return false;
     }
   }
-  const Lane* limit = team(job.team);
+  const ResourceTimeline* limit = team(job.team);
   return machines_hold(plan, job) && (limit == nullptr || team_holds(plan, job, *limit));
 }
 
@@ -260,7 +262,7 @@
   return !job.gang() && (job.spread || job.together);
 }
 
-bool Profile::keeps_zones(const Plan& plan, const Demand& demand) const {
+bool Profile::satisfies_zone_constraints(const Plan& plan, const Demand& demand) const {
   const JobSpec& job = *demand.job;
   if (!has_tasks_elsewhere(demand)) return true;
   std::map<ZoneId, std::uint32_t> counts;
@@ -283,18 +285,18 @@
     std::size_t next = i + 1;
     while (next < sorted.size() && sorted[next].machine == sorted[i].machine) ++next;
     ++looked_;
-    if (!lane_holds(lanes_[sorted[i].machine], &sorted[i], next - i, job.need)) return false;
+    if (!lane_holds(timelines_[sorted[i].machine], &sorted[i], next - i, job.need)) return false;
     i = next;
   }
   return true;
 }
 
-bool Profile::team_holds(const Plan& plan, const JobSpec& job, const Lane& limit) {
+bool Profile::team_holds(const Plan& plan, const JobSpec& job, const ResourceTimeline& limit) {
   return lane_holds(limit, plan.placements.data(), plan.placements.size(), job.need);
 }
 
-bool Profile::lane_holds(const Lane& lane, const Placement* placements, std::size_t count,
-                         const Resources& need) {
+bool Profile::lane_holds(const ResourceTimeline& timeline, const Placement* placements,
+                         std::size_t count, const Resources& need) {
   // Quick and strict first: as if all ran for the whole time.
   WallTime first = kNever;
   WallTime last{};
@@ -302,9 +304,9 @@
     first = std::min(first, placements[i].start);
     last = std::max(last, placements[i].end);
   }
-  if (lane.takes(need * static_cast<double>(count), first, last)) return true;
+  if (timeline.takes(need * static_cast<double>(count), first, last)) return true;
   if (count == 1) return false;
-  Lane trial = lane;
+  ResourceTimeline trial = timeline;
   for (std::size_t i = 0; i < count; ++i) {
     if (!trial.takes(need, placements[i].start, placements[i].end)) return false;
     trial.take({placements[i].start, placements[i].end, need, Owner{}});
--- a/src/planner/profile.hpp
+++ b/src/scheduling/profile.hpp
@@ -13,9 +13,9 @@
 #include <unordered_set>
 #include <vector>
 
-#include "planner/image_set.hpp"
-#include "planner/lane.hpp"
-#include "wire/job_spec.hpp"
+#include "protocol/job_spec.hpp"
+#include "scheduling/image_set.hpp"
+#include "scheduling/resource_timeline.hpp"
 
 namespace marblevale {
 
@@ -61,7 +61,7 @@
   using Version = Strong<struct ProfileVersionTag, std::uint64_t>;
 
   std::size_t add_machine(PlanMachine machine);
-  /// Its lane and all that was taken there; its index may be used again.
+  /// Its timeline and all that was taken there; its index may be used again.
   void remove_machine(std::size_t machine);
   void set_team(const TeamId& team, Resources limit);
   /// What may change of a machine while it is in the profile.
@@ -71,8 +71,10 @@
   [[nodiscard]] const std::vector<PlanMachine>& machines() const { return machines_; }
   [[nodiscard]] std::size_t count() const { return index_.size(); }
   [[nodiscard]] std::optional<std::size_t> find(const MachineId& machine_id) const;
-  [[nodiscard]] const Lane& lane(std::size_t machine) const { return lanes_[machine]; }
-  [[nodiscard]] const Lane* team(const TeamId& team) const;
+  [[nodiscard]] const ResourceTimeline& timeline(std::size_t machine) const {
+    return timelines_[machine];
+  }
+  [[nodiscard]] const ResourceTimeline* team(const TeamId& team) const;
 
   void take(std::size_t machine, const TeamId& team, const Allocation& allocation);
   /// On a machine outside the profile: only the team's limit is touched.
@@ -96,7 +98,7 @@
   /// placed whole, while none of its tasks is anywhere.
   [[nodiscard]] static bool has_tasks_elsewhere(const Demand& demand);
   /// The plan's zones are allowed beside those in which the job's other tasks are placed.
-  [[nodiscard]] bool keeps_zones(const Plan& plan, const Demand& demand) const;
+  [[nodiscard]] bool satisfies_zone_constraints(const Plan& plan, const Demand& demand) const;
   /// All tasks at exactly `at`: for gangs, or to ask whether a slice can start whole.
   [[nodiscard]] std::optional<Plan> fit_at(const Demand& demand, WallTime at) const;
   /// As many tasks of an array as can start at `at`.
@@ -143,39 +145,44 @@
     }
   }
   /// Decides between equals, by machine and job together.
-  [[nodiscard]] std::uint64_t salt(std::size_t machine) const { return salts_[machine]; }
+  [[nodiscard]] std::uint64_t tie_break_seed(std::size_t machine) const {
+    return tie_break_seeds_[machine];
+  }
   /// The highest price of any machine that was ever in the profile.
-  [[nodiscard]] double dearest() const { return dearest_; }
+  [[nodiscard]] double highest_price() const { return highest_price_; }
   void count_looked() const { ++looked_; }
 
  private:
   /// A team's limit over time.
-  struct TeamLane {
+  struct TeamTimeline {
     TeamId name;
-    Lane lane;
+    ResourceTimeline timeline;
     Version opened;  // when some of it was last given up
   };
   void break_owners_on(std::size_t machine);
   /// Takes the owner's room back; the machines where it was.
-  std::vector<std::size_t> give_up(Owner owner);
+  std::vector<std::size_t> release_allocations(Owner owner);
   [[nodiscard]] bool machines_hold(const Plan& plan, const JobSpec& job) const;
-  [[nodiscard]] static bool team_holds(const Plan& plan, const JobSpec& job, const Lane& limit);
-  /// True when the lane takes these placements together, one after the other or at once.
-  [[nodiscard]] static bool lane_holds(const Lane& lane, const Placement* placements,
-                                       std::size_t count, const Resources& need);
+  [[nodiscard]] static bool team_holds(const Plan& plan, const JobSpec& job,
+                                       const ResourceTimeline& limit);
+  /// True when the timeline takes these placements together, one after the other or at once.
+  [[nodiscard]] static bool lane_holds(const ResourceTimeline& timeline,
+                                       const Placement* placements, std::size_t count,
+                                       const Resources& need);
   void next_version() { version_ = Version(version_.get() + 1); }
 
   std::vector<PlanMachine> machines_;
-  std::vector<std::uint64_t> salts_;  // decide between equals, by machine and job together
-  std::vector<Lane> lanes_;
+  std::vector<std::uint64_t>
+      tie_break_seeds_;  // decide between equals, by machine and job together
+  std::vector<ResourceTimeline> timelines_;
   std::vector<std::size_t> unused_;
   std::vector<Group> groups_;
   std::unordered_map<MachineId, std::size_t> index_;
-  double dearest_ = 0;
+  double highest_price_ = 0;
   std::vector<Version> opened_;  // by machine: when room there was last opened
   Version version_{1};
-  std::vector<TeamLane> teams_;
-  std::unordered_map<Owner, std::vector<std::size_t>> owners_;  // lanes where it has taken room
+  std::vector<TeamTimeline> teams_;
+  std::unordered_map<Owner, std::vector<std::size_t>> owners_;  // timelines where it has taken room
   std::unordered_map<Owner, std::size_t> team_of_;
   std::unordered_set<Owner> broken_;  // a machine that they counted on is gone, or comes later
   mutable std::uint64_t looked_ = 0;
--- a/src/planner/lane.cpp
+++ b/src/scheduling/resource_timeline.cpp
@@ -1,4 +1,4 @@
-#include "planner/lane.hpp"
+#include "scheduling/resource_timeline.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -13,7 +13,7 @@
 }
 }  // namespace
 
-std::size_t Lane::step_at(WallTime at) const {
+std::size_t ResourceTimeline::step_at(WallTime at) const {
   // The step that holds at `at`, or the number of steps if that is before the first.
   const auto after = std::upper_bound(steps_.begin(), steps_.end(), at,
                                       [](WallTime t, const Step& step) { return t < step.from; });
@@ -21,7 +21,7 @@
                                  : static_cast<std::size_t>(after - steps_.begin()) - 1;
 }
 
-std::size_t Lane::cut_at(WallTime at) {
+std::size_t ResourceTimeline::cut_at(WallTime at) {
   const auto it = std::lower_bound(steps_.begin(), steps_.end(), at,
                                    [](const Step& step, WallTime t) { return step.from < t; });
   const auto index = it - steps_.begin();
@@ -32,7 +32,7 @@
   return static_cast<std::size_t>(index);
 }
 
-void Lane::add(const Allocation& allocation, double sign) {
+void ResourceTimeline::add(const Allocation& allocation, double sign) {
   if (allocation.to <= allocation.from) return;
   const std::size_t begin = cut_at(allocation.from);
   const std::size_t end = cut_at(allocation.to);
@@ -44,7 +44,7 @@
   drop_if_level(begin);
 }
 
-void Lane::drop_if_level(std::size_t step) {
+void ResourceTimeline::drop_if_level(std::size_t step) {
   const auto none = [](double x) { return std::abs(x) < kNothing; };
   const Resources before = step == 0 ? Resources{} : steps_[step - 1].used;
   const Resources change = steps_[step].used - before;
@@ -53,7 +53,7 @@
   }
 }
 
-void Lane::take(const Allocation& allocation) {
+void ResourceTimeline::take(const Allocation& allocation) {
   allocations_.push_back(allocation);
   add(allocation, 1);
   if (allocation.from.ms == 0) {
@@ -63,7 +63,7 @@
   }
 }
 
-void Lane::release(Owner owner) {
+void ResourceTimeline::release(Owner owner) {
   bool ran = false;
   for (std::size_t i = allocations_.size(); i-- > 0;) {
     if (allocations_[i].owner != owner) continue;
@@ -86,7 +86,7 @@
   }
 }
 
-Resources Lane::free(WallTime from, WallTime to) const {
+Resources ResourceTimeline::free(WallTime from, WallTime to) const {
   Resources most{};
   std::size_t i = step_at(from);
   if (i == steps_.size()) i = 0;
@@ -94,7 +94,7 @@
   return whole_ - most;
 }
 
-bool Lane::takes(const Resources& need, WallTime from, WallTime to) const {
+bool ResourceTimeline::takes(const Resources& need, WallTime from, WallTime to) const {
   if (fits(need + total_, whole_)) return true;
   std::size_t i = step_at(from);
   if (i == steps_.size()) i = 0;
@@ -104,7 +104,8 @@
   return true;
 }
 
-std::optional<WallTime> Lane::next(const Resources& need, WallTime from, Duration run) const {
+std::optional<WallTime> ResourceTimeline::next(const Resources& need, WallTime from,
+                                               Duration run) const {
   if (!fits(need, whole_)) return std::nullopt;
   if (fits(need + total_, whole_)) return from;
   WallTime begin = from;
@@ -119,14 +120,14 @@
   return begin;
 }
 
-bool Lane::intact(Owner owner) const {
+bool ResourceTimeline::intact(Owner owner) const {
   if (fits(total_, whole_)) return true;
   return std::all_of(allocations_.begin(), allocations_.end(), [&](const Allocation& t) {
     return t.owner != owner || takes(Resources{}, t.from, t.to);
   });
 }
 
-std::optional<WallTime> Lane::change_after(WallTime at) const {
+std::optional<WallTime> ResourceTimeline::change_after(WallTime at) const {
   const auto after = std::upper_bound(steps_.begin(), steps_.end(), at,
                                       [](WallTime t, const Step& step) { return t < step.from; });
   if (after == steps_.end()) return std::nullopt;
--- a/src/planner/lane.hpp
+++ b/src/scheduling/resource_timeline.hpp
@@ -5,8 +5,8 @@
 #include <optional>
 #include <vector>
 
-#include "core/amounts.hpp"
-#include "core/strong.hpp"
+#include "core/ids.hpp"
+#include "core/resources.hpp"
 #include "core/time.hpp"
 
 namespace marblevale {
@@ -23,9 +23,9 @@
 
 /// One machine, or one team's limit, over time: a function of steps, so that a question walks over
 /// the steps that it touches, once.
-class Lane {
+class ResourceTimeline {
  public:
-  explicit Lane(Resources whole) : whole_(whole) {}
+  explicit ResourceTimeline(Resources whole) : whole_(whole) {}
   void take(const Allocation& allocation);
   void release(Owner owner);
   [[nodiscard]] const Resources& whole() const { return whole_; }
@@ -59,7 +59,7 @@
   std::size_t cut_at(WallTime at);
   [[nodiscard]] std::size_t step_at(WallTime at) const;
 
-  // First what `surely_full` reads, so that a search over a fleet touches little memory.
+  // First what `surely_full` reads, so that a search over a cluster touches little memory.
   Resources whole_;
   Resources running_{};     // of what has begun
   WallTime running_until_;  // when the first of that ends; 0: nothing has begun
--- a/src/fleet/demand.cpp
+++ b/src/scheduling/scale_out.cpp
@@ -1,4 +1,4 @@
-#include "fleet/demand.hpp"
+#include "scheduling/scale_out.hpp"
 
 #include <algorithm>
 
@@ -29,11 +29,11 @@
 
 // Not split yet, issue 17.
 // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size)
-std::map<MachineOffering, std::uint32_t> machines_for(
+std::map<MachineOffering, std::uint32_t> plan_scale_out(
     const std::vector<UnmetDemand>& unmet_demands, const std::vector<MachineType>& types,
     const std::function<bool(const MachineOffering&)>& available,
     const std::map<ZoneId, std::uint32_t>& in_zone, std::map<TeamId, Resources> team_resources) {
-  std::vector<Virtual> rented;
+  std::vector<Virtual> provisioned;
   std::uint32_t total = 0;
   double known = 0;
   for (const auto& [zone, n] : in_zone) known += n;
@@ -41,7 +41,7 @@
   const auto zone_load = [&](const ZoneId& zone) {
     const auto it = in_zone.find(zone);
     double n = it == in_zone.end() ? 0 : it->second;
-    for (const Virtual& v : rented) n += v.offer.zone == zone ? 1 : 0;
+    for (const Virtual& v : provisioned) n += v.offer.zone == zone ? 1 : 0;
     return n;
   };
 
@@ -66,7 +66,7 @@
       auto resources = team_resources.find(w.job->team);
       if (resources != team_resources.end() && !fits(w.job->need, resources->second)) break;
       Virtual* place = nullptr;
-      for (Virtual& v : rented) {
+      for (Virtual& v : provisioned) {
         if (!fits(w.job->need, v.left) || (zone && v.offer.zone != *zone)) continue;
         const bool suits = std::any_of(offers.begin(), offers.end(),
                                        [&](const auto& o) { return o.second == v.offer; });
@@ -82,8 +82,8 @@
           const auto type = std::find_if(types.begin(), types.end(), [&](const MachineType& t) {
             return t.name == offer.machine_type;
           });
-          rented.push_back({offer, type->resources});
-          place = &rented.back();
+          provisioned.push_back({offer, type->resources});
+          place = &provisioned.back();
           ++total;
           break;
         }
@@ -95,7 +95,7 @@
     }
   }
   std::map<MachineOffering, std::uint32_t> out;
-  for (const Virtual& v : rented) ++out[v.offer];
+  for (const Virtual& v : provisioned) ++out[v.offer];
   return out;
 }
 
--- a/src/fleet/demand.hpp
+++ b/src/scheduling/scale_out.hpp
@@ -6,8 +6,8 @@
 #include <tuple>
 #include <vector>
 
-#include "planner/profile.hpp"
-#include "wire/cloud.hpp"
+#include "protocol/cloud.hpp"
+#include "scheduling/profile.hpp"
 
 namespace marblevale {
 
@@ -30,7 +30,7 @@
 
 /// How many machines of each offer to rent. `available` says whether the cloud may have any;
 /// `in_zone` counts the machines that each zone has; `team_room` is what each team may still take.
-std::map<MachineOffering, std::uint32_t> machines_for(
+std::map<MachineOffering, std::uint32_t> plan_scale_out(
     const std::vector<UnmetDemand>& unmet_demands, const std::vector<MachineType>& types,
     const std::function<bool(const MachineOffering&)>& available,
     const std::map<ZoneId, std::uint32_t>& in_zone, std::map<TeamId, Resources> team_resources);
--- a/src/planner/starvation.cpp
+++ b/src/scheduling/starvation.cpp
@@ -1,11 +1,11 @@
-#include "planner/starvation.hpp"
+#include "scheduling/starvation.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 #include <map>
 
-#include "planner/profile.hpp"
+#include "scheduling/profile.hpp"
 
 namespace marblevale {
 
--- a/src/planner/starvation.hpp
+++ b/src/scheduling/starvation.hpp
@@ -4,8 +4,8 @@
 
 #include <vector>
 
-#include "app/settings.hpp"
-#include "store/watch_cache.hpp"
+#include "config/settings.hpp"
+#include "records/record_set.hpp"
 
 namespace marblevale {
 
--- a/src/blocks/answered_offers.cpp
+++ b/src/shards/answered_offers.cpp
@@ -1,4 +1,4 @@
-#include "blocks/answered_offers.hpp"
+#include "shards/answered_offers.hpp"
 
 namespace marblevale {
 
--- a/src/blocks/cancellation_deadlines.cpp
+++ b/src/shards/cancellation_deadlines.cpp
@@ -1,4 +1,4 @@
-#include "blocks/cancellation_deadlines.hpp"
+#include "shards/cancellation_deadlines.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -22,13 +22,13 @@
 }
 
 Duration CancellationDeadlines::answer_limit() const {
-  // The worker's lease runs from the sending of the last report that was answered: one that was
+  // The worker's lease runs from the sending of the last heartbeat that was answered: one that was
   // answered by then is over a margin before the task must be gone.
   return std::max(time_beyond_lease(), kMaxFreshnessAgeForStart);
 }
 
 void CancellationDeadlines::warn_if_tight() const {
-  if (time_beyond_lease() >= context_.settings.workers.report) return;
+  if (time_beyond_lease() >= context_.settings.workers.heartbeat) return;
   spdlog::warn(
       "holder: cancel_s leaves less than a report beyond lease_s: without word of the state "
       "service no report is answered for longer than {} ms",
@@ -37,7 +37,7 @@
 
 void CancellationDeadlines::extend_freshness(SteadyTime until) {
   // Where there is no time for it to be of use, nobody's word is taken for the state service's.
-  if (time_beyond_lease() < context_.settings.workers.report) return;
+  if (time_beyond_lease() < context_.settings.workers.heartbeat) return;
   extended_fresh_until_ = std::max(extended_fresh_until_, until);
 }
 
@@ -59,15 +59,15 @@
   const auto placed = records.placed.find(machine_id);
   if (placed == records.placed.end()) return false;
   const WallTime now = context_.clock.wall() + context_.settings.clock_error * 2.0;
-  const FencingToken token = blocks_.token_of(worker.zone);
+  const FencingToken token = shards_.token_of(worker.zone);
   return std::any_of(placed->second.begin(), placed->second.end(), [&](const auto& entry) {
     const TaskId& id = entry.first;
     const auto cancelled_at = context_.cancellations.cancelled_at(id.job_id);
     if (!cancelled_at || now - *cancelled_at < since) return false;
     const TaskRecord* task = records.task(id);
     if (task == nullptr || task->state != TaskState::bound) return false;
-    const Finding found = examine(id, *task, worker.view, token);
-    return found == Finding::present || found == Finding::absent;
+    const TaskPresence found = classify_presence(id, *task, worker.view, token);
+    return found == TaskPresence::present || found == TaskPresence::absent;
   });
 }
 
@@ -81,7 +81,7 @@
   const Duration limit = context_.settings.workers.cancel * kUnrecordedDeletionShare;
   std::vector<MachineId> machines;
   for (const auto& [machine_id, worker] : workers.all()) {
-    if (!blocks_.holds(worker.zone)) continue;
+    if (!shards_.holds(worker.zone)) continue;
     if (has_cancelled_task(machine_id, worker, limit)) machines.push_back(machine_id);
   }
   return machines;
--- a/src/blocks/cancellation_deadlines.hpp
+++ b/src/shards/cancellation_deadlines.hpp
@@ -4,27 +4,27 @@
 
 #include <vector>
 
-#include "blocks/block_context.hpp"
-#include "blocks/block_ownership.hpp"
-#include "blocks/worker_registry.hpp"
+#include "shards/shard_context.hpp"
+#include "shards/shard_ownership.hpp"
+#include "shards/worker_registry.hpp"
 
 namespace marblevale {
 
 class CancellationDeadlines {
  public:
-  CancellationDeadlines(const BlockContext& context, const BlockOwnership& blocks)
-      : context_(context), blocks_(blocks) {}
+  CancellationDeadlines(const ShardContext& context, const ShardOwnership& shards)
+      : context_(context), shards_(shards) {}
 
   void warn_if_tight() const;
   /// The latest moment up to which no cancellation can have been confirmed that we do not know of.
   void extend_freshness(SteadyTime until);
-  /// Whether a report may be answered, which keeps the worker's lease.
+  /// Whether a heartbeat may be answered, which keeps the worker's lease.
   [[nodiscard]] bool may_answer(SteadyTime now) const;
   /// Whether a task may be started: what runs may go on for longer.
   [[nodiscard]] bool may_start(SteadyTime now) const;
   /// A lease renewed now would outlast `cancel_s` for one of the worker's cancelled tasks.
   [[nodiscard]] bool lease_must_lapse(const MachineId& machine_id, const KnownWorker& worker) const;
-  /// Machines of held blocks to delete, since it is not known that their cancelled tasks have
+  /// Machines of held shards to delete, since it is not known that their cancelled tasks have
   /// ended.
   [[nodiscard]] std::vector<MachineId> overdue_machines(const WorkerRegistry& workers) const;
 
@@ -37,8 +37,8 @@
   [[nodiscard]] bool has_cancelled_task(const MachineId& machine_id, const KnownWorker& worker,
                                         Duration since) const;
 
-  const BlockContext& context_;
-  const BlockOwnership& blocks_;
+  const ShardContext& context_;
+  const ShardOwnership& shards_;
   SteadyTime extended_fresh_until_{};  // by the peers' word
 };
 
--- a/src/blocks/machine_recorder.cpp
+++ b/src/shards/machine_recorder.cpp
@@ -1,53 +1,54 @@
-#include "blocks/machine_recorder.hpp"
+#include "shards/machine_recorder.hpp"
 
 #include <spdlog/spdlog.h>
 
-#include "blocks/write_pacing.hpp"
+#include "shards/write_pacing.hpp"
 
 namespace marblevale {
 
 using EditAction = MachineWriter::EditAction;
 
-MachineRecorder::MachineRecorder(Loop& loop, const BlockContext& context,
-                                 const BlockOwnership& blocks, WorkerRegistry& workers)
+MachineRecorder::MachineRecorder(Loop& loop, const ShardContext& context,
+                                 const ShardOwnership& shards, WorkerRegistry& workers)
     : context_(context),
-      blocks_(blocks),
+      shards_(shards),
       workers_(workers),
       writer_(context.cache, RequestPriority::binding,
-              [&blocks](Txn& txn, const ZoneId& zone) {
-                if (!blocks.holds(zone)) return false;
-                blocks.guard(txn, zone);
+              [&shards](Txn& txn, const ZoneId& zone) {
+                if (!shards.holds(zone)) return false;
+                shards.guard(txn, zone);
                 return true;
               }),
       flush_timer_(loop, [this] { writer_.flush(); }) {}
 
-void MachineRecorder::record_report(const Report& report, const KnownWorker& worker) {
+void MachineRecorder::record_heartbeat(const WorkerHeartbeat& heartbeat,
+                                       const KnownWorker& worker) {
   const auto& machines = context_.cache.records().machines;
-  const auto it = machines.find(report.machine_id);
+  const auto it = machines.find(heartbeat.machine_id);
   if (it == machines.end()) {
-    add_machine(report, worker);
+    add_machine(heartbeat, worker);
     return;
   }
   const MachineState state = it->second.record.state;
   if (worker.reclaim_at && (state == MachineState::up || state == MachineState::silent)) {
-    set_state(report.machine_id, MachineState::draining, "the cloud takes it back");
-  } else if (state == MachineState::silent && !workers_.is_silent(report.machine_id)) {
-    set_state(report.machine_id, MachineState::up, "reports again");
+    set_state(heartbeat.machine_id, MachineState::draining, "the cloud takes it back");
+  } else if (state == MachineState::silent && !workers_.is_silent(heartbeat.machine_id)) {
+    set_state(heartbeat.machine_id, MachineState::up, "reports again");
   }
 }
 
-void MachineRecorder::add_machine(const Report& report, const KnownWorker& worker) {
-  if (writer_.waits(report.machine_id)) return;
+void MachineRecorder::add_machine(const WorkerHeartbeat& heartbeat, const KnownWorker& worker) {
+  if (writer_.waits(heartbeat.machine_id)) return;
   MachineRecord added;
-  added.machine_id = report.machine_id;
-  added.address = report.address;
-  added.machine_type = report.machine_type;
-  added.zone = report.zone;
-  added.spot = report.spot;
+  added.machine_id = heartbeat.machine_id;
+  added.address = heartbeat.address;
+  added.machine_type = heartbeat.machine_type;
+  added.zone = heartbeat.zone;
+  added.spot = heartbeat.spot;
   added.since = context_.clock.wall();
   added.reclaim_at = worker.reclaim_at;
   if (worker.reclaim_at) added.state = MachineState::draining;
-  writer_.edit(report.machine_id, report.zone, [added](MachineRecord& record) {
+  writer_.edit(heartbeat.machine_id, heartbeat.zone, [added](MachineRecord& record) {
     if (record.machine_id != MachineId{}) return EditAction::none;  // it was added meanwhile
     record = added;
     return EditAction::put;
@@ -89,14 +90,14 @@
 }
 
 void MachineRecorder::mark_silent(SteadyTime now) {
-  // When none of a block reports, the fault may be ours.
-  const std::map<ZoneId, ReportCounts> counts = workers_.count_reporting(now);
+  // When none of a shard reports, the fault may be ours.
+  const std::map<ZoneId, HeartbeatCounts> counts = workers_.count_reporting(now);
   for (const auto& [machine_id, machine] : context_.cache.records().machines) {
     const MachineRecord& record = machine.record;
     if (record.state != MachineState::up && record.state != MachineState::draining) continue;
     const KnownWorker* worker = workers_.find(machine_id);
-    if (worker == nullptr || !blocks_.holds(record.zone)) continue;
-    if (workers_.reports(*worker, now) || counts.at(record.zone).reporting == 0) continue;
+    if (worker == nullptr || !shards_.holds(record.zone)) continue;
+    if (workers_.heartbeats(*worker, now) || counts.at(record.zone).reporting == 0) continue;
     set_state(machine_id, MachineState::silent, "does not report");
   }
 }
@@ -106,7 +107,7 @@
   for (auto& [machine_id, worker] : workers_.all()) {
     if (context_.cache.write_slack() < kAmpleWriteSlack) return;
     if (!worker.images_changed || writer_.waits(machine_id)) continue;
-    if (!blocks_.holds(worker.zone)) continue;
+    if (!shards_.holds(worker.zone)) continue;
     worker.images_changed = false;
     writer_.edit(machine_id, worker.zone, [images = worker.images](MachineRecord& record) {
       if (record.machine_id == MachineId{} || record.state >= MachineState::deleting) {
--- a/src/blocks/machine_recorder.hpp
+++ b/src/shards/machine_recorder.hpp
@@ -1,24 +1,24 @@
 // Keeps the machines' records in step with what their workers show.
 #pragma once
 
-#include "blocks/block_context.hpp"
-#include "blocks/block_ownership.hpp"
-#include "blocks/worker_registry.hpp"
 #include "net/loop.hpp"
+#include "protocol/worker.hpp"
+#include "shards/shard_context.hpp"
+#include "shards/shard_ownership.hpp"
+#include "shards/worker_registry.hpp"
 #include "store/machine_writer.hpp"
-#include "wire/worker.hpp"
 
 namespace marblevale {
 
-/// Writes new machines, their states and images, as far as their block is held. Changes that come
+/// Writes new machines, their states and images, as far as their shard is held. Changes that come
 /// together are gathered, since machines come up in crowds.
 class MachineRecorder {
  public:
-  MachineRecorder(Loop& loop, const BlockContext& context, const BlockOwnership& blocks,
+  MachineRecorder(Loop& loop, const ShardContext& context, const ShardOwnership& shards,
                   WorkerRegistry& workers);
 
-  /// Adds a machine that reports for the first time, or corrects its state by its report.
-  void record_report(const Report& report, const KnownWorker& worker);
+  /// Adds a machine that reports for the first time, or corrects its state by its heartbeat.
+  void record_heartbeat(const WorkerHeartbeat& heartbeat, const KnownWorker& worker);
   /// `reason` goes to the log once the change is committed. `blamed`: the job whose task made the
   /// machine suspect.
   void set_state(const MachineId& machine_id, MachineState state, const char* reason,
@@ -33,11 +33,11 @@
   void flush_if_idle();
 
  private:
-  void add_machine(const Report& report, const KnownWorker& worker);
+  void add_machine(const WorkerHeartbeat& heartbeat, const KnownWorker& worker);
   void schedule_flush();
 
-  const BlockContext& context_;
-  const BlockOwnership& blocks_;
+  const ShardContext& context_;
+  const ShardOwnership& shards_;
   WorkerRegistry& workers_;
   MachineWriter writer_;
   Timer flush_timer_;
--- a/src/blocks/order_delivery.cpp
+++ b/src/shards/order_delivery.cpp
@@ -1,4 +1,4 @@
-#include "blocks/order_delivery.hpp"
+#include "shards/order_delivery.hpp"
 
 #include <utility>
 
@@ -10,7 +10,7 @@
 constexpr Duration kKillInterval{1'500};
 constexpr Duration kKillMemory{60'000};
 constexpr int kStatusOk = 200;
-constexpr int kStatusConflict = 409;  // another session, or a token that is not the highest
+constexpr int kStatusConflict = 409;  // another epoch, or a token that is not the highest
 constexpr int kStatusNone = 0;
 
 /// Whether a kill of this attempt may be sent now; notes it as sent.
@@ -23,26 +23,27 @@
 
 }  // namespace
 
-OrderDelivery::OrderDelivery(const BlockContext& context, BlockOwnership& blocks,
+OrderDelivery::OrderDelivery(const ShardContext& context, ShardOwnership& shards,
                              WorkerRegistry& workers, const CancellationDeadlines& deadlines,
                              const SliceCommits& commits, PendingWork& work, OrderSender& sender,
-                             ReportHandler on_report)
+                             HeartbeatHandler on_heartbeat)
     : context_(context),
-      blocks_(blocks),
+      shards_(shards),
       workers_(workers),
       deadlines_(deadlines),
       commits_(commits),
       work_(work),
       sender_(sender),
-      on_report_(std::move(on_report)) {}
+      on_heartbeat_(std::move(on_heartbeat)) {}
 
-std::vector<Order> OrderDelivery::answer_orders(const Report& report, KnownWorker& worker) {
-  std::vector<Order> orders = due_orders(report.machine_id, worker, Channel::answer);
+std::vector<Order> OrderDelivery::answer_orders(const WorkerHeartbeat& heartbeat,
+                                                KnownWorker& worker) {
+  std::vector<Order> orders = due_orders(heartbeat.machine_id, worker, Channel::answer);
   const SteadyTime now = context_.clock.steady();
   for (const Order& order : orders) {
     if (order.verb != Verb::start) continue;
     const TaskAttempt start{order.id, order.attempt};
-    worker.view.answered_starts[start] = report.sequence;
+    worker.view.answered_starts[start] = heartbeat.sequence;
     worker.reachability.start_sent(start, now, true);
   }
   return orders;
@@ -79,7 +80,7 @@
     return;
   }
   const WorkerView& view = worker.view;
-  if (task->session != view.session) return;
+  if (task->epoch != view.epoch) return;
   const SteadyTime now = context_.clock.steady();
   const bool cancelled = context_.cancellations.cancelled_at(id.job_id).has_value();
   const ReportedTask* reported = find_reported(view, attempt);
@@ -113,7 +114,7 @@
 void OrderDelivery::add_orders_of_unbound_tasks(const MachineId& machine_id, KnownWorker& worker,
                                                 Channel channel, std::vector<Order>& orders) {
   const SteadyTime now = context_.clock.steady();
-  const FencingToken token = blocks_.token_of(worker.zone);
+  const FencingToken token = shards_.token_of(worker.zone);
   for (const auto& [attempt, task] : worker.view.tasks) {
     if (orders.size() >= kMaxOrders) return;
     if (bound_to(machine_id, attempt)) continue;
@@ -127,14 +128,14 @@
       if (worker.view.start_settled(attempt, token)) {
         orders.push_back({Verb::clear, attempt.id, attempt.attempt, {}});
       } else if (worker.view.direct_starts.contains(attempt)) {
-        blocks_.request_renewal(worker.zone);
+        shards_.request_renewal(worker.zone);
       }
     }
   }
 }
 
 void OrderDelivery::command_waiting_machines() {
-  // A block that comes brings hundreds of machines that must get orders at once: first those with
+  // A shard that comes brings hundreds of machines that must get orders at once: first those with
   // work, and not all in one round, or everything else would wait for their connections.
   const std::set<MachineId> waiting = work_.take_machines_to_command();
   const auto& placed = context_.cache.records().placed;
@@ -153,7 +154,7 @@
 
 bool OrderDelivery::command(const MachineId& machine_id) {
   KnownWorker* worker = workers_.find(machine_id);
-  if (worker == nullptr || !blocks_.holds(worker->zone) || worker->command_in_flight) return false;
+  if (worker == nullptr || !shards_.holds(worker->zone) || worker->command_in_flight) return false;
   const std::vector<Order> orders = due_orders(machine_id, *worker, Channel::direct);
   const SteadyTime now = context_.clock.steady();
   // A kill is right however old our word of the state service is: a start is not sent then.
@@ -166,7 +167,7 @@
 
 void OrderDelivery::send(const MachineId& machine_id, KnownWorker& worker,
                          const std::vector<Order>& orders) {
-  const FencingToken token = blocks_.token_of(worker.zone);
+  const FencingToken token = shards_.token_of(worker.zone);
   for (const Order& order : orders) {
     if (order.verb != Verb::start) continue;
     const TaskAttempt start{order.id, order.attempt};
@@ -174,7 +175,7 @@
     worker.reachability.start_sent(start, context_.clock.steady(), false);
   }
   worker.command_in_flight = true;
-  sender_.send(worker.view.address, write_direct(token, worker.view.session, orders),
+  sender_.send(worker.view.address, write_direct(token, worker.view.epoch, orders),
                [this, machine_id, token](const HttpReply& reply) {
                  handle_reply(machine_id, token, reply);
                });
@@ -195,12 +196,12 @@
 
 void OrderDelivery::apply_reply(const MachineId& machine_id, KnownWorker& worker,
                                 const HttpReply& reply) {
-  const auto report = parse_report(reply.body);
-  if (!report || !blocks_.holds(worker.zone)) return;
-  // The answer to a conflict tells the session; then the order can be given.
-  if (worker.view.session == SessionId{}) work_.command_machine(machine_id);
+  const auto heartbeat = parse_worker_heartbeat(reply.body);
+  if (!heartbeat || !shards_.holds(worker.zone)) return;
+  // The answer to a conflict tells the epoch; then the order can be given.
+  if (worker.view.epoch == WorkerEpoch{}) work_.command_machine(machine_id);
   worker.reachability.probe_at_once();
-  on_report_(worker, *report);
+  on_heartbeat_(worker, *heartbeat);
 }
 
 }  // namespace marblevale
--- a/src/blocks/order_delivery.hpp
+++ b/src/shards/order_delivery.hpp
@@ -1,30 +1,31 @@
-// The orders that a worker is due, and their way to it: in the answer to a report, or directly.
+// The orders that a worker is due, and their way to it: in the answer to a heartbeat, or directly.
 #pragma once
 
 #include <functional>
 #include <vector>
 
-#include "blocks/block_context.hpp"
-#include "blocks/block_ownership.hpp"
-#include "blocks/cancellation_deadlines.hpp"
-#include "blocks/order_sender.hpp"
-#include "blocks/pending_work.hpp"
-#include "blocks/slice_commits.hpp"
-#include "blocks/worker_registry.hpp"
+#include "shards/cancellation_deadlines.hpp"
+#include "shards/order_sender.hpp"
+#include "shards/pending_work.hpp"
+#include "shards/shard_context.hpp"
+#include "shards/shard_ownership.hpp"
+#include "shards/slice_commits.hpp"
+#include "shards/worker_registry.hpp"
 
 namespace marblevale {
 
 class OrderDelivery {
  public:
-  /// Takes the report with which a worker answered an order.
-  using ReportHandler = std::function<void(KnownWorker&, const Report&)>;
+  /// Takes the heartbeat with which a worker answered an order.
+  using HeartbeatHandler = std::function<void(KnownWorker&, const WorkerHeartbeat&)>;
 
-  OrderDelivery(const BlockContext& context, BlockOwnership& blocks, WorkerRegistry& workers,
+  OrderDelivery(const ShardContext& context, ShardOwnership& shards, WorkerRegistry& workers,
                 const CancellationDeadlines& deadlines, const SliceCommits& commits,
-                PendingWork& work, OrderSender& sender, ReportHandler on_report);
+                PendingWork& work, OrderSender& sender, HeartbeatHandler on_heartbeat);
 
-  /// The orders that go into the answer to this report, noted as sent.
-  [[nodiscard]] std::vector<Order> answer_orders(const Report& report, KnownWorker& worker);
+  /// The orders that go into the answer to this heartbeat, noted as sent.
+  [[nodiscard]] std::vector<Order> answer_orders(const WorkerHeartbeat& heartbeat,
+                                                 KnownWorker& worker);
   /// Sends direct orders to the machines that wait for them, a bounded number in one round; the
   /// others go on waiting.
   void command_waiting_machines();
@@ -49,14 +50,14 @@
   void handle_reply(const MachineId& machine_id, FencingToken token, const HttpReply& reply);
   void apply_reply(const MachineId& machine_id, KnownWorker& worker, const HttpReply& reply);
 
-  const BlockContext& context_;
-  BlockOwnership& blocks_;
+  const ShardContext& context_;
+  ShardOwnership& shards_;
   WorkerRegistry& workers_;
   const CancellationDeadlines& deadlines_;
   const SliceCommits& commits_;
   PendingWork& work_;
   OrderSender& sender_;
-  ReportHandler on_report_;
+  HeartbeatHandler on_heartbeat_;
 };
 
 }  // namespace marblevale
--- a/src/blocks/order_sender.cpp
+++ b/src/shards/order_sender.cpp
@@ -1,4 +1,4 @@
-#include "blocks/order_sender.hpp"
+#include "shards/order_sender.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -17,7 +17,7 @@
 void HttpOrderSender::send(const std::string& address, std::string body, HttpHandler then) {
   auto it = clients_.find(address);
   if (it == clients_.end()) {
-    if (clients_.size() >= most_ && !make_room()) {
+    if (clients_.size() >= most_ && !preempt_for()) {
       then({0, true, {}});
       return;
     }
@@ -37,16 +37,16 @@
 }
 
 std::size_t order_connections(const Settings& settings) {
-  // A quarter: in the worst case all the machines report here, each by a connection of its own.
+  // A quarter: in the worst case all the machines heartbeat here, each by a connection of its own.
   if (settings.max_sockets <= 0) return kDefaultClients;
   const auto by_sockets = static_cast<std::size_t>(settings.max_sockets) / 4;
   const auto by_memory = static_cast<std::size_t>(settings.ram_mb * kClientsPerMb);
   return std::max(kMinClients, by_memory > 0 ? std::min(by_sockets, by_memory) : by_sockets);
 }
 
-bool HttpOrderSender::make_room() {
+bool HttpOrderSender::preempt_for() {
   // Machines come and go: of the idle connections, the quarter that was used longest ago is closed.
-  // To close all of them would mean a new connection for nearly every order in a large fleet.
+  // To close all of them would mean a new connection for nearly every order in a large cluster.
   std::vector<std::pair<std::uint64_t, std::string>> idle;
   for (const auto& [address, client] : clients_) {
     if (client.http->idle()) idle.emplace_back(client.used, address);
--- a/src/blocks/order_sender.hpp
+++ b/src/shards/order_sender.hpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "app/settings.hpp"
+#include "config/settings.hpp"
 #include "net/http_client.hpp"
 
 namespace marblevale {
@@ -30,7 +30,7 @@
     std::unique_ptr<HttpClient> http;
     std::uint64_t used = 0;  // when last, as a count of requests
   };
-  bool make_room();
+  bool preempt_for();
 
   Loop& loop_;
   std::size_t most_;
--- a/src/blocks/pending_work.cpp
+++ b/src/shards/pending_work.cpp
@@ -1,4 +1,4 @@
-#include "blocks/pending_work.hpp"
+#include "shards/pending_work.hpp"
 
 #include <utility>
 
@@ -8,7 +8,7 @@
 
 void PendingWork::mark_job_dirty(const Records& records, const JobId& job_id) {
   for (auto it = records.slices.lower_bound({job_id, 0});
-       it != records.slices.end() && it->first.first == job_id; ++it) {
+       it != records.slices.end() && it->first.job_id == job_id; ++it) {
     mark_slice_dirty(records, it->first);
   }
 }
@@ -21,7 +21,7 @@
 
 void PendingWork::mark_slice_dirty(const Records& records, const SliceKey& key) {
   mark_dirty(key);
-  const auto* slice = records.slice(key.first, key.second);
+  const auto* slice = records.slice(key.job_id, key.number);
   if (slice == nullptr) return;
   for (const TaskRecord& task : slice->record.tasks) {
     if (task.placed()) command_machine(task.machine_id);
--- a/src/blocks/reachability.cpp
+++ b/src/shards/reachability.cpp
@@ -1,4 +1,4 @@
-#include "blocks/reachability.hpp"
+#include "shards/reachability.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -9,8 +9,9 @@
 namespace {
 constexpr Duration kProbeInterval{2'000};
 constexpr Duration kRegularProbeInterval{5'000};
-constexpr double kMaxReportsWithoutStart = 2.5;  // report intervals after which a start must show
-constexpr int kMinAnswersWithStart = 2;          // that bore it
+constexpr double kMaxHeartbeatsWithoutStart =
+    2.5;                                 // heartbeat intervals after which a start must show
+constexpr int kMinAnswersWithStart = 2;  // that bore it
 }  // namespace
 
 void WorkerReachability::transition(State next, FencingToken token, const char* reason) {
@@ -24,7 +25,7 @@
   state_ = next;
 }
 
-void WorkerReachability::report_received(FencingToken token) {
+void WorkerReachability::heartbeat_received(FencingToken token) {
   if (state_ != State::commands_unreachable) {
     transition(State::reachable, token, "its report bears our token");
   }
@@ -43,23 +44,23 @@
   if (in_answer) ++missing.answers;
 }
 
-void WorkerReachability::report_answered(SteadyTime now, Duration lease) {
+void WorkerReachability::heartbeat_answered(SteadyTime now, Duration lease) {
   if (now - last_answer_ >= lease * 0.5) answered_since_ = now;
   last_answer_ = now;
 }
 
-bool WorkerReachability::session_changed(SteadyTime now, Duration lease) {
+bool WorkerReachability::epoch_changed(SteadyTime now, Duration lease) {
   missing_starts_.clear();
-  // One report that was held up while the lease lapsed for other reasons, and is answered now, does
-  // not show that the machine had the answer.
+  // One heartbeat that was held up while the lease lapsed for other reasons, and is answered now,
+  // does not show that the machine had the answer.
   return now - last_answer_ < lease && now - answered_since_ >= lease * 0.5;
 }
 
 bool WorkerReachability::misses_starts(const WorkerView& view, SteadyTime now,
-                                       Duration report_interval) const {
+                                       Duration heartbeat_interval) const {
   return std::any_of(missing_starts_.begin(), missing_starts_.end(), [&](const auto& entry) {
     // A machine that hung has not reported meanwhile: only answers that it should have had count.
-    return now - entry.second.since > report_interval * kMaxReportsWithoutStart &&
+    return now - entry.second.since > heartbeat_interval * kMaxHeartbeatsWithoutStart &&
            entry.second.answers >= kMinAnswersWithStart && !view.tasks.contains(entry.first);
   });
 }
--- a/src/blocks/reachability.hpp
+++ b/src/shards/reachability.hpp
@@ -4,7 +4,7 @@
 
 #include <map>
 
-#include "blocks/proof.hpp"
+#include "shards/task_presence.hpp"
 
 namespace marblevale {
 
@@ -20,18 +20,18 @@
 
   explicit WorkerReachability(MachineId machine_id) : machine_id_(std::move(machine_id)) {}
 
-  /// A report bore a token of this holding, so the worker has heard of us. That is no evidence
+  /// A heartbeat bore a token of this holding, so the worker has heard of us. That is no evidence
   /// against `commands_unreachable`.
-  void report_received(FencingToken token);
+  void heartbeat_received(FencingToken token);
   /// An order was answered: whatever was thought of it before, it is reachable.
   void command_answered(FencingToken token);
-  /// A report that it sent under this holding was answered at this moment.
-  void report_answered(SteadyTime now, Duration lease);
-  /// A start was sent: by itself, or in the answer to a report.
+  /// A heartbeat that it sent under this holding was answered at this moment.
+  void heartbeat_answered(SteadyTime now, Duration lease);
+  /// A start was sent: by itself, or in the answer to a heartbeat.
   void start_sent(const TaskAttempt& start, SteadyTime now, bool in_answer);
-  /// It is in a new session: what was sent to the old one is void. True when the old one lapsed
+  /// It is in a new epoch: what was sent to the old one is void. True when the old one lapsed
   /// though its reports were answered: then nothing that is sent to it arrives.
-  bool session_changed(SteadyTime now, Duration lease);
+  bool epoch_changed(SteadyTime now, Duration lease);
   /// Forgets the starts for which `settled` holds.
   template <typename Settled>
   void forget_starts(Settled settled) {
@@ -39,7 +39,7 @@
   }
   /// True when a start that was sent again and again does not show, though it reports.
   [[nodiscard]] bool misses_starts(const WorkerView& view, SteadyTime now,
-                                   Duration report_interval) const;
+                                   Duration heartbeat_interval) const;
   void mark_commands_unreachable(const char* reason);
   /// Time in which this process stood still: no start could show.
   void discount_pause(SteadyTime now, Duration pause);
@@ -50,10 +50,10 @@
   /// Known to have received something under this fencing token.
   [[nodiscard]] bool reachable_under(FencingToken token) const { return confirmed_token_ == token; }
 
-  /// Whether it is time for an order without commands, which asks for a report.
+  /// Whether it is time for an order without commands, which asks for a heartbeat.
   [[nodiscard]] bool probe_due(SteadyTime now) const;
   void probe_sent(SteadyTime now) { last_probe_ = last_regular_probe_ = now; }
-  /// Whether to probe it at intervals for its session and tasks, since it does not report them.
+  /// Whether to probe it at intervals for its epoch and tasks, since it does not heartbeat them.
   void probe_regularly(bool wanted) { regular_probes_ = wanted; }
   /// A probe that is needed need not wait for its interval.
   void probe_at_once() { last_probe_ = kNever; }
--- a/src/blocks/release_offers.cpp
+++ b/src/shards/release_offers.cpp
@@ -1,4 +1,4 @@
-#include "blocks/release_offers.hpp"
+#include "shards/release_offers.hpp"
 
 #include <set>
 #include <utility>
@@ -15,7 +15,7 @@
   const auto& leader = context_.cache.records().leader;
   if (leader && leader->mod_revision.get() > offer.term) return false;  // its commits fail anyhow
   // An earlier life of this controller may have taken it, and can't be asked.
-  if (Nonce(offer.holder_nonce) != blocks_.nonce()) return true;
+  if (ProcessIncarnation(offer.holder_incarnation) != shards_.incarnation()) return true;
   if (const auto before = answered_.find(offer.term, offer.serial)) {
     // To decline a copy while the first one is being bound would have the leader give its room
     // away.
@@ -52,23 +52,23 @@
 
 bool ReleaseOffers::matches_records(const ReleaseOffer& offer, const SliceKey& key) const {
   const Records& records = context_.cache.records();
-  const auto* stored = records.slice(key.first, key.second);
+  const auto* stored = records.slice(key.job_id, key.number);
   const ModRevision known = stored == nullptr ? ModRevision{} : stored->mod_revision;
-  const auto job = records.jobs.find(key.first);
+  const auto job = records.jobs.find(key.job_id);
   return records.leader && records.leader->mod_revision.get() == offer.term &&
          job != records.jobs.end() && job->second.mod_revision.get() == offer.job_revision &&
-         !context_.cancellations.cancelled_at(key.first) && known.get() == offer.over &&
+         !context_.cancellations.cancelled_at(key.job_id) && known.get() == offer.over &&
          !commits_.in_flight(key) && !offer.tasks.empty() &&
-         key.second < slice_count(job->second.record.spec);
+         key.number < slice_count(job->second.record.spec);
 }
 
 SliceRecord ReleaseOffers::slice_before(const SliceKey& key, const JobSpec& job) const {
-  const auto* stored = context_.cache.records().slice(key.first, key.second);
+  const auto* stored = context_.cache.records().slice(key.job_id, key.number);
   if (stored != nullptr) return stored->record;
   SliceRecord slice;
-  slice.job_id = key.first;
-  slice.number = key.second;
-  slice.tasks.resize(slice_size(job, key.second));
+  slice.job_id = key.job_id;
+  slice.number = key.number;
+  slice.tasks.resize(slice_size(job, key.number));
   return slice;
 }
 
@@ -78,7 +78,7 @@
   PromisedRoom promised;
   for (const ReleaseOffer::Task& offered : offer.tasks) {
     const ZoneId zone(offered.zone);
-    if (offered.index >= slice.tasks.size() || !blocks_.holds(zone)) return std::nullopt;
+    if (offered.index >= slice.tasks.size() || !shards_.holds(zone)) return std::nullopt;
     TaskRecord& task = slice.tasks[offered.index];
     if (task.state != TaskState::idle) return std::nullopt;
     task.state = TaskState::released;
@@ -100,10 +100,10 @@
   for (const ReleaseOffer::Task& offered : offer.tasks) zones.emplace(offered.zone);
   Txn txn;
   txn.guard(keys::kLeader, records.leader->mod_revision);
-  for (const ZoneId& zone : zones) blocks_.guard(txn, zone);
-  txn.guard(keys::job(key.first), records.jobs.at(key.first).mod_revision);
-  txn.guard(keys::slice(key.first, key.second), ModRevision(offer.over));
-  txn.put(keys::slice(key.first, key.second), encode(slice, context_.cache.record_size()));
+  for (const ZoneId& zone : zones) shards_.guard(txn, zone);
+  txn.guard(keys::job(key.job_id), records.jobs.at(key.job_id).mod_revision);
+  txn.guard(keys::slice(key.job_id, key.number), ModRevision(offer.over));
+  txn.put(keys::slice(key.job_id, key.number), encode(slice, context_.cache.record_size()));
   return txn;
 }
 
@@ -111,7 +111,7 @@
   const ReleaseOffer& offer = pending.offer;
   const SliceKey key{JobId(offer.job_id), offer.slice};
   if (!matches_records(offer, key)) return false;
-  const JobSpec& job = context_.cache.records().jobs.at(key.first).record.spec;
+  const JobSpec& job = context_.cache.records().jobs.at(key.job_id).record.spec;
   const std::optional<SliceRecord> slice = bind_tasks(offer, key, job);
   if (!slice) return false;
   commits_.commit(key, make_transaction(offer, key, *slice),
--- a/src/blocks/release_offers.hpp
+++ b/src/shards/release_offers.hpp
@@ -4,20 +4,20 @@
 #include <optional>
 #include <vector>
 
-#include "blocks/answered_offers.hpp"
-#include "blocks/block_context.hpp"
-#include "blocks/block_ownership.hpp"
-#include "blocks/slice_commits.hpp"
-#include "blocks/task_binder.hpp"
 #include "peers/offers.hpp"
+#include "shards/answered_offers.hpp"
+#include "shards/shard_context.hpp"
+#include "shards/shard_ownership.hpp"
+#include "shards/slice_commits.hpp"
+#include "shards/task_binder.hpp"
 
 namespace marblevale {
 
 class ReleaseOffers {
  public:
-  ReleaseOffers(const BlockContext& context, const BlockOwnership& blocks, const TaskBinder& binder,
+  ReleaseOffers(const ShardContext& context, const ShardOwnership& shards, const TaskBinder& binder,
                 SliceCommits& commits)
-      : context_(context), blocks_(blocks), binder_(binder), commits_(commits) {}
+      : context_(context), shards_(shards), binder_(binder), commits_(commits) {}
 
   /// Binds what the leader offers, if all of it can be bound here, as soon as this copy has what
   /// the leader's had. False: nothing was committed, and nothing will be. A copy of an offer
@@ -48,8 +48,8 @@
   [[nodiscard]] Txn make_transaction(const ReleaseOffer& offer, const SliceKey& key,
                                      const SliceRecord& slice) const;
 
-  const BlockContext& context_;
-  const BlockOwnership& blocks_;
+  const ShardContext& context_;
+  const ShardOwnership& shards_;
   const TaskBinder& binder_;
   SliceCommits& commits_;
   std::vector<PendingOffer> pending_;
--- a/src/blocks/holder.cpp
+++ b/src/shards/shard_holder.cpp
@@ -1,4 +1,4 @@
-#include "blocks/holder.hpp"
+#include "shards/shard_holder.hpp"
 
 #include <string>
 
@@ -9,45 +9,45 @@
 constexpr Duration kBackpressureDelay{50};  // while as many commits are on their way as may be
 }  // namespace
 
-BlockHolder::BlockHolder(Loop& loop, const Clock& clock, const Settings& settings,
+ShardHolder::ShardHolder(Loop& loop, const Clock& clock, const Settings& settings,
                          WatchCache& cache, Election& election, OrderSender& orders,
                          Cancellations& cancellations)
     : context_{loop.metrics(), clock, settings, cache, cancellations},
       work_(loop, [this] { run_round(); }),
-      blocks_(context_, election, block_events()),
-      workers_(context_, blocks_),
-      deadlines_(context_, blocks_),
-      machines_(loop, context_, blocks_, workers_),
+      shards_(context_, election, shard_events()),
+      workers_(context_, shards_),
+      deadlines_(context_, shards_),
+      machines_(loop, context_, shards_, workers_),
       binder_(context_, workers_),
       commits_(cache, work_),
-      offers_(context_, blocks_, binder_, commits_),
-      lifecycle_(context_, blocks_, workers_, machines_, binder_, commits_),
-      orders_(context_, blocks_, workers_, deadlines_, commits_, work_, orders,
-              [this](KnownWorker& worker, const Report& report) {
-                reports_.handle_order_answer(worker, report);
+      offers_(context_, shards_, binder_, commits_),
+      lifecycle_(context_, shards_, workers_, machines_, binder_, commits_),
+      orders_(context_, shards_, workers_, deadlines_, commits_, work_, orders,
+              [this](KnownWorker& worker, const WorkerHeartbeat& heartbeat) {
+                heartbeats_.handle_order_answer(worker, heartbeat);
               }),
-      reports_(context_, blocks_, workers_, deadlines_, machines_, orders_, misdirected_, work_),
+      heartbeats_(context_, shards_, workers_, deadlines_, machines_, orders_, misrouted_, work_),
       sweep_timer_(loop, [this] { sweep(); }) {
   cache.listen([this](RecordKind kind, const std::string& key) { on_record_changed(kind, key); });
 }
 
-void BlockHolder::begin() {
+void ShardHolder::begin() {
   deadlines_.warn_if_tight();
   sweep_timer_.start(kSweepInterval);
 }
 
-BlockEvents BlockHolder::block_events() {
-  return {.gained = [this](const ZoneId& zone) { on_block_gained(zone); },
-          .lost = [this](const ZoneId& zone) { on_block_lost(zone); },
-          .holder_changed = [this](const ZoneId& zone) { misdirected_.forget(zone); },
+ShardEvents ShardHolder::shard_events() {
+  return {.gained = [this](const ZoneId& zone) { on_shard_gained(zone); },
+          .lost = [this](const ZoneId& zone) { on_shard_lost(zone); },
+          .holder_changed = [this](const ZoneId& zone) { misrouted_.forget(zone); },
           .renewal_answered = [this] { work_.schedule_round(); }};
 }
 
-void BlockHolder::on_block_gained(const ZoneId& zone) {
+void ShardHolder::on_shard_gained(const ZoneId& zone) {
   // What an earlier holding wanted to say of its machines is no longer known to be so: a holder
   // that had been cut off called all of them silent, as soon as it was back.
   machines_.forget_zone(zone);
-  // Workers of a holder that is gone get orders at once, to know who holds the block now.
+  // Workers of a holder that is gone get orders at once, to know who holds the shard now.
   const SteadyTime now = context_.clock.steady();
   for (const auto& [machine_id, machine] : context_.cache.records().machines) {
     if (machine.record.zone != zone || machine.record.state >= MachineState::deleting) continue;
@@ -57,12 +57,12 @@
   for (const auto& [key, slice] : context_.cache.records().slices) work_.mark_dirty(key);
 }
 
-void BlockHolder::on_block_lost(const ZoneId& zone) {
+void ShardHolder::on_shard_lost(const ZoneId& zone) {
   workers_.forget_zone(zone);
   machines_.forget_zone(zone);
 }
 
-void BlockHolder::on_record_changed(RecordKind kind, const std::string& key) {
+void ShardHolder::on_record_changed(RecordKind kind, const std::string& key) {
   const Records& records = context_.cache.records();
   switch (kind) {
     case RecordKind::slice: {
@@ -78,7 +78,7 @@
       if (!records.placed.contains(MachineId(key))) return;
       work_.mark_machine_dirty(records, MachineId(key));
       break;
-    case RecordKind::block:
+    case RecordKind::shard:
     case RecordKind::node:
       break;
     default:
@@ -87,25 +87,25 @@
   work_.schedule_round();
 }
 
-void BlockHolder::cancelled(const JobId& job_id) {
+void ShardHolder::cancelled(const JobId& job_id) {
   work_.mark_job_dirty(context_.cache.records(), job_id);
   work_.schedule_round();
 }
 
-std::vector<ZoneId> BlockHolder::misdirected_zones() {
-  std::vector<ZoneId> zones = misdirected_.affected_zones(context_.clock.steady());
+std::vector<ZoneId> ShardHolder::misrouted_zones() {
+  std::vector<ZoneId> zones = misrouted_.affected_zones(context_.clock.steady());
   std::erase_if(zones, [this](const ZoneId& zone) {
-    return blocks_.holding(zone) != BlockOwnership::Holding::none;
+    return shards_.holding(zone) != ShardOwnership::Holding::none;
   });
   return zones;
 }
 
-void BlockHolder::run_round() {
+void ShardHolder::run_round() {
   if (!context_.cache.ready()) return;
   const auto timed = context_.metrics.time(Duty::holder);
-  blocks_.refresh();
-  if (!blocks_.holds_any()) {
-    // Nothing here is ours to decide; a block that comes brings all its slices.
+  shards_.refresh();
+  if (!shards_.holds_any()) {
+    // Nothing here is ours to decide; a shard that comes brings all its slices.
     work_.clear();
     offers_.clear();
     return;
@@ -114,7 +114,7 @@
   decide_dirty_slices();
 }
 
-void BlockHolder::decide_dirty_slices() {
+void ShardHolder::decide_dirty_slices() {
   const SteadyTime until = context_.clock.steady() + context_.settings.tuning.round_budget;
   // Slices are taken one by one; what the budget leaves stays for the next round. What a decision
   // marks dirty waits for the next round, too: a commit that is refused at once must not be tried
@@ -142,11 +142,11 @@
   }
 }
 
-void BlockHolder::decide_standing_slices(std::set<SliceKey>& batch, SteadyTime until) {
+void ShardHolder::decide_standing_slices(std::set<SliceKey>& batch, SteadyTime until) {
   // Few, and down until they are bound: they don't wait for the commits of others.
   const Records& records = context_.cache.records();
   for (auto it = batch.begin(); it != batch.end() && context_.clock.steady() <= until;) {
-    if (records.binding_priority(it->first) != RequestPriority::standing_binding) {
+    if (binding_priority(records, it->job_id) != RequestPriority::standing_binding) {
       ++it;
       continue;
     }
@@ -155,14 +155,14 @@
   }
 }
 
-void BlockHolder::sweep() {
+void ShardHolder::sweep() {
   sweep_timer_.start(kSweepInterval);
   if (!context_.cache.ready()) return;
   const auto timed = context_.metrics.time(Duty::holder);
   const SteadyTime now = context_.clock.steady();
   workers_.discount_pause(now, kSweepInterval);
-  blocks_.renew_requested(now);
-  if (!blocks_.holds_any()) return;
+  shards_.renew_requested(now);
+  if (!shards_.holds_any()) return;
 
   machines_.mark_silent(now);
   workers_.forget_gone(now);
@@ -174,15 +174,15 @@
   work_.schedule_round();
 }
 
-void BlockHolder::check_reachability() {
+void ShardHolder::check_reachability() {
   for (auto& [machine_id, worker] : workers_.all()) {
     if (!worker.reachability.reachable()) work_.command_machine(machine_id);
-    check_reports_reachable(machine_id, worker);
+    check_heartbeats_reachable(machine_id, worker);
     check_commands_reachable(machine_id, worker);
   }
 }
 
-void BlockHolder::check_reports_reachable(const MachineId& machine_id, KnownWorker& worker) {
+void ShardHolder::check_heartbeats_reachable(const MachineId& machine_id, KnownWorker& worker) {
   // It may reach no controller and receive orders all the same. What becomes of its tasks, and that
   // its lease has lapsed, is then known from its answers only.
   worker.reachability.probe_regularly(workers_.is_silent(machine_id) &&
@@ -190,11 +190,11 @@
   if (worker.reachability.probe_due(context_.clock.steady())) work_.command_machine(machine_id);
 }
 
-void BlockHolder::check_commands_reachable(const MachineId& machine_id, KnownWorker& worker) {
+void ShardHolder::check_commands_reachable(const MachineId& machine_id, KnownWorker& worker) {
   const SteadyTime now = context_.clock.steady();
-  const Duration report_interval = context_.settings.workers.report;
-  if (now - worker.last_report_at < report_interval * 2.0 &&
-      worker.reachability.misses_starts(worker.view, now, report_interval)) {
+  const Duration heartbeat_interval = context_.settings.workers.heartbeat;
+  if (now - worker.last_heartbeat_at < heartbeat_interval * 2.0 &&
+      worker.reachability.misses_starts(worker.view, now, heartbeat_interval)) {
     worker.reachability.mark_commands_unreachable("its starts do not show");
   }
   worker.reachability.forget_starts([&](const TaskAttempt& start) {
@@ -207,7 +207,7 @@
   }
 }
 
-void BlockHolder::mark_waiting_tasks() {
+void ShardHolder::mark_waiting_tasks() {
   const Records& records = context_.cache.records();
   for (const auto& [machine_id, placed] : records.placed) {
     for (const auto& [id, attempt] : placed) {
--- a/src/blocks/holder.hpp
+++ b/src/shards/shard_holder.hpp
@@ -1,4 +1,4 @@
-// A block's holder: answers its workers' reports, binds released tasks, sends orders, and commits
+// A shard's holder: answers its workers' reports, binds released tasks, sends orders, and commits
 // what the reports prove.
 #pragma once
 
@@ -6,37 +6,37 @@
 #include <string_view>
 #include <vector>
 
-#include "blocks/block_context.hpp"
-#include "blocks/block_ownership.hpp"
-#include "blocks/cancellation_deadlines.hpp"
-#include "blocks/machine_recorder.hpp"
-#include "blocks/misdirected_reports.hpp"
-#include "blocks/order_delivery.hpp"
-#include "blocks/pending_work.hpp"
-#include "blocks/release_offers.hpp"
-#include "blocks/report_handler.hpp"
-#include "blocks/slice_commits.hpp"
-#include "blocks/task_binder.hpp"
-#include "blocks/task_lifecycle.hpp"
-#include "blocks/worker_registry.hpp"
+#include "shards/cancellation_deadlines.hpp"
+#include "shards/heartbeat_handler.hpp"
+#include "shards/machine_recorder.hpp"
+#include "shards/misrouted_heartbeats.hpp"
+#include "shards/order_delivery.hpp"
+#include "shards/pending_work.hpp"
+#include "shards/release_offers.hpp"
+#include "shards/shard_context.hpp"
+#include "shards/shard_ownership.hpp"
+#include "shards/slice_commits.hpp"
+#include "shards/task_binder.hpp"
+#include "shards/task_lifecycle.hpp"
+#include "shards/worker_registry.hpp"
 
 namespace marblevale {
 
 /// Connects the parts that own the holder's state, and runs its rounds (decisions that are due) and
 /// sweeps (what only time changes).
-class BlockHolder {
+class ShardHolder {
  public:
-  BlockHolder(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
+  ShardHolder(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
               Election& election, OrderSender& orders, Cancellations& cancellations);
 
   void begin();
-  ReportAnswer handle_report(std::string_view body) { return reports_.handle(body); }
+  HeartbeatReply handle_heartbeat(std::string_view body) { return heartbeats_.handle(body); }
   /// Binds what the leader offers (see `ReleaseOffers::accept`); false: nothing was committed, and
   /// nothing will be.
   bool accept_offer(const ReleaseOffer& offer) { return offers_.accept(offer); }
 
-  /// Zones whose workers come here again and again though another controller holds the block.
-  [[nodiscard]] std::vector<ZoneId> misdirected_zones();
+  /// Zones whose workers come here again and again though another controller holds the shard.
+  [[nodiscard]] std::vector<ZoneId> misrouted_zones();
   /// Zones that are held here while none of their machines reports: cut off, or not met yet.
   [[nodiscard]] std::set<ZoneId> unreachable_zones() const { return workers_.unreachable_zones(); }
   /// A peer was the first to announce that the job is cancelled.
@@ -50,9 +50,9 @@
   void extend_freshness(SteadyTime until) { deadlines_.extend_freshness(until); }
 
  private:
-  [[nodiscard]] BlockEvents block_events();
-  void on_block_gained(const ZoneId& zone);
-  void on_block_lost(const ZoneId& zone);
+  [[nodiscard]] ShardEvents shard_events();
+  void on_shard_gained(const ZoneId& zone);
+  void on_shard_lost(const ZoneId& zone);
   void on_record_changed(RecordKind kind, const std::string& key);
   void run_round();
   void decide_dirty_slices();
@@ -60,15 +60,15 @@
   void decide_standing_slices(std::set<SliceKey>& batch, SteadyTime until);
   void sweep();
   void check_reachability();
-  void check_reports_reachable(const MachineId& machine_id, KnownWorker& worker);
+  void check_heartbeats_reachable(const MachineId& machine_id, KnownWorker& worker);
   void check_commands_reachable(const MachineId& machine_id, KnownWorker& worker);
   /// Marks what has to be looked at again though no record changed.
   void mark_waiting_tasks();
 
-  BlockContext context_;
+  ShardContext context_;
   PendingWork work_;
-  BlockOwnership blocks_;
-  MisdirectedReports misdirected_;
+  ShardOwnership shards_;
+  MisroutedHeartbeats misrouted_;
   WorkerRegistry workers_;
   CancellationDeadlines deadlines_;
   MachineRecorder machines_;
@@ -77,7 +77,7 @@
   ReleaseOffers offers_;
   TaskLifecycle lifecycle_;
   OrderDelivery orders_;
-  ReportHandler reports_;
+  HeartbeatHandler heartbeats_;
   SliceKey last_decided_;  // rounds go on behind it
   Timer sweep_timer_;
 };
--- a/src/blocks/block_ownership.cpp
+++ b/src/shards/shard_ownership.cpp
@@ -1,4 +1,4 @@
-#include "blocks/block_ownership.hpp"
+#include "shards/shard_ownership.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -8,21 +8,21 @@
 constexpr Duration kMinRenewalInterval{8'000};  // each renewal costs a write of the lease class
 }  // namespace
 
-BlockOwnership::BlockOwnership(const BlockContext& context, Election& election, BlockEvents events)
+ShardOwnership::ShardOwnership(const ShardContext& context, Election& election, ShardEvents events)
     : context_(context), election_(election), events_(std::move(events)) {}
 
-FencingToken BlockOwnership::token_of(const ZoneId& zone) const {
-  const auto& blocks = context_.cache.records().blocks;
-  const auto it = blocks.find(zone);
-  return it == blocks.end() ? FencingToken{} : FencingToken(it->second.mod_revision.get());
+FencingToken ShardOwnership::token_of(const ZoneId& zone) const {
+  const auto& shards = context_.cache.records().shards;
+  const auto it = shards.find(zone);
+  return it == shards.end() ? FencingToken{} : FencingToken(it->second.mod_revision.get());
 }
 
-BlockOwnership::Holding BlockOwnership::holding(const ZoneId& zone) const {
-  const auto& blocks = context_.cache.records().blocks;
-  const auto it = blocks.find(zone);
-  if (it == blocks.end()) return Holding::none;
-  const BlockRecord& block = it->second.record;
-  if (block.holder != context_.settings.node || block.nonce != election_.nonce()) {
+ShardOwnership::Holding ShardOwnership::holding(const ZoneId& zone) const {
+  const auto& shards = context_.cache.records().shards;
+  const auto it = shards.find(zone);
+  if (it == shards.end()) return Holding::none;
+  const ShardRecord& shard = it->second.record;
+  if (shard.holder != context_.settings.node || shard.incarnation != election_.incarnation()) {
     return Holding::none;
   }
   // What the holder before us committed must be in the cache before we act on reports.
@@ -30,7 +30,7 @@
                                                                           : Holding::settling;
 }
 
-std::set<ZoneId> BlockOwnership::held_zones() const {
+std::set<ZoneId> ShardOwnership::held_zones() const {
   std::set<ZoneId> zones;
   for (const auto& [zone, token] : tokens_) {
     if (holds(zone)) zones.insert(zone);
@@ -38,18 +38,18 @@
   return zones;
 }
 
-void BlockOwnership::guard(Txn& txn, const ZoneId& zone) const {
-  txn.guard(keys::block(zone), ModRevision(token_of(zone).get()));
+void ShardOwnership::guard(Txn& txn, const ZoneId& zone) const {
+  txn.guard(keys::shard(zone), ModRevision(token_of(zone).get()));
 }
 
-void BlockOwnership::refresh() {
-  for (const auto& [zone, stored] : context_.cache.records().blocks) {
-    const BlockRecord& block = stored.record;
+void ShardOwnership::refresh() {
+  for (const auto& [zone, stored] : context_.cache.records().shards) {
+    const ShardRecord& shard = stored.record;
     const bool earlier_life =
-        block.holder == context_.settings.node && block.nonce != election_.nonce();
-    if (earlier_life && election_.block_lease_id() != LeaseId{}) renew(zone);
-    if (NodeId& last = last_holders_[zone]; last != block.holder) {
-      last = block.holder;
+        shard.holder == context_.settings.node && shard.incarnation != election_.incarnation();
+    if (earlier_life && election_.shard_lease_id() != LeaseId{}) renew(zone);
+    if (NodeId& last = last_holders_[zone]; last != shard.holder) {
+      last = shard.holder;
       events_.holder_changed(zone);
     }
     switch (holding(zone)) {
@@ -65,13 +65,13 @@
   }
 }
 
-void BlockOwnership::release(const ZoneId& zone) {
+void ShardOwnership::release(const ZoneId& zone) {
   if (tokens_.erase(zone) == 0) return;
   events_.lost(zone);
   spdlog::info("holder: block {} is held elsewhere", zone.get());
 }
 
-void BlockOwnership::adopt(const ZoneId& zone, FencingToken token) {
+void ShardOwnership::adopt(const ZoneId& zone, FencingToken token) {
   FencingToken& known = tokens_[zone];
   const bool gained = known == FencingToken{};
   known = token;
@@ -81,7 +81,7 @@
   events_.gained(zone);
 }
 
-void BlockOwnership::renew_requested(SteadyTime now) {
+void ShardOwnership::renew_requested(SteadyTime now) {
   for (const ZoneId& zone : renewals_requested_) {
     if (!holds(zone)) continue;
     SteadyTime& last = last_renewals_[zone];
@@ -95,18 +95,18 @@
   });
 }
 
-void BlockOwnership::renew(const ZoneId& zone) {
-  const auto& blocks = context_.cache.records().blocks;
-  const auto it = blocks.find(zone);
-  if (it == blocks.end() || renewals_in_flight_.contains(zone)) return;
+void ShardOwnership::renew(const ZoneId& zone) {
+  const auto& shards = context_.cache.records().shards;
+  const auto it = shards.find(zone);
+  if (it == shards.end() || renewals_in_flight_.contains(zone)) return;
   renewals_in_flight_.insert(zone);
-  const std::string key = keys::block(zone);
+  const std::string key = keys::shard(zone);
   Txn txn;
   txn.guard(key, it->second.mod_revision);
   txn.put(key,
-          encode(BlockRecord{zone, context_.settings.node, election_.nonce(),
+          encode(ShardRecord{zone, context_.settings.node, election_.incarnation(),
                              it->second.record.generation + 1}),
-          election_.block_lease_id());
+          election_.shard_lease_id());
   context_.cache.commit(RequestPriority::lease, std::move(txn), [this, zone](const CommitResult&) {
     renewals_in_flight_.erase(zone);
     events_.renewal_answered();
--- a/src/blocks/block_ownership.hpp
+++ b/src/shards/shard_ownership.hpp
@@ -1,17 +1,17 @@
-// Which blocks this controller holds, with their fencing tokens, and the renewal of the tokens.
+// Which shards this controller holds, with their fencing tokens, and the renewal of the tokens.
 #pragma once
 
 #include <functional>
 #include <map>
 #include <set>
 
-#include "blocks/block_context.hpp"
 #include "election/election.hpp"
+#include "shards/shard_context.hpp"
 
 namespace marblevale {
 
-/// Called while `BlockOwnership::refresh` or a commit's answer runs.
-struct BlockEvents {
+/// Called while `ShardOwnership::refresh` or a commit's answer runs.
+struct ShardEvents {
   std::function<void(const ZoneId&)> gained;
   std::function<void(const ZoneId&)> lost;
   /// The record names another holder than at the last refresh, whoever it is.
@@ -20,14 +20,14 @@
   std::function<void()> renewal_answered;
 };
 
-/// Derives from the records which blocks are held, and replaces the fencing token of a held block
+/// Derives from the records which shards are held, and replaces the fencing token of a held shard
 /// by a higher one on request.
-class BlockOwnership {
+class ShardOwnership {
  public:
   /// `settling`: ours, but what the holder before us committed may not be in the cache yet.
   enum class Holding { none, settling, held };
 
-  BlockOwnership(const BlockContext& context, Election& election, BlockEvents events);
+  ShardOwnership(const ShardContext& context, Election& election, ShardEvents events);
 
   /// Compares the records with what was held, and reports the differences as events.
   void refresh();
@@ -36,15 +36,15 @@
   /// As of the last refresh.
   [[nodiscard]] bool holds_any() const { return !tokens_.empty(); }
   [[nodiscard]] std::set<ZoneId> held_zones() const;
-  /// The block's token by the records, whoever holds it.
+  /// The shard's token by the records, whoever holds it.
   [[nodiscard]] FencingToken token_of(const ZoneId& zone) const;
-  /// The token with which the present holding of the block began.
+  /// The token with which the present holding of the shard began.
   [[nodiscard]] FencingToken first_token_of(const ZoneId& zone) { return first_tokens_[zone]; }
-  /// Makes the transaction fail unless the block still has the token that we know.
+  /// Makes the transaction fail unless the shard still has the token that we know.
   void guard(Txn& txn, const ZoneId& zone) const;
 
   /// This life of the controller.
-  [[nodiscard]] Nonce nonce() const { return election_.nonce(); }
+  [[nodiscard]] ProcessIncarnation incarnation() const { return election_.incarnation(); }
 
   /// Asks for a higher token, which voids all orders that may still be on their way.
   void request_renewal(const ZoneId& zone) { renewals_requested_.insert(zone); }
@@ -56,11 +56,11 @@
   void adopt(const ZoneId& zone, FencingToken token);
   void release(const ZoneId& zone);
 
-  const BlockContext& context_;
+  const ShardContext& context_;
   Election& election_;
-  BlockEvents events_;
+  ShardEvents events_;
   std::map<ZoneId, FencingToken> first_tokens_;
-  std::map<ZoneId, FencingToken> tokens_;  // of the blocks held, as of the last refresh
+  std::map<ZoneId, FencingToken> tokens_;  // of the shards held, as of the last refresh
   std::map<ZoneId, NodeId> last_holders_;
   std::set<ZoneId> renewals_requested_;
   std::set<ZoneId> renewals_in_flight_;
--- a/src/blocks/slice_commits.cpp
+++ b/src/shards/slice_commits.cpp
@@ -1,4 +1,4 @@
-#include "blocks/slice_commits.hpp"
+#include "shards/slice_commits.hpp"
 
 #include <utility>
 
@@ -22,7 +22,8 @@
       work_.schedule_round(kRetryDelay);
     }
   };
-  cache_.commit(cache_.records().binding_priority(key.first), std::move(txn), std::move(on_answer));
+  cache_.commit(binding_priority(cache_.records(), key.job_id), std::move(txn),
+                std::move(on_answer));
 }
 
 }  // namespace marblevale
--- a/src/blocks/slice_commits.hpp
+++ b/src/shards/slice_commits.hpp
@@ -4,7 +4,7 @@
 #include <functional>
 #include <set>
 
-#include "blocks/pending_work.hpp"
+#include "shards/pending_work.hpp"
 #include "store/watch_cache.hpp"
 
 namespace marblevale {
--- a/src/blocks/task_binder.cpp
+++ b/src/shards/task_binder.cpp
@@ -1,14 +1,14 @@
-#include "blocks/task_binder.hpp"
+#include "shards/task_binder.hpp"
 
 #include <spdlog/spdlog.h>
 
-#include "planner/profile.hpp"
+#include "scheduling/profile.hpp"
 
 namespace marblevale {
 
 namespace {
 
-// The machine that the leader meant may be about to report; its room may be about to show.
+// The machine that the leader meant may be about to heartbeat; its room may be about to show.
 constexpr Duration kMaxRoomWait{3'000};
 
 bool rules_allow(const JobSpec& job, const MachineRecord& machine, const MachineType& type) {
@@ -27,8 +27,8 @@
   if (worker == nullptr) return false;
   if (machine.state != MachineState::up || worker->reclaim_at) return false;
   // Nothing is bound to a machine that has not shown, under a fencing token of ours, that commands
-  // reach it, nor to one that does not report: its lease lapses.
-  return worker->view.session != SessionId{} && !workers_.is_silent(machine_id) &&
+  // reach it, nor to one that does not heartbeat: its lease lapses.
+  return worker->view.epoch != WorkerEpoch{} && !workers_.is_silent(machine_id) &&
          worker->reachability.reachable();
 }
 
@@ -91,7 +91,7 @@
   promised.by_machine[*machine_id] += job.need;
   task.state = TaskState::bound;
   task.machine_id = *machine_id;
-  task.session = workers_.find(*machine_id)->view.session;
+  task.epoch = workers_.find(*machine_id)->view.epoch;
   task.since = now;
 }
 
--- a/src/blocks/task_binder.hpp
+++ b/src/shards/task_binder.hpp
@@ -1,12 +1,12 @@
-// Chooses the machine for a released task and binds the task to the worker's session there.
+// Chooses the machine for a released task and binds the task to the worker's epoch there.
 #pragma once
 
 #include <cstddef>
 #include <optional>
 #include <unordered_map>
 
-#include "blocks/block_context.hpp"
-#include "blocks/worker_registry.hpp"
+#include "shards/shard_context.hpp"
+#include "shards/worker_registry.hpp"
 
 namespace marblevale {
 
@@ -17,7 +17,7 @@
 
 class TaskBinder {
  public:
-  TaskBinder(const BlockContext& context, const WorkerRegistry& workers)
+  TaskBinder(const ShardContext& context, const WorkerRegistry& workers)
       : context_(context), workers_(workers) {}
 
   /// Binds the slice's task at `index` in the caller's copy. A task that finds no room stays
@@ -35,7 +35,7 @@
   [[nodiscard]] Resources free_room(const MachineId& machine_id, Resources whole,
                                     const PromisedRoom& promised) const;
 
-  const BlockContext& context_;
+  const ShardContext& context_;
   const WorkerRegistry& workers_;
 };
 
--- a/src/blocks/task_lifecycle.cpp
+++ b/src/shards/task_lifecycle.cpp
@@ -1,10 +1,10 @@
-#include "blocks/task_lifecycle.hpp"
+#include "shards/task_lifecycle.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "blocks/write_pacing.hpp"
+#include "shards/write_pacing.hpp"
 
 namespace marblevale {
 
@@ -22,11 +22,11 @@
   return changed;
 }
 
-TaskLifecycle::TaskLifecycle(const BlockContext& context, BlockOwnership& blocks,
+TaskLifecycle::TaskLifecycle(const ShardContext& context, ShardOwnership& shards,
                              WorkerRegistry& workers, MachineRecorder& machines,
                              const TaskBinder& binder, SliceCommits& commits)
     : context_(context),
-      blocks_(blocks),
+      shards_(shards),
       workers_(workers),
       machines_(machines),
       binder_(binder),
@@ -34,10 +34,10 @@
 
 void TaskLifecycle::decide_slice(const SliceKey& key) {
   const Records& records = context_.cache.records();
-  const auto* stored = records.slice(key.first, key.second);
-  const JobRecord* job = records.job(key.first);
+  const auto* stored = records.slice(key.job_id, key.number);
+  const JobRecord* job = records.job(key.job_id);
   if (stored == nullptr || job == nullptr) return;
-  const bool cancelled = job->cancelled || context_.cancellations.cancelled_at(key.first);
+  const bool cancelled = job->cancelled || context_.cancellations.cancelled_at(key.job_id);
 
   SliceChange change;
   change.slice = stored->record;
@@ -57,7 +57,7 @@
                                 bool cancelled) {
   SliceRecord& slice = change.slice;
   TaskRecord& task = slice.tasks[index];
-  if (!task.placed() || !blocks_.holds(task.zone)) return;
+  if (!task.placed() || !shards_.holds(task.zone)) return;
   const TaskId id{slice.job_id, slice.first_task_index() + static_cast<std::uint32_t>(index)};
   const TaskRecord before = task;
   if (task.state != TaskState::released) {
@@ -134,25 +134,25 @@
   const TaskAttempt attempt{id, task.attempt};
   const ReportedTask* reported = find_reported(worker->view, attempt);
   const bool unwanted = task.stop || context_.cancellations.cancelled_at(id.job_id);
-  switch (examine(id, task, worker->view, blocks_.token_of(task.zone))) {
-    case Finding::ended:
+  switch (classify_presence(id, task, worker->view, shards_.token_of(task.zone))) {
+    case TaskPresence::ended:
       end_task(id, task, job, reported->cause, reported->saved);
       break;
-    case Finding::lost:
+    case TaskPresence::lost:
       end_task(id, task, job, "lease lost", false);
       break;
-    case Finding::never_here:
+    case TaskPresence::never_here:
       if (unwanted) end_task(id, task, job, "never started", false);
       break;
-    case Finding::present:
+    case TaskPresence::present:
       if (task.running.ms == 0 && reported->status == TaskStatus::running) {
         record_running(id, task, job, *worker);
       }
       break;
-    case Finding::absent:
+    case TaskPresence::absent:
       // A start sent to /orders may still arrive: only a higher fencing token ends that.
       if (unwanted && worker->view.direct_starts.contains(attempt)) {
-        blocks_.request_renewal(task.zone);
+        shards_.request_renewal(task.zone);
       }
       break;
   }
@@ -214,27 +214,29 @@
 
 Txn TaskLifecycle::make_transaction(const SliceKey& key, const SliceChange& change) const {
   const Records& records = context_.cache.records();
-  const auto& job = records.jobs.at(key.first);
+  const auto& job = records.jobs.at(key.job_id);
   Txn txn;
   // A binding of a holder that was replaced, or for a job cancelled meanwhile, must fail.
-  for (const ZoneId& zone : change.zones) blocks_.guard(txn, zone);
-  txn.guard(keys::job(key.first), job.mod_revision);
-  txn.guard(keys::slice(key.first, key.second), records.slice(key.first, key.second)->mod_revision);
+  for (const ZoneId& zone : change.zones) shards_.guard(txn, zone);
+  txn.guard(keys::job(key.job_id), job.mod_revision);
+  txn.guard(keys::slice(key.job_id, key.number),
+            records.slice(key.job_id, key.number)->mod_revision);
   const JobSpec& spec = job.record.spec;
   const bool job_is_done = !spec.endless() && slice_count(spec) == 1 && change.slice.all_done();
   if (job_is_done) {
     // The leader removes the slice and the grant when there is budget to spare.
-    txn.put(keys::final_job(key.first),
-            encode(final_record(key.first, job.record), context_.cache.lasting_value_bytes()))
-        .remove(keys::job(key.first));
+    txn.put(keys::final_job(key.job_id),
+            encode(final_record(key.job_id, job.record), context_.cache.lasting_value_bytes()))
+        .remove(keys::job(key.job_id));
   } else {
-    txn.put(keys::slice(key.first, key.second), encode(change.slice, context_.cache.record_size()));
+    txn.put(keys::slice(key.job_id, key.number),
+            encode(change.slice, context_.cache.record_size()));
   }
   return txn;
 }
 
 FinalRecord TaskLifecycle::final_record(const JobId& job_id, const JobRecord& job) const {
-  const auto& grants = context_.cache.records().grants;
+  const auto& guarantee_records = context_.cache.records().guarantee_records;
   FinalRecord record;
   record.job_id = job_id;
   // A user who was told that the job is cancelled must not be told that it is done, though its
@@ -243,8 +245,9 @@
   record.task_count = job.spec.task_count;
   record.accepted = job.accepted;
   record.ended = context_.clock.wall();
-  if (const auto grant = grants.find(job_id); grant != grants.end()) {
-    record.notes = grant->second.record.notes;
+  if (const auto guarantee_record = guarantee_records.find(job_id);
+      guarantee_record != guarantee_records.end()) {
+    record.notes = guarantee_record->second.record.notes;
   }
   return record;
 }
--- a/src/blocks/task_lifecycle.hpp
+++ b/src/shards/task_lifecycle.hpp
@@ -5,12 +5,12 @@
 #include <set>
 #include <string>
 
-#include "blocks/block_context.hpp"
-#include "blocks/block_ownership.hpp"
-#include "blocks/machine_recorder.hpp"
-#include "blocks/slice_commits.hpp"
-#include "blocks/task_binder.hpp"
-#include "blocks/worker_registry.hpp"
+#include "shards/machine_recorder.hpp"
+#include "shards/shard_context.hpp"
+#include "shards/shard_ownership.hpp"
+#include "shards/slice_commits.hpp"
+#include "shards/task_binder.hpp"
+#include "shards/worker_registry.hpp"
 
 namespace marblevale {
 
@@ -21,10 +21,10 @@
 /// changes that wait for others of their slice, so that they share a write.
 class TaskLifecycle {
  public:
-  TaskLifecycle(const BlockContext& context, BlockOwnership& blocks, WorkerRegistry& workers,
+  TaskLifecycle(const ShardContext& context, ShardOwnership& shards, WorkerRegistry& workers,
                 MachineRecorder& machines, const TaskBinder& binder, SliceCommits& commits);
 
-  /// Decides the slice's tasks of held blocks. No commit of the slice may be on its way.
+  /// Decides the slice's tasks of held shards. No commit of the slice may be on its way.
   void decide_slice(const SliceKey& key);
   /// The slices with deferred commits have to be decided again from time to time.
   void mark_deferred_dirty(PendingWork& work) const;
@@ -54,8 +54,8 @@
   [[nodiscard]] Txn make_transaction(const SliceKey& key, const SliceChange& change) const;
   [[nodiscard]] FinalRecord final_record(const JobId& job_id, const JobRecord& job) const;
 
-  const BlockContext& context_;
-  BlockOwnership& blocks_;
+  const ShardContext& context_;
+  ShardOwnership& shards_;
   WorkerRegistry& workers_;
   MachineRecorder& machines_;
   const TaskBinder& binder_;
--- a/src/blocks/proof.cpp
+++ b/src/shards/task_presence.cpp
@@ -1,27 +1,27 @@
-#include "blocks/proof.hpp"
+#include "shards/task_presence.hpp"
 
 namespace marblevale {
 
-bool WorkerView::apply(const Report& report, Source source) {
+bool WorkerView::apply(const WorkerHeartbeat& heartbeat, Source source) {
   const bool newer =
-      report.session > session || (report.session == session && report.sequence > sequence);
+      heartbeat.epoch > epoch || (heartbeat.epoch == epoch && heartbeat.sequence > sequence);
   if (!newer) return false;
-  // What was said in answer to an earlier session's reports is dropped.
-  if (report.session > session) answered_starts.clear();
-  session = report.session;
-  sequence = report.sequence;
-  if (source == Source::worker) last_own_report = report.sequence;
-  token = std::max(token, report.token);
-  address = report.address;
+  // What was said in answer to an earlier epoch's reports is dropped.
+  if (heartbeat.epoch > epoch) answered_starts.clear();
+  epoch = heartbeat.epoch;
+  sequence = heartbeat.sequence;
+  if (source == Source::worker) last_own_heartbeat = heartbeat.sequence;
+  token = std::max(token, heartbeat.token);
+  address = heartbeat.address;
   tasks.clear();
-  for (const ReportedTask& task : report.tasks) tasks[{task.id, task.attempt}] = task;
+  for (const ReportedTask& task : heartbeat.tasks) tasks[{task.id, task.attempt}] = task;
   return true;
 }
 
 void WorkerView::prune() {
   std::erase_if(direct_starts, [this](const auto& entry) { return entry.second < token; });
   std::erase_if(answered_starts,
-                [this](const auto& entry) { return entry.second < last_own_report; });
+                [this](const auto& entry) { return entry.second < last_own_heartbeat; });
 }
 
 bool WorkerView::start_settled(const TaskAttempt& start, FencingToken current) const {
@@ -30,7 +30,7 @@
   const auto direct = direct_starts.find(start);
   if (direct != direct_starts.end() && direct->second >= token) return false;
   const auto answered = answered_starts.find(start);
-  return answered == answered_starts.end() || answered->second < last_own_report;
+  return answered == answered_starts.end() || answered->second < last_own_heartbeat;
 }
 
 const ReportedTask* find_reported(const WorkerView& worker, const TaskAttempt& attempt) {
@@ -38,16 +38,17 @@
   return it == worker.tasks.end() ? nullptr : &it->second;
 }
 
-Finding examine(const TaskId& id, const TaskRecord& task, const WorkerView& worker,
-                FencingToken current) {
-  // A new session: the worker has killed and forgotten all that it had, and drops what was sent to
-  // the session before.
-  if (worker.session > task.session) return Finding::lost;
-  if (worker.session < task.session) return Finding::absent;
+TaskPresence classify_presence(const TaskId& id, const TaskRecord& task, const WorkerView& worker,
+                               FencingToken current) {
+  // A new epoch: the worker has killed and forgotten all that it had, and drops what was sent to
+  // the epoch before.
+  if (worker.epoch > task.epoch) return TaskPresence::lost;
+  if (worker.epoch < task.epoch) return TaskPresence::absent;
   if (const ReportedTask* there = find_reported(worker, {id, task.attempt})) {
-    return there->status == TaskStatus::ended ? Finding::ended : Finding::present;
+    return there->status == TaskStatus::ended ? TaskPresence::ended : TaskPresence::present;
   }
-  return worker.start_settled({id, task.attempt}, current) ? Finding::never_here : Finding::absent;
+  return worker.start_settled({id, task.attempt}, current) ? TaskPresence::never_here
+                                                           : TaskPresence::absent;
 }
 
 namespace {
@@ -90,7 +91,7 @@
   }
   task.zone = ZoneId{};
   task.machine_id = MachineId{};
-  task.session = SessionId{};
+  task.epoch = WorkerEpoch{};
   task.running = WallTime{};
   task.since = now;
   task.stop.reset();
--- a/src/blocks/proof.hpp
+++ b/src/shards/task_presence.hpp
@@ -1,12 +1,12 @@
-// What a worker's report proves about a task that is bound to its machine. Pure: the rules about
+// What a worker's heartbeat proves about a task that is bound to its machine. Pure: the rules about
 // late commands and silence live here.
 #pragma once
 
 #include <map>
 #include <optional>
 
-#include "store/records.hpp"
-#include "wire/worker.hpp"
+#include "protocol/worker.hpp"
+#include "records/records.hpp"
 
 namespace marblevale {
 
@@ -17,28 +17,28 @@
   auto operator<=>(const TaskAttempt&) const = default;
 };
 
-/// What this controller knows of one worker, from reports received while it holds the block.
+/// What this controller knows of one worker, from reports received while it holds the shard.
 struct WorkerView {
   std::string address;
-  SessionId session;
-  ReportSequence sequence;
+  WorkerEpoch epoch;
+  HeartbeatSequence sequence;
   FencingToken token;  // highest that the worker said it has seen
   std::map<TaskAttempt, ReportedTask> tasks;
   /// Starts that were sent to `/orders` and the fencing token they bore. Such a start may arrive
   /// minutes late, or twice, until the worker has seen a higher fencing token or begun another
-  /// session.
+  /// epoch.
   std::map<TaskAttempt, FencingToken> direct_starts;
-  /// Of the last report that it sent by itself, not in answer to an order.
-  ReportSequence last_own_report;
-  /// Starts given in the answer to a report, and that report's sequence number. The worker executes
-  /// or drops the answer before its next report. An answer to an order may overtake it: it settles
-  /// nothing.
-  std::map<TaskAttempt, ReportSequence> answered_starts;
+  /// Of the last heartbeat that it sent by itself, not in answer to an order.
+  HeartbeatSequence last_own_heartbeat;
+  /// Starts given in the answer to a heartbeat, and that heartbeat's sequence number. The worker
+  /// executes or drops the answer before its next heartbeat. An answer to an order may overtake it:
+  /// it settles nothing.
+  std::map<TaskAttempt, HeartbeatSequence> answered_starts;
 
   enum class Source { worker, order };  // sent by itself, or in answer to an order
 
-  /// Replaces what is known by a newer report; false when the report is not newer.
-  bool apply(const Report& report, Source source = Source::worker);
+  /// Replaces what is known by a newer heartbeat; false when the heartbeat is not newer.
+  bool apply(const WorkerHeartbeat& heartbeat, Source source = Source::worker);
   /// True when no start of this attempt that was sent can still be executed there. `current` is the
   /// fencing token that we hold: below it, earlier holders' orders may still be on their way.
   [[nodiscard]] bool start_settled(const TaskAttempt& start, FencingToken current) const;
@@ -46,7 +46,7 @@
   void prune();
 };
 
-enum class Finding {
+enum class TaskPresence {
   present,     // on the machine, in some state
   ended,       // exited there; see the reported task
   lost,        // proof: gone, without an exit to read
@@ -55,8 +55,8 @@
 };
 
 /// `task` is bound to this worker's machine.
-Finding examine(const TaskId& id, const TaskRecord& task, const WorkerView& worker,
-                FencingToken current);
+TaskPresence classify_presence(const TaskId& id, const TaskRecord& task, const WorkerView& worker,
+                               FencingToken current);
 
 /// What the worker last reported of this attempt; null when it did not name it.
 const ReportedTask* find_reported(const WorkerView& worker, const TaskAttempt& attempt);
--- a/src/blocks/worker_registry.cpp
+++ b/src/shards/worker_registry.cpp
@@ -1,4 +1,4 @@
-#include "blocks/worker_registry.hpp"
+#include "shards/worker_registry.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr Duration kMinProcessPause{3'000};    // beyond the interval between two sweeps
-constexpr Duration kStrangerLifetime{30'000};  // without a report and without a record
+constexpr Duration kStrangerLifetime{30'000};  // without a heartbeat and without a record
 }  // namespace
 
 KnownWorker* WorkerRegistry::find(const MachineId& machine_id) {
@@ -23,7 +23,7 @@
 
 KnownWorker& WorkerRegistry::add_reporting(const MachineId& machine_id, SteadyTime now) {
   const auto [it, added] = workers_.try_emplace(machine_id, machine_id);
-  if (added) it->second.last_report_at = now;
+  if (added) it->second.last_heartbeat_at = now;
   return it->second;
 }
 
@@ -43,51 +43,52 @@
   std::erase_if(workers_, [&](const auto& entry) {
     const auto machine = machines.find(entry.first);
     const bool gone = machine == machines.end()
-                          ? now - entry.second.last_report_at > kStrangerLifetime
+                          ? now - entry.second.last_heartbeat_at > kStrangerLifetime
                           : machine->second.record.state == MachineState::gone;
     return gone && !entry.second.command_in_flight;
   });
 }
 
 Duration WorkerRegistry::silence_limit() const {
-  return context_.settings.workers.report * kSilentReports;
+  return context_.settings.workers.heartbeat * kSilentHeartbeats;
 }
 
 bool WorkerRegistry::is_silent(const MachineId& machine_id) const {
   const KnownWorker* worker = find(machine_id);
   if (worker == nullptr) return false;
-  return worker->reachability.commands_unreachable() || !reports(*worker, context_.clock.steady());
+  return worker->reachability.commands_unreachable() ||
+         !heartbeats(*worker, context_.clock.steady());
 }
 
-std::map<ZoneId, ReportCounts> WorkerRegistry::count_reporting(SteadyTime now) const {
-  std::map<ZoneId, ReportCounts> counts;
+std::map<ZoneId, HeartbeatCounts> WorkerRegistry::count_reporting(SteadyTime now) const {
+  std::map<ZoneId, HeartbeatCounts> counts;
   for (const auto& [machine_id, machine] : context_.cache.records().machines) {
     const KnownWorker* worker = find(machine_id);
-    if (worker == nullptr || !blocks_.holds(machine.record.zone)) continue;
-    ReportCounts& count = counts[machine.record.zone];
+    if (worker == nullptr || !shards_.holds(machine.record.zone)) continue;
+    HeartbeatCounts& count = counts[machine.record.zone];
     ++count.machines;
-    if (reports(*worker, now)) ++count.reporting;
+    if (heartbeats(*worker, now)) ++count.reporting;
   }
   return counts;
 }
 
 std::set<ZoneId> WorkerRegistry::unreachable_zones() const {
-  std::set<ZoneId> zones = blocks_.held_zones();
+  std::set<ZoneId> zones = shards_.held_zones();
   const SteadyTime now = context_.clock.steady();
   for (const auto& [machine_id, worker] : workers_) {
     if (zones.empty()) break;
-    if (worker.reachability.reachable() && reports(worker, now)) zones.erase(worker.zone);
+    if (worker.reachability.reachable() && heartbeats(worker, now)) zones.erase(worker.zone);
   }
   return zones;
 }
 
 void WorkerRegistry::restart_silence(const MachineId& machine_id, KnownWorker& worker,
                                      SteadyTime now) const {
-  // One that an earlier holder found silent has to report first.
+  // One that an earlier holder found silent has to heartbeat first.
   const auto& machines = context_.cache.records().machines;
   const auto machine = machines.find(machine_id);
   if (machine != machines.end() && machine->second.record.state == MachineState::silent) return;
-  worker.last_report_at = now;
+  worker.last_heartbeat_at = now;
 }
 
 void WorkerRegistry::restart_silence_of_reached_zones(SteadyTime now) {
@@ -103,7 +104,7 @@
 }
 
 Duration WorkerRegistry::uncounted_time(SteadyTime now, Duration pause) const {
-  // Without word of the state service the block may have another holder, to which they report.
+  // Without word of the state service the shard may have another holder, to which they heartbeat.
   if (now - context_.cache.fresh_until() >= silence_limit()) return silence_limit();
   if (pause < kMinProcessPause) return Duration{0};
   spdlog::info("holder: stood still for {} ms", pause.ms);
@@ -122,7 +123,7 @@
   const Duration uncounted = uncounted_time(now, pause);
   if (uncounted <= Duration{0}) return;
   for (auto& [machine_id, worker] : workers_) {
-    worker.last_report_at = std::min(now, worker.last_report_at + uncounted);
+    worker.last_heartbeat_at = std::min(now, worker.last_heartbeat_at + uncounted);
     worker.reachability.discount_pause(now, uncounted);
   }
 }
--- a/src/blocks/worker_registry.hpp
+++ b/src/shards/worker_registry.hpp
@@ -1,4 +1,4 @@
-// The workers that report to this controller, or are expected to: what each last said, when, and
+// The workers that heartbeat to this controller, or are expected to: what each last said, when, and
 // whether commands reach it.
 #pragma once
 
@@ -9,10 +9,10 @@
 #include <utility>
 #include <vector>
 
-#include "blocks/block_context.hpp"
-#include "blocks/block_ownership.hpp"
-#include "blocks/proof.hpp"
-#include "blocks/reachability.hpp"
+#include "shards/reachability.hpp"
+#include "shards/shard_context.hpp"
+#include "shards/shard_ownership.hpp"
+#include "shards/task_presence.hpp"
 
 namespace marblevale {
 
@@ -21,9 +21,9 @@
 
   WorkerView view;
   ZoneId zone;
-  /// Its last report, or since when it could have reported here. An answer to an order is none:
+  /// Its last heartbeat, or since when it could have reported here. An answer to an order is none:
   /// a machine that reaches no controller receives orders all the same, while its lease lapses.
-  SteadyTime last_report_at{-1'000'000};
+  SteadyTime last_heartbeat_at{-1'000'000};
   bool command_in_flight = false;
   bool lease_refused = false;                    // gets no answers, so that its lease lapses
   std::map<TaskAttempt, SteadyTime> kills_sent;  // when last
@@ -33,8 +33,8 @@
   WorkerReachability reachability;
 };
 
-/// How many of a zone's machines report.
-struct ReportCounts {
+/// How many of a zone's machines heartbeat.
+struct HeartbeatCounts {
   int machines = 0;
   int reporting = 0;
 };
@@ -43,16 +43,16 @@
  public:
   using Workers = std::unordered_map<MachineId, KnownWorker>;
 
-  WorkerRegistry(const BlockContext& context, const BlockOwnership& blocks)
-      : context_(context), blocks_(blocks) {}
+  WorkerRegistry(const ShardContext& context, const ShardOwnership& shards)
+      : context_(context), shards_(shards) {}
 
   [[nodiscard]] KnownWorker* find(const MachineId& machine_id);
   [[nodiscard]] const KnownWorker* find(const MachineId& machine_id) const;
   [[nodiscard]] Workers& all() { return workers_; }
   [[nodiscard]] const Workers& all() const { return workers_; }
-  /// The worker that sent a report; a new one counts as having reported just now.
+  /// The worker that sent a heartbeat; a new one counts as having reported just now.
   KnownWorker& add_reporting(const MachineId& machine_id, SteadyTime now);
-  /// A machine of a block that was gained: it is expected to report from now on.
+  /// A machine of a shard that was gained: it is expected to heartbeat from now on.
   void expect(const MachineRecord& machine, SteadyTime now);
   void forget_zone(const ZoneId& zone);
   /// Forgets machines that are gone by the records, and strangers that went silent.
@@ -60,11 +60,11 @@
 
   /// True for a known worker that has not reported for too long, or that commands don't reach.
   [[nodiscard]] bool is_silent(const MachineId& machine_id) const;
-  [[nodiscard]] bool reports(const KnownWorker& worker, SteadyTime now) const {
-    return now - worker.last_report_at < silence_limit();
+  [[nodiscard]] bool heartbeats(const KnownWorker& worker, SteadyTime now) const {
+    return now - worker.last_heartbeat_at < silence_limit();
   }
-  /// Of the machines in the records that are known, in held blocks.
-  [[nodiscard]] std::map<ZoneId, ReportCounts> count_reporting(SteadyTime now) const;
+  /// Of the machines in the records that are known, in held shards.
+  [[nodiscard]] std::map<ZoneId, HeartbeatCounts> count_reporting(SteadyTime now) const;
   /// Zones that are held while none of their machines is reachable and reports.
   [[nodiscard]] std::set<ZoneId> unreachable_zones() const;
   /// To be called at each sweep, `interval` apart: time in which this process could hear nobody
@@ -78,8 +78,8 @@
   void restart_silence_of_reached_zones(SteadyTime now);
   [[nodiscard]] Duration uncounted_time(SteadyTime now, Duration pause) const;
 
-  const BlockContext& context_;
-  const BlockOwnership& blocks_;
+  const ShardContext& context_;
+  const ShardOwnership& shards_;
   Workers workers_;
   SteadyTime last_sweep_{-1'000'000};
   std::set<ZoneId> unreachable_zones_;  // at the last sweep
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "wire/json.hpp"
+#include "protocol/json.hpp"
 
 namespace marblevale {
 
@@ -126,14 +126,6 @@
 
 }  // namespace
 
-std::size_t StoreLimits::max_operations() const {
-  return next ? std::min(txn_ops, next->txn_ops) : txn_ops;
-}
-
-std::size_t StoreLimits::lasting_value_bytes() const {
-  return next ? std::min(value_bytes, next->value_bytes) : value_bytes;
-}
-
 bool exceeds_announced(const Txn& txn, const StoreLimits& limits) {
   if (!limits.next) return false;
   return std::any_of(txn.puts.begin(), txn.puts.end(), [&](const Put& put) {
@@ -210,7 +202,8 @@
 }
 
 double StoreClient::write_slack() {
-  for (std::size_t rank = 0; rank <= static_cast<std::size_t>(RequestPriority::granting); ++rank) {
+  for (std::size_t rank = 0; rank <= static_cast<std::size_t>(RequestPriority::leader_commit);
+       ++rank) {
     if (!queues_.at(rank).empty()) return 0;
   }
   const SteadyTime now = clock_.steady();
@@ -321,7 +314,7 @@
                         std::function<void(RangeResult)> then) {
   std::string path = "/store?starts=" + encode_query(prefix) + "&limit=1000";
   if (!after.empty()) path += "&after=" + encode_query(after);
-  enqueue(RequestPriority::granting,
+  enqueue(RequestPriority::leader_commit,
           {EVHTTP_REQ_GET, path, {}, "application/json", kDeadline * 2.0}, 0,
           [then = std::move(then)](const HttpReply& reply) {
             RangeResult result;
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -10,9 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "core/strong.hpp"
-#include "net/budget.hpp"
+#include "config/store_limits.hpp"
+#include "core/ids.hpp"
 #include "net/http_client.hpp"
+#include "net/rate_limit.hpp"
 
 namespace marblevale {
 
@@ -85,33 +86,18 @@
   LeaseId lease_id;
 };
 
-/// Limits that the state service announces: from some moment on, without notice, they are in
-/// force.
-struct AnnouncedLimits {
-  double rps = 100;
-  double write_rps = 50;
-  std::size_t value_bytes = 8192;
-  std::size_t txn_ops = 16;
-};
-
-struct StoreLimits {
-  double rps = 100;
-  double write_rps = 50;
-  std::size_t value_bytes = 8192;
-  std::size_t txn_ops = 16;
-  std::size_t nodes = 3;  // that share the rates
-  std::optional<AnnouncedLimits> next;
-
-  /// Puts and deletes of one transaction, now and under the announced limits.
-  [[nodiscard]] std::size_t max_operations() const;
-  /// Bytes of one value that fit now and under the announced limits.
-  [[nodiscard]] std::size_t lasting_value_bytes() const;
-};
-
 /// Classes of requests, the most important first. `standing_binding`: releases, bindings and ends
 /// of standing jobs, which are few, and down until they are written. Submissions go before the
 /// other bindings, within a share. `record`: what only quality depends on, dropped under pressure.
-enum class RequestPriority { lease, standing_binding, submission, binding, granting, read, record };
+enum class RequestPriority {
+  lease,
+  standing_binding,
+  submission,
+  binding,
+  leader_commit,
+  read,
+  record
+};
 inline constexpr std::size_t kRequestPriorities = 7;
 
 /// The interface that the slices use, so that tests can script the state service.
--- a/src/store/watch_cache.cpp
+++ b/src/store/watch_cache.cpp
@@ -23,12 +23,12 @@
 std::optional<Parsed> parse_key(const std::string& key) {
   static const std::array<std::pair<std::string, RecordKind>, 7> prefixes{{
       {"mv/nodes/", RecordKind::node},
-      {"mv/blocks/", RecordKind::block},
+      {"mv/blocks/", RecordKind::shard},
       {"mv/jobs/", RecordKind::job},
-      {"mv/grants/", RecordKind::grant},
+      {"mv/grants/", RecordKind::guarantee_record},
       {"mv/slices/", RecordKind::slice},
       {"mv/machines/", RecordKind::machine},
-      {"mv/hires/", RecordKind::rental},
+      {"mv/hires/", RecordKind::provisioning_request},
   }};
   if (key == keys::kLeader) return Parsed{RecordKind::leader, ""};
   if (key == keys::kTypes) return Parsed{RecordKind::types, ""};
@@ -83,38 +83,8 @@
 
 }  // namespace
 
-const JobRecord* Records::job(const JobId& job_id) const {
-  const auto it = jobs.find(job_id);
-  return it == jobs.end() ? nullptr : &it->second.record;
-}
-
-const Versioned<SliceRecord>* Records::slice(const JobId& job_id, std::uint32_t number) const {
-  const auto it = slices.find({job_id, number});
-  return it == slices.end() ? nullptr : &it->second;
-}
-
-const TaskRecord* Records::task(const TaskId& id) const {
-  const auto* stored = slice(id.job_id, id.task_index / kSliceTasks);
-  const std::size_t at = id.task_index % kSliceTasks;
-  return stored == nullptr || at >= stored->record.tasks.size() ? nullptr
-                                                                : &stored->record.tasks[at];
-}
-
-const MachineType* Records::type(const std::string& name) const {
-  if (!types) return nullptr;
-  for (const auto& type : types->record) {
-    if (type.name == name) return &type;
-  }
-  return nullptr;
-}
-
-bool Records::alive(const NodeId& node, Nonce nonce) const {
-  const auto it = nodes.find(node);
-  return it != nodes.end() && it->second.record.nonce == nonce;
-}
-
-RequestPriority Records::binding_priority(const JobId& job_id) const {
-  const JobRecord* known = job(job_id);
+RequestPriority binding_priority(const Records& records, const JobId& job_id) {
+  const JobRecord* known = records.job(job_id);
   return known != nullptr && known->spec.endless() ? RequestPriority::standing_binding
                                                    : RequestPriority::binding;
 }
@@ -140,7 +110,7 @@
   return {limits.value_bytes, !limits.next && all_read};
 }
 
-bool WatchCache::told_by_watch(const std::string& key) const {
+bool WatchCache::observed_by_watch(const std::string& key) const {
   const auto known = mod_revisions_.find(key);
   const bool own = known != mod_revisions_.end() && known->second.get() > revision_.get();
   return !own && !removed_.contains(key);
@@ -180,7 +150,7 @@
   state_ = next;
 }
 
-void WatchCache::again() { retry_.start(backoff_.next(random_)); }
+void WatchCache::retry() { retry_.start(backoff_.next(random_)); }
 
 void WatchCache::load(const std::string& after) {
   if (after.empty()) {
@@ -194,7 +164,7 @@
   load_after_ = after;
   store_.range(keys::kLive, after, [this](RangeResult result) {
     if (!result.ok) {
-      again();
+      retry();
       return;
     }
     // The watch goes on from the first page's revision, so nothing between the pages is missed.
@@ -233,7 +203,7 @@
   store_.watch(keys::kLive, revision_, hold, [this, sent, sent_wall](const WatchResult& result) {
     switch (result.kind) {
       case WatchResult::Kind::failed:
-        again();
+        retry();
         return;
       case WatchResult::Kind::too_old:
         transition(State::loading, "the watch fell behind");
@@ -309,27 +279,27 @@
     case RecordKind::node:
       readable = place(records_.nodes, NodeId(parsed->rest), value, change.mod_revision);
       break;
-    case RecordKind::block:
-      readable = place(records_.blocks, ZoneId(parsed->rest), value, change.mod_revision);
+    case RecordKind::shard:
+      readable = place(records_.shards, ZoneId(parsed->rest), value, change.mod_revision);
       break;
     case RecordKind::job:
       readable = place(records_.jobs, JobId(parsed->rest), value, change.mod_revision);
       break;
-    case RecordKind::grant:
-      readable = place(records_.grants, JobId(parsed->rest), value, change.mod_revision);
+    case RecordKind::guarantee_record:
+      readable = place(records_.guarantee_records, JobId(parsed->rest), value, change.mod_revision);
       break;
     case RecordKind::machine:
       readable = place_page(change.key, value, change.mod_revision, changed);
       break;
-    case RecordKind::rental:
-      readable = place(records_.rentals, parsed->rest, value, change.mod_revision);
+    case RecordKind::provisioning_request:
+      readable = place(records_.provisioning_requests, parsed->rest, value, change.mod_revision);
       break;
     case RecordKind::slice: {
       const auto key = parse_slice_key(parsed->rest);
       if (!key) return;
-      if (const auto* old = records_.slice(key->first, key->second)) index(old->record, false);
+      if (const auto* old = records_.slice(key->job_id, key->number)) index(old->record, false);
       readable = place(records_.slices, *key, value, change.mod_revision);
-      if (const auto* now = records_.slice(key->first, key->second)) index(now->record, true);
+      if (const auto* now = records_.slice(key->job_id, key->number)) index(now->record, true);
       break;
     }
   }
--- a/src/store/watch_cache.hpp
+++ b/src/store/watch_cache.hpp
@@ -12,49 +12,26 @@
 #include <unordered_map>
 #include <vector>
 
+#include "records/record_set.hpp"
 #include "store/client.hpp"
-#include "store/records.hpp"
 
 namespace marblevale {
 
-template <typename Record>
-struct Versioned {
-  Record record;
-  ModRevision mod_revision;
-};
-
-using SliceKey = std::pair<JobId, std::uint32_t>;
-
-/// The records, typed.
-struct Records {
-  std::optional<Versioned<LeaderRecord>> leader;
-  std::optional<Versioned<std::vector<MachineType>>> types;
-  std::map<NodeId, Versioned<NodeRecord>> nodes;
-  std::map<ZoneId, Versioned<BlockRecord>> blocks;
-  std::unordered_map<JobId, Versioned<JobRecord>> jobs;
-  std::unordered_map<JobId, Versioned<GrantRecord>> grants;
-  std::map<SliceKey, Versioned<SliceRecord>> slices;
-  std::map<MachineId, Versioned<MachineRecord>>
-      machines;  // the revision is that of the machine's page
-  std::map<std::string, Versioned<std::vector<MachineId>>> pages;  // by key
-  std::map<std::string, Versioned<RentalRecord>> rentals;
-  /// Keys whose values this version can't read: what hangs on them is left alone.
-  std::set<std::string> unreadable;
-  /// The tasks that are placed on each machine.
-  std::unordered_map<MachineId, std::map<TaskId, Attempt>> placed;
-
-  [[nodiscard]] const JobRecord* job(const JobId& job_id) const;
-  [[nodiscard]] const Versioned<SliceRecord>* slice(const JobId& job_id,
-                                                    std::uint32_t number) const;
-  [[nodiscard]] const TaskRecord* task(const TaskId& id) const;
-  [[nodiscard]] const MachineType* type(const std::string& name) const;
-  [[nodiscard]] bool alive(const NodeId& node, Nonce nonce) const;
-  /// How urgent it is to write what becomes of the job's tasks.
-  [[nodiscard]] RequestPriority binding_priority(const JobId& job_id) const;
+/// What changed, for those who listen.
+enum class RecordKind {
+  leader,
+  types,
+  node,
+  shard,
+  job,
+  guarantee_record,
+  slice,
+  machine,
+  provisioning_request
 };
 
-/// What changed, for those who listen.
-enum class RecordKind { leader, types, node, block, job, grant, slice, machine, rental };
+/// How urgent it is to write what becomes of the job's tasks.
+[[nodiscard]] RequestPriority binding_priority(const Records& records, const JobId& job_id);
 
 class WatchCache {
  public:
@@ -74,7 +51,7 @@
 
   /// False when the copy has an own commit of the key that the watch has not told yet: what others
   /// committed before it may be missing.
-  [[nodiscard]] bool told_by_watch(const std::string& key) const;
+  [[nodiscard]] bool observed_by_watch(const std::string& key) const;
 
   /// Calls back once all that was committed before this call is in the records, or with false when
   /// that does not come about in time.
@@ -104,7 +81,7 @@
   void transition(State next, const char* why);
   void load(const std::string& after);
   void follow();
-  void again();
+  void retry();
   void answer_waiting();
   bool place_page(const std::string& key, const json::Document* value, ModRevision mod_revision,
                   std::vector<std::string>& changed);
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,10 +1,10 @@
 // The users' interface against a scripted state service.
-#include "admission/admission.hpp"
+#include "api/admission.hpp"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
-#include "admission/why.hpp"
+#include "api/why.hpp"
 #include "helpers.hpp"
 #include "scripted_store.hpp"
 
@@ -553,11 +553,13 @@
 
 TEST_F(AdmissionTest, WhyTellsTheGuaranteeAndItsHistory) {
   submit(kJob);
-  GrantRecord grant;
-  grant.job_id = JobId("req-000412");
-  grant.guarantees = {{0, clock_.wall() + Duration{5000}, clock_.wall() + Duration{9000}, {}}};
-  grant.note(clock_.wall(), "displaced for req-7 (urgent)");
-  store_.put(keys::grant(grant.job_id), encode(grant, testing::kValueBytes));
+  GuaranteeRecord guarantee_record;
+  guarantee_record.job_id = JobId("req-000412");
+  guarantee_record.guarantees = {
+      {0, clock_.wall() + Duration{5000}, clock_.wall() + Duration{9000}, {}}};
+  guarantee_record.note(clock_.wall(), "displaced for req-7 (urgent)");
+  store_.put(keys::guarantee_record(guarantee_record.job_id),
+             encode(guarantee_record, testing::kValueBytes));
   store_.tell_watch();
   UserAnswer out;
   out.status = 0;
@@ -677,17 +679,18 @@
   // The end falls between the word of the watch that the cancellation follows and its commit.
   bool ended = false;
   cache_.listen([&](RecordKind topic, const std::string&) {
-    if (topic == RecordKind::grant && !ended) end_job("req-000412", mod_revision);
-    ended = ended || topic == RecordKind::grant;
+    if (topic == RecordKind::guarantee_record && !ended) end_job("req-000412", mod_revision);
+    ended = ended || topic == RecordKind::guarantee_record;
   });
   const std::size_t commits = store_.commits.size();
   UserAnswer out;
   out.status = 0;
   admission_->abort("req-000412", [&out](const UserAnswer& a) { out = a; });
   step();  // the watch that was open when it came, which it can't go by
-  GrantRecord grant;
-  grant.job_id = JobId("req-000412");
-  store_.put(keys::grant(grant.job_id), encode(grant, testing::kValueBytes));
+  GuaranteeRecord guarantee_record;
+  guarantee_record.job_id = JobId("req-000412");
+  store_.put(keys::guarantee_record(guarantee_record.job_id),
+             encode(guarantee_record, testing::kValueBytes));
   settle(out);
   EXPECT_TRUE(ended);
   EXPECT_EQ(store_.commits.size(), commits + 2) << "the end, and the cancellation that lost";
--- a/tests/answered_offers_test.cpp
+++ b/tests/answered_offers_test.cpp
@@ -1,5 +1,5 @@
 // Copies of offers are told from new ones within bounded memory.
-#include "blocks/answered_offers.hpp"
+#include "shards/answered_offers.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/cancellation_outage_test.cpp
+++ b/tests/cancellation_outage_test.cpp
@@ -4,16 +4,16 @@
 
 #include "cancellations/cancellations.hpp"
 #include "holder_fixture.hpp"
-#include "peers/heartbeat.hpp"
+#include "peers/peer_heartbeat.hpp"
 
 namespace marblevale {
 namespace {
 
-using testing::BlockHolderTest;
 using testing::Script;
+using testing::ShardHolderTest;
 
-CancellationWord word(SteadyTime asked, WallTime asked_wall, WallTime began, WallTime fresh) {
-  CancellationWord out{asked, asked_wall, {}};
+PeerCancellationList word(SteadyTime asked, WallTime asked_wall, WallTime began, WallTime fresh) {
+  PeerCancellationList out{asked, asked_wall, {}};
   out.list.began_ms = began.ms;
   out.list.fresh_ms = fresh.ms;
   out.list.complete = true;
@@ -23,7 +23,7 @@
 class VouchingTest : public ::testing::Test {
  protected:
   // Two peers that began long ago; our records are fresh up to 10 s, theirs up to 12 s.
-  std::vector<std::optional<CancellationWord>> words_{
+  std::vector<std::optional<PeerCancellationList>> words_{
       word(SteadyTime{14'000}, WallTime{14'000}, WallTime{1'000}, WallTime{12'000}),
       word(SteadyTime{14'500}, WallTime{14'500}, WallTime{2'000}, WallTime{12'000})};
   std::optional<SteadyTime> until() {
@@ -69,15 +69,15 @@
   EXPECT_EQ(until(), SteadyTime{15'000});
 }
 
-/// A worker by the protocol: its lease, its session, its tasks; what it does with a `kill` is up to
-/// the test. It is asked to report once a second of the fake time.
+/// A worker by the protocol: its lease, its epoch, its tasks; what it does with a `kill` is up to
+/// the test. It is asked to heartbeat once a second of the fake time.
 class Worker {
  public:
   explicit Worker(std::string machine_id, std::string task) : machine_id_(std::move(machine_id)) {
     tasks_.push_back(std::move(task));
   }
 
-  void report(BlockHolder& holder, SteadyTime now, Duration lease, std::uint64_t& sequence) {
+  void heartbeat(ShardHolder& holder, SteadyTime now, Duration lease, std::uint64_t& sequence) {
     if (now - answered_ > lease) {
       tasks_.clear();
       ++session_;
@@ -89,7 +89,7 @@
       parts +=
           (parts.empty() ? "" : ",") + (R"({"part":")" + task + R"(","try":1,"status":"running"})");
     }
-    const ReportAnswer answer = holder.handle_report(
+    const HeartbeatReply answer = holder.handle_heartbeat(
         R"({"host":")" + machine_id_ + R"(","address":"10.1.0.1:9000","build":"g8",)" +
         R"("district":"a","loaners":false,"tenure":)" + std::to_string(session_) + R"(,"tally":)" +
         std::to_string(++sequence) + R"(,"warrant":)" + std::to_string(seen_) +
@@ -108,7 +108,7 @@
     }
   }
   [[nodiscard]] bool has_tasks() const { return !tasks_.empty(); }
-  [[nodiscard]] std::uint64_t session() const { return session_; }
+  [[nodiscard]] std::uint64_t epoch() const { return session_; }
 
   bool obeys = true;
   bool hangs = false;
@@ -122,12 +122,12 @@
   SteadyTime answered_{10'000'000};
 };
 
-/// The holder of a block is refused by the state service; a peer confirms the cancellation of
+/// The holder of a shard is refused by the state service; a peer confirms the cancellation of
 /// req-1; a second later nobody has the state service, for longer than `cancel_s`.
-class CancellationOutageTest : public BlockHolderTest {
+class CancellationOutageTest : public ShardHolderTest {
  protected:
   CancellationOutageTest() {
-    cancellations_.on_heard([this](const JobId& job_id) { holder_.cancelled(job_id); });
+    cancellations_.on_peer_cancellation([this](const JobId& job_id) { holder_.cancelled(job_id); });
   }
 
   /// req-1 runs on vm-1, req-2 on vm-2, both seen; then the state service is lost here.
@@ -156,26 +156,26 @@
     slice.tasks[0].attempt = Attempt(1);
     slice.tasks[0].zone = ZoneId("a");
     slice.tasks[0].machine_id = MachineId(machine_id);
-    slice.tasks[0].session = SessionId(1);
+    slice.tasks[0].epoch = WorkerEpoch(1);
     store_.put(keys::slice(slice.job_id, 0), encode(slice));
   }
 
-  /// Workers report; the state service refuses this controller; the peer answers heartbeats, if it
-  /// does.
+  /// Workers heartbeat; the state service refuses this controller; the peer answers heartbeats, if
+  /// it does.
   void pass(Duration duration) {
     for (std::int64_t at = 0; at < duration.ms; at += 1'000) {
       if (!informed_) store_.scripts.assign(50, Script::refuse);
       if (peer_) ask_peer();
       run(Duration{1'000});
-      first_.report(holder_, time_.steady(), settings_.workers.lease, sequence_);
-      second_.report(holder_, time_.steady(), settings_.workers.lease, sequence_);
+      first_.heartbeat(holder_, time_.steady(), settings_.workers.lease, sequence_);
+      second_.heartbeat(holder_, time_.steady(), settings_.workers.lease, sequence_);
     }
     if (informed_) store_.scripts.clear();
   }
 
   void ask_peer() {
     cancellations_.hear(*peer_);
-    CancellationWord answer{time_.steady(), time_.wall(), *peer_};
+    PeerCancellationList answer{time_.steady(), time_.wall(), *peer_};
     const auto until =
         vouching_.until(time_.steady(), time_.wall(), cache_.fresh_until_wall(), {answer});
     if (until) holder_.extend_freshness(*until);
@@ -214,7 +214,7 @@
   EXPECT_FALSE(first_.has_tasks());
   pass(settings_.workers.cancel * 2.0);
   EXPECT_TRUE(second_.has_tasks()) << "all peers vouch that nothing else was cancelled";
-  EXPECT_EQ(second_.session(), 1U);
+  EXPECT_EQ(second_.epoch(), 1U);
 }
 
 TEST_F(CancellationOutageTest, WithoutAWordOfThePeersAllLeasesLapseInTime) {
@@ -262,7 +262,7 @@
   pass(Duration{5'000});
   EXPECT_EQ(holder_.overdue(), std::vector<MachineId>{MachineId("vm-1")});
   first_.hangs = false;
-  handle_report(2, token());  // in a new session
+  handle_heartbeat(2, token());  // in a new epoch
   EXPECT_TRUE(holder_.overdue().empty()) << "though it can't be recorded";
 }
 
@@ -287,33 +287,33 @@
   EXPECT_TRUE(gone_in_time());
 }
 
-TEST_F(CancellationOutageTest, AHolderThatHasJustTakenTheBlockRefusesByTheTimeOfTheCancellation) {
+TEST_F(CancellationOutageTest, AHolderThatHasJustTakenTheShardRefusesByTheTimeOfTheCancellation) {
   first_.obeys = false;
   both_run();
   informed_ = true;
   store_.scripts.clear();
   cancel();
   pass(Duration{22'000});
-  give_block("other", 9);
+  give_shard("other", 9);
   pass(Duration{2'000});
-  give_block("me", 7);  // without memory
+  give_shard("me", 7);  // without memory
   informed_ = false;
   EXPECT_TRUE(gone_in_time());
 }
 
 TEST_F(CancellationOutageTest, NothingIsStartedWhileACancellationMayBeUnknown) {
-  handle_report(1, token(), "", "vm-1");
+  handle_heartbeat(1, token(), "", "vm-1");
   place("req-1", "vm-1");
   run(Duration{20});
   ASSERT_TRUE(cache_.records().placed.contains(MachineId("vm-1")));
   informed_ = false;  // its binding is the last that this controller hears
   run(Duration{3'000});
   workers_.sent.clear();
-  const auto answer = handle_report(1, token(), "", "vm-1");
+  const auto answer = handle_heartbeat(1, token(), "", "vm-1");
   EXPECT_EQ(answer.status, 200);
   EXPECT_EQ(answer.body.find("start"), std::string::npos);
   holder_.extend_freshness(time_.steady());
-  EXPECT_NE(handle_report(1, token(), "", "vm-1").body.find("start"), std::string::npos)
+  EXPECT_NE(handle_heartbeat(1, token(), "", "vm-1").body.find("start"), std::string::npos)
       << "all peers vouch that it was not cancelled";
 }
 
@@ -326,22 +326,22 @@
   cancellations_.hear(peer_list());
   run(Duration{50});
   EXPECT_TRUE(sent("kill"));
-  handle_report(1, token(), "", "vm-1");
+  handle_heartbeat(1, token(), "", "vm-1");
   EXPECT_FALSE(sent("start"));
 }
 
 TEST_F(CancellationOutageTest, WhereCancelLeavesNoTimeBeyondTheLeaseNobodyVouches) {
   settings_.workers.cancel = settings_.workers.lease + Duration{5'000};
-  EXPECT_EQ(handle_report(1, token()).status, 200);
+  EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
   informed_ = false;
   run(Duration{2'000});
-  EXPECT_EQ(handle_report(1, token()).status, 200);
+  EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
   holder_.extend_freshness(time_.steady());
   run(Duration{1'000});
-  EXPECT_EQ(handle_report(1, token()).status, 421);
+  EXPECT_EQ(handle_heartbeat(1, token()).status, 421);
 }
 
-class CancellationsTest : public BlockHolderTest {
+class CancellationsTest : public ShardHolderTest {
  protected:
   [[nodiscard]] bool listed(const std::string& job_id) {
     const auto list = cancellations_.list();
@@ -365,7 +365,7 @@
 
 TEST_F(CancellationsTest, WhatIsToldIsNewsOnce) {
   int news = 0;
-  cancellations_.on_told([&] { ++news; });
+  cancellations_.on_confirmed([&] { ++news; });
   release();
   cancel();
   run(Duration{20});
@@ -382,9 +382,9 @@
   cancellations_.hear(storm);
   EXPECT_FALSE(cancellations_.list().complete);
   EXPECT_LE(cancellations_.list().items.size(), Cancellations::kMaxListed);
-  Heartbeat heartbeat;
+  PeerHeartbeat heartbeat;
   heartbeat.cancellations = cancellations_.list();
-  EXPECT_TRUE(decode_heartbeat(encode(heartbeat))) << "the longest list fits into a message";
+  EXPECT_TRUE(decode_peer_heartbeat(encode(heartbeat))) << "the longest list fits into a message";
   EXPECT_TRUE(cancellations_.kept_all());
   for (std::size_t i = 0; i < Cancellations::kMaxKept; ++i) {
     storm.items.push_back({"req-" + std::to_string(200'000 + i), 1});
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -6,9 +6,9 @@
 #include <fstream>
 #include <sstream>
 
-#include "peers/heartbeat.hpp"
 #include "peers/offers.hpp"
-#include "store/records.hpp"
+#include "peers/peer_heartbeat.hpp"
+#include "records/records.hpp"
 
 namespace marblevale {
 namespace {
@@ -56,12 +56,12 @@
   const auto within = [](const auto& record) { return encode(record, 8192); };
   const auto sized = [](const auto& record) { return encode(record, kBeforeLowering); };
   expect_same_bytes<LeaderRecord>("leader", plain);
-  expect_same_bytes<BlockRecord>("block", plain);
+  expect_same_bytes<ShardRecord>("block", plain);
   expect_same_bytes<JobRecord>("job", plain);
-  expect_same_bytes<GrantRecord>("grant", within);
+  expect_same_bytes<GuaranteeRecord>("grant", within);
   expect_same_bytes<SliceRecord>("slice", sized);
   expect_same_bytes<MachinePage>("page", sized);
-  expect_same_bytes<RentalRecord>("rental", plain);
+  expect_same_bytes<ProvisioningRequest>("rental", plain);
   expect_same_bytes<FinalRecord>("final", within);
   expect_same_bytes<std::vector<MachineType>>("types", plain);
 }
@@ -81,7 +81,7 @@
 
 TEST(ProductionMessages, AreReadAndWrittenAgainAsTheyWere) {
   const std::string heartbeat = from_hex(samples("heartbeat").front().text);
-  const auto heard = decode_heartbeat(heartbeat);
+  const auto heard = decode_peer_heartbeat(heartbeat);
   ASSERT_TRUE(heard);
   EXPECT_EQ(heard->node, "hub-1");
   EXPECT_EQ(encode(*heard), heartbeat);
--- a/tests/failed_start_test.cpp
+++ b/tests/failed_start_test.cpp
@@ -4,7 +4,7 @@
 #include <random>
 
 #include "helpers.hpp"
-#include "planner/planner.hpp"
+#include "scheduling/planner.hpp"
 
 namespace marblevale {
 namespace {
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -1,10 +1,10 @@
 // Settings, records, reports and heartbeats: what is read back is what was written; bad input is
 // refused with the field's name, and never crashes.
-#include "app/settings.hpp"
-#include "fleet/demand.hpp"
+#include "config/settings.hpp"
 #include "helpers.hpp"
-#include "peers/heartbeat.hpp"
-#include "store/records.hpp"
+#include "peers/peer_heartbeat.hpp"
+#include "records/records.hpp"
+#include "scheduling/scale_out.hpp"
 
 namespace marblevale {
 namespace {
@@ -148,7 +148,7 @@
   t.attempt = Attempt(4);
   t.zone = ZoneId("a");
   t.machine_id = MachineId("vm-1");
-  t.session = SessionId(2);
+  t.epoch = WorkerEpoch(2);
   t.since = {5};
   t.running = {6};
   t.progress = {7};
@@ -160,7 +160,7 @@
   EXPECT_EQ(b.state, t.state);
   EXPECT_EQ(b.attempt, t.attempt);
   EXPECT_EQ(b.machine_id, t.machine_id);
-  EXPECT_EQ(b.session, t.session);
+  EXPECT_EQ(b.epoch, t.epoch);
   EXPECT_EQ(b.running, t.running);
   EXPECT_EQ(b.progress, t.progress);
   EXPECT_EQ(b.faults, t.faults);
@@ -196,7 +196,7 @@
     t.attempt = Attempt(1000);
     t.zone = ZoneId("laurentides");
     t.machine_id = t.failed_on = MachineId("vm-000231");
-    t.session = SessionId(1000);
+    t.epoch = WorkerEpoch(1000);
     t.since = t.running = {1'800'000'000'000};
     t.progress = Duration{1'000'000};
     t.faults = 100;
@@ -251,11 +251,11 @@
 }
 
 TEST(Grants, KeepTheFirstNoteAndTheLatest) {
-  GrantRecord grant;
-  for (int i = 0; i < 50; ++i) grant.note({i}, std::to_string(i));
-  EXPECT_LE(grant.notes.size(), 16U);
-  EXPECT_EQ(grant.notes.front().what, "0");
-  EXPECT_EQ(grant.notes.back().what, "49");
+  GuaranteeRecord guarantee_record;
+  for (int i = 0; i < 50; ++i) guarantee_record.note({i}, std::to_string(i));
+  EXPECT_LE(guarantee_record.notes.size(), 16U);
+  EXPECT_EQ(guarantee_record.notes.front().what, "0");
+  EXPECT_EQ(guarantee_record.notes.back().what, "49");
 }
 
 TEST(Reports, MustBeWhole) {
@@ -263,33 +263,36 @@
       R"({"host":"vm-1","address":"x:1","build":"g","district":"a","loaners":true,"tenure":1,
           "tally":2,"warrant":3,"recall_s":7.5,
           "parts":[{"part":"req-1/3","try":2,"status":"ended","cause":"halted","saved":true}]})";
-  const auto report = parse_report(good);
-  ASSERT_TRUE(report);
-  EXPECT_EQ(report->reclaim_in, Duration{7500});
-  EXPECT_EQ(report->tasks.at(0).id.task_index, 3U);
-  EXPECT_TRUE(report->tasks.at(0).saved);
+  const auto heartbeat = parse_worker_heartbeat(good);
+  ASSERT_TRUE(heartbeat);
+  EXPECT_EQ(heartbeat->reclaim_in, Duration{7500});
+  EXPECT_EQ(heartbeat->tasks.at(0).id.task_index, 3U);
+  EXPECT_TRUE(heartbeat->tasks.at(0).saved);
   for (std::size_t cut = 0; cut < good.size(); cut += 7) {
-    EXPECT_FALSE(parse_report(good.substr(0, cut)));
+    EXPECT_FALSE(parse_worker_heartbeat(good.substr(0, cut)));
   }
   EXPECT_FALSE(parse_task_id("req-1"));
   EXPECT_FALSE(parse_task_id("req-1/x"));
   EXPECT_FALSE(parse_task_id("req-1/99999999999"));
 }
 
-TEST(HeartbeatExchange, AControllerThatIsCutOffSendsUsersElsewhere) {
-  EXPECT_FALSE(takes_users(false, true, PeersSay::state)) << "it has not loaded the records";
-  EXPECT_TRUE(takes_users(true, true, PeersSay::nothing));
-  EXPECT_FALSE(takes_users(true, false, PeersSay::state)) << "it alone lacks the state service";
-  EXPECT_FALSE(takes_users(true, false, PeersSay::nothing)) << "it lacks its peers as well";
-  EXPECT_TRUE(takes_users(true, false, PeersSay::no_state)) << "all lack it";
-  EXPECT_TRUE(takes_users(true, false, PeersSay::no_peers));
+TEST(PeerHeartbeatExchange, AControllerThatIsCutOffSendsUsersElsewhere) {
+  EXPECT_FALSE(takes_users(false, true, PeerStateEvidence::state))
+      << "it has not loaded the records";
+  EXPECT_TRUE(takes_users(true, true, PeerStateEvidence::nothing));
+  EXPECT_FALSE(takes_users(true, false, PeerStateEvidence::state))
+      << "it alone lacks the state service";
+  EXPECT_FALSE(takes_users(true, false, PeerStateEvidence::nothing))
+      << "it lacks its peers as well";
+  EXPECT_TRUE(takes_users(true, false, PeerStateEvidence::no_state)) << "all lack it";
+  EXPECT_TRUE(takes_users(true, false, PeerStateEvidence::no_peers));
 }
 
-TEST(HeartbeatExchange, ALateCopyIsNoNews) {
-  HeartbeatOrder order;
-  Heartbeat heartbeat;
+TEST(PeerHeartbeatExchange, ALateCopyIsNoNews) {
+  PeerHeartbeatOrder order;
+  PeerHeartbeat heartbeat;
   heartbeat.node = "n1";
-  heartbeat.nonce = 7;
+  heartbeat.incarnation = 7;
   heartbeat.serial = 5;
   EXPECT_TRUE(order.newer(heartbeat));
   EXPECT_FALSE(order.newer(heartbeat)) << "the same again";
@@ -297,25 +300,25 @@
   EXPECT_FALSE(order.newer(heartbeat)) << "sent before it";
   heartbeat.serial = 6;
   EXPECT_TRUE(order.newer(heartbeat));
-  heartbeat.nonce = 8;
+  heartbeat.incarnation = 8;
   heartbeat.serial = 1;
   EXPECT_TRUE(order.newer(heartbeat)) << "another life counts anew";
 }
 
-TEST(HeartbeatExchange, SurviveCutAndTwistedBytes) {
-  Heartbeat heartbeat;
+TEST(PeerHeartbeatExchange, SurviveCutAndTwistedBytes) {
+  PeerHeartbeat heartbeat;
   heartbeat.node = "n1";
-  heartbeat.misdirected_zones = {"a", "b"};
+  heartbeat.misrouted_zones = {"a", "b"};
   heartbeat.cancellations.items = {{"req-1", 17}};
   const std::string bytes = encode(heartbeat);
-  ASSERT_TRUE(decode_heartbeat(bytes));
-  EXPECT_EQ(decode_heartbeat(bytes)->misdirected_zones.size(), 2U);
-  EXPECT_EQ(decode_heartbeat(bytes)->cancellations.items.at(0).at_ms, 17);
+  ASSERT_TRUE(decode_peer_heartbeat(bytes));
+  EXPECT_EQ(decode_peer_heartbeat(bytes)->misrouted_zones.size(), 2U);
+  EXPECT_EQ(decode_peer_heartbeat(bytes)->cancellations.items.at(0).at_ms, 17);
   for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
-    EXPECT_FALSE(decode_heartbeat(bytes.substr(0, cut)));
+    EXPECT_FALSE(decode_peer_heartbeat(bytes.substr(0, cut)));
   }
   heartbeat.format += 1;
-  EXPECT_FALSE(decode_heartbeat(encode(heartbeat))) << "of another version";
+  EXPECT_FALSE(decode_peer_heartbeat(encode(heartbeat))) << "of another version";
 }
 
 TEST(Demand, RentsTheCheapestKindThatSavesWaiting) {
@@ -330,21 +333,22 @@
   job.allows_spot = true;
   const auto any = [](const MachineOffering&) { return true; };
   const std::map<TeamId, Resources> rich{{TeamId("crew"), {1e9, 100, 1e9}}};
-  const auto rented = machines_for({{&job, 12, job.estimated_run, Duration{100'000}, std::nullopt}},
-                                   {type}, any, {{ZoneId("a"), 3}}, rich);
+  const auto provisioned =
+      plan_scale_out({{&job, 12, job.estimated_run, Duration{100'000}, std::nullopt}}, {type}, any,
+                     {{ZoneId("a"), 3}}, rich);
   std::uint32_t count = 0;
-  for (const auto& [offer, n] : rented) {
+  for (const auto& [offer, n] : provisioned) {
     EXPECT_TRUE(offer.spot);
     count += n;
   }
   EXPECT_EQ(count, 2U);
-  EXPECT_TRUE(machines_for({{&job, 12, job.estimated_run, Duration{20'000}, std::nullopt}}, {type},
-                           any, {}, rich)
+  EXPECT_TRUE(plan_scale_out({{&job, 12, job.estimated_run, Duration{20'000}, std::nullopt}},
+                             {type}, any, {}, rich)
                   .empty())
       << "it would start before a machine is up";
   const std::map<TeamId, Resources> poor{{TeamId("crew"), {1e9, 0, 1e9}}};
-  EXPECT_TRUE(machines_for({{&job, 12, job.estimated_run, Duration{100'000}, std::nullopt}}, {type},
-                           any, {}, poor)
+  EXPECT_TRUE(plan_scale_out({{&job, 12, job.estimated_run, Duration{100'000}, std::nullopt}},
+                             {type}, any, {}, poor)
                   .empty())
       << "the team's limit forbids it";
 }
--- a/tests/granting_test.cpp
+++ b/tests/granting_test.cpp
@@ -23,41 +23,41 @@
 }
 
 TEST_F(LeaderTest, AnEarlierLifesLeadershipIsTakenOverAtOnce) {
-  store_.put(keys::kLeader, encode(LeaderRecord{NodeId("me"), Nonce(3)}));
+  store_.put(keys::kLeader, encode(LeaderRecord{NodeId("me"), ProcessIncarnation(3)}));
   begin();
-  EXPECT_TRUE(election_.in_charge());
+  EXPECT_TRUE(election_.is_established_leader());
 }
 
 TEST_F(LeaderTest, AnotherLeaderIsRespectedUntilItsRecordIsGone) {
-  store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), Nonce(3)}));
+  store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), ProcessIncarnation(3)}));
   begin();
   run(Duration{3000});
-  EXPECT_FALSE(election_.in_charge());
+  EXPECT_FALSE(election_.is_established_leader());
   Txn txn;
   txn.remove(keys::kLeader);
   store_.commit(RequestPriority::lease, txn, [](const CommitResult&) {});
   run(Duration{500});
-  EXPECT_TRUE(election_.in_charge());
+  EXPECT_TRUE(election_.is_established_leader());
 }
 
 TEST_F(LeaderTest, TheOnlyControllerOfAZoneLetsThoseElsewhereStandFirst) {
   settings_.peers = {{NodeId("n1"), ZoneId("b"), {}}, {NodeId("n2"), ZoneId("b"), {}}};
   begin();
   run(Duration{200});
-  EXPECT_FALSE(election_.in_charge());
+  EXPECT_FALSE(election_.is_established_leader());
   run(Duration{1000});
-  EXPECT_TRUE(election_.in_charge()) << "nobody else did";
+  EXPECT_TRUE(election_.is_established_leader()) << "nobody else did";
 }
 
 TEST_F(LeaderTest, ALostSessionEndsLeadership) {
   begin();
-  ASSERT_TRUE(election_.in_charge());
+  ASSERT_TRUE(election_.is_established_leader());
   store_.end_lease(LeaseId(1));
   run(Duration{1500});
-  EXPECT_NE(election_.term(), ModRevision{});  // a new session, and the record is still its own
-  store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), Nonce(3)}));
+  EXPECT_NE(election_.term(), ModRevision{});  // a new epoch, and the record is still its own
+  store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), ProcessIncarnation(3)}));
   run(Duration{500});
-  EXPECT_FALSE(election_.in_charge());
+  EXPECT_FALSE(election_.is_established_leader());
 }
 
 TEST_F(LeaderTest, QuotaCountsWhatAnEarlierLeaderReleased) {
@@ -117,7 +117,7 @@
   begin();
   submit(testing::gang("req-1", 1, 1, 60));
   run(Duration{200});
-  GrantWriter writer(time_, cache_, election_);
+  GuaranteeWriter writer(time_, cache_, election_);
   Reservations none;
   writer.note(JobId("req-1"), "displaced for req-7 (urgent)");
   store_.scripts = {Script::refuse};
@@ -175,21 +175,21 @@
     m.zone = ZoneId(zone);
     m.since = time_.wall();
     store_.put_machine(m);
-    store_.put(keys::block(ZoneId(zone)),
-               encode(BlockRecord{ZoneId(zone), NodeId("me"), Nonce(7), 1}));
+    store_.put(keys::shard(ZoneId(zone)),
+               encode(ShardRecord{ZoneId(zone), NodeId("me"), ProcessIncarnation(7), 1}));
   }
   begin();
-  granting_.out_of_reach(NodeId("me"), {ZoneId("a"), ZoneId("b")});
+  leader_loop_.note_unreachable_zones(NodeId("me"), {ZoneId("a"), ZoneId("b")});
   submit(testing::gang("req-1", 1, 8, 60));
   run(Duration{100});
   submit(testing::gang("req-2", 1, 8, 60));  // as long, accepted later
   run(Duration{500});
-  granting_.out_of_reach(NodeId("me"), {ZoneId("a")});
+  leader_loop_.note_unreachable_zones(NodeId("me"), {ZoneId("a")});
   run(Duration{1'000});
   ASSERT_EQ(tasks("req-1").size(), 1U) << "whichever zone is back first, its room is the older's";
   EXPECT_EQ(tasks("req-1")[0].zone, ZoneId("b"));
   EXPECT_TRUE(tasks("req-2").empty());
-  granting_.out_of_reach(NodeId("me"), {});
+  leader_loop_.note_unreachable_zones(NodeId("me"), {});
   run(Duration{1'000});
   ASSERT_EQ(tasks("req-2").size(), 1U);
   EXPECT_EQ(tasks("req-2")[0].zone, ZoneId("a"));
@@ -217,8 +217,8 @@
   settings_.list_lag = Duration{4'000};
   machine("vm-1");
   cloud_.listing.emplace();
-  cloud_.listing->machines.push_back(
-      {MachineId("vm-1"), "", "g8", ZoneId("a"), false, RentalStatus::running, Duration{60'000}});
+  cloud_.listing->machines.push_back({MachineId("vm-1"), "", "g8", ZoneId("a"), false,
+                                      ProvisioningStatus::running, Duration{60'000}});
   begin();
   run(Duration{3'000});
   cloud_.listing->machines.clear();
@@ -230,14 +230,16 @@
 
 TEST_F(LeaderTest, NothingIsReleasedToAZoneThatItsHolderDoesNotReach) {
   machine("vm-1");
-  store_.put(keys::block(ZoneId("a")), encode(BlockRecord{ZoneId("a"), NodeId("me"), Nonce(7), 1}));
+  store_.put(keys::shard(ZoneId("a")),
+             encode(ShardRecord{ZoneId("a"), NodeId("me"), ProcessIncarnation(7), 1}));
   begin();
-  granting_.out_of_reach(NodeId("me"), {ZoneId("a")});
+  leader_loop_.note_unreachable_zones(NodeId("me"), {ZoneId("a")});
   submit(testing::gang("req-1", 1, 1, 60));
   run(Duration{1000});
   EXPECT_TRUE(tasks("req-1").empty());
-  granting_.out_of_reach(NodeId("other"), {ZoneId("a")});  // not the holder: its word is nothing
-  granting_.out_of_reach(NodeId("me"), {});
+  leader_loop_.note_unreachable_zones(NodeId("other"),
+                                      {ZoneId("a")});  // not the holder: its word is nothing
+  leader_loop_.note_unreachable_zones(NodeId("me"), {});
   run(Duration{1000});
   ASSERT_EQ(tasks("req-1").size(), 1U);
   EXPECT_EQ(tasks("req-1")[0].state, TaskState::released);
@@ -298,7 +300,7 @@
   cloud_.removes = false;
   begin();
   run(Duration{100});
-  fleet_.request_deletion(MachineId("vm-1"), "test");
+  autoscaler_.request_deletion(MachineId("vm-1"), "test");
   run(Duration{3000});
   EXPECT_EQ(cache_.records().machines.at(MachineId("vm-1")).record.state, MachineState::deleting);
   cloud_.removes = true;
@@ -357,10 +359,11 @@
   begin();
   submit(testing::gang("req-1", 1, 1, 60));
   run(Duration{60'000});
-  ASSERT_GE(cloud_.rentals.size(),
+  ASSERT_GE(cloud_.provisioning_requests.size(),
             2U);  // refused for want of capacity, asked again under a new name
-  const std::set<std::string> names(cloud_.rentals.begin(), cloud_.rentals.end());
-  EXPECT_EQ(names.size(), cloud_.rentals.size());
+  const std::set<std::string> names(cloud_.provisioning_requests.begin(),
+                                    cloud_.provisioning_requests.end());
+  EXPECT_EQ(names.size(), cloud_.provisioning_requests.size());
 }
 
 TEST_F(LeaderTest, StoredGuaranteesSurviveAChangeOfLeader) {
@@ -370,14 +373,15 @@
   running.running = time_.wall();
   set_task("req-old", running);
   submit(testing::gang("req-1", 1, 1, 60));
-  GrantRecord grant;
-  grant.job_id = JobId("req-1");
+  GuaranteeRecord guarantee_record;
+  guarantee_record.job_id = JobId("req-1");
   const WallTime promised = time_.wall() + Duration{700'000};
-  grant.guarantees = {{0, promised, promised, promised + Duration{60'000}}};
-  store_.put(keys::grant(grant.job_id), encode(grant, testing::kValueBytes));
+  guarantee_record.guarantees = {{0, promised, promised, promised + Duration{60'000}}};
+  store_.put(keys::guarantee_record(guarantee_record.job_id),
+             encode(guarantee_record, testing::kValueBytes));
   begin();
   run(Duration{1000});
-  const auto& kept = cache_.records().grants.at(JobId("req-1")).record.guarantees.at(0);
+  const auto& kept = cache_.records().guarantee_records.at(JobId("req-1")).record.guarantees.at(0);
   EXPECT_EQ(kept.first, promised);
   EXPECT_LE(kept.start, promised);
 }
@@ -401,13 +405,13 @@
 TEST_F(LeaderTest, ALateCommitOfItsEarlierLifeDoesNotUnseatAController) {
   Txn stand;
   stand.guard(keys::kLeader, ModRevision{});
-  stand.put(keys::kLeader, encode(LeaderRecord{NodeId("me"), Nonce(3)}));
+  stand.put(keys::kLeader, encode(LeaderRecord{NodeId("me"), ProcessIncarnation(3)}));
   store_.scripts = {Script::arrive_late};
   store_.commit(RequestPriority::lease, stand, [](const CommitResult&) {});
   ASSERT_EQ(store_.late.size(), 1U);
   begin();
   run(Duration{500});
-  ASSERT_TRUE(election_.in_charge());
+  ASSERT_TRUE(election_.is_established_leader());
   const ModRevision term = election_.term();
   EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
   run(Duration{1000});
@@ -418,13 +422,14 @@
   // The earlier life's commit arrives first, while this one stands.
   store_.scripts = {Script::refuse, Script::refuse, Script::refuse};
   begin();
-  store_.put(keys::kLeader, encode(LeaderRecord{NodeId("me"), Nonce(3)}));
-  store_.put(keys::node(NodeId("me")), encode(NodeRecord{NodeId("me"), Nonce(3), LeaseId(1)}));
+  store_.put(keys::kLeader, encode(LeaderRecord{NodeId("me"), ProcessIncarnation(3)}));
+  store_.put(keys::node(NodeId("me")),
+             encode(NodeRecord{NodeId("me"), ProcessIncarnation(3), LeaseId(1)}));
   run(Duration{3000});
-  EXPECT_TRUE(election_.in_charge());
+  EXPECT_TRUE(election_.is_established_leader());
   LeaderRecord leader = cache_.records().leader->record;
-  EXPECT_EQ(leader.nonce, Nonce(7));
-  EXPECT_TRUE(cache_.records().alive(NodeId("me"), Nonce(7)));
+  EXPECT_EQ(leader.incarnation, ProcessIncarnation(7));
+  EXPECT_TRUE(cache_.records().alive(NodeId("me"), ProcessIncarnation(7)));
 }
 
 }  // namespace
--- a/tests/guest_work_test.cpp
+++ b/tests/guest_work_test.cpp
@@ -1,8 +1,8 @@
 // Work of teams without a guarantee beside that of teams which have one, and jobs that fail
 // everywhere.
 #include "leader_fixture.hpp"
-#include "planner/displacement.hpp"
-#include "planner/queueing.hpp"
+#include "scheduling/job_queue.hpp"
+#include "scheduling/preemption.hpp"
 
 namespace marblevale {
 namespace {
@@ -93,7 +93,7 @@
   }
   JobSpec urgent = gang("req-urgent", 1, 1, 50);
   urgent.urgency = Urgency::urgent;
-  const auto room = find_room(item(urgent, 9), {}, records, two_teams(), profile, at(60), {});
+  const auto room = select_victims(item(urgent, 9), {}, records, two_teams(), profile, at(60), {});
   ASSERT_TRUE(room);
   ASSERT_EQ(room->victims.size(), 1U);
   EXPECT_EQ(room->victims[0].job_id.get(), "req-guest");
@@ -118,23 +118,23 @@
   }
 }
 
-using GuestRentalTest = testing::LeaderTest;
+using GuestScaleOutTest = testing::LeaderTest;
 
 // Idle-only work: nobody set an objective for its class, and its team has no guarantee.
-TEST_F(GuestRentalTest, NothingIsRentedForIdleOnlyWorkUntilItIsOverdue) {
+TEST_F(GuestScaleOutTest, NothingIsRentedForIdleOnlyWorkUntilItIsOverdue) {
   Team guest;
   guest.name = TeamId("guest");
   settings_.teams.push_back(guest);
-  cloud_.rents = true;
+  cloud_.scales_out = true;
   begin();
   submit(low("req-1", "guest", 100));
   run(Duration{60'000});
-  EXPECT_TRUE(cloud_.rentals.empty());
+  EXPECT_TRUE(cloud_.provisioning_requests.empty());
   run(Duration{100'000});
-  EXPECT_FALSE(cloud_.rentals.empty()) << "it has waited for over 150 s";
+  EXPECT_FALSE(cloud_.provisioning_requests.empty()) << "it has waited for over 150 s";
 }
 
-TEST_F(GuestRentalTest, MachinesAreRentedForAClassWithAnObjective) {
+TEST_F(GuestScaleOutTest, MachinesAreRentedForAClassWithAnObjective) {
   Team guest;
   guest.name = TeamId("guest");
   settings_.teams.push_back(guest);
@@ -143,11 +143,11 @@
   wanted.job_class = "solve";
   wanted.within = from_seconds(400);
   settings_.objectives = {wanted};
-  cloud_.rents = true;
+  cloud_.scales_out = true;
   begin();
   submit(low("req-1", "guest", 100));
   run(Duration{60'000});
-  EXPECT_FALSE(cloud_.rentals.empty());
+  EXPECT_FALSE(cloud_.provisioning_requests.empty());
 }
 
 // A job that failed again and again, and worked nowhere, was submitted with a mistake.
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -5,8 +5,8 @@
 
 #include <string>
 
-#include "planner/planner.hpp"
-#include "wire/job_spec.hpp"
+#include "protocol/job_spec.hpp"
+#include "scheduling/planner.hpp"
 
 namespace marblevale::testing {
 
--- a/tests/holder_fixture.hpp
+++ b/tests/holder_fixture.hpp
@@ -1,9 +1,9 @@
 // A holder with a scripted state service, scripted workers and a fake clock.
 #pragma once
 
-#include "blocks/holder.hpp"
 #include "helpers.hpp"
 #include "scripted_store.hpp"
+#include "shards/shard_holder.hpp"
 
 namespace marblevale::testing {
 
@@ -22,11 +22,11 @@
   std::vector<Sent> sent;
 };
 
-class BlockHolderTest : public ::testing::Test {
+class ShardHolderTest : public ::testing::Test {
  protected:
-  BlockHolderTest()
+  ShardHolderTest()
       : cache_(loop_, time_, store_, 1),
-        election_(loop_, time_, settings(), store_, cache_, Nonce(7)),
+        election_(loop_, time_, settings(), store_, cache_, ProcessIncarnation(7)),
         cancellations_(time_, cache_),
         holder_(loop_, time_, settings_, cache_, election_, workers_, cancellations_) {
     MachineType type;
@@ -38,7 +38,7 @@
     election_.begin();
     holder_.begin();
     run(Duration{10});
-    give_block("me", 7);
+    give_shard("me", 7);
   }
 
   Settings& settings() {
@@ -59,24 +59,25 @@
     }
   }
 
-  void give_block(const std::string& node, std::uint64_t nonce) {
-    token_ = FencingToken(store_
-                              .put(keys::block(ZoneId("a")),
-                                   encode(BlockRecord{ZoneId("a"), NodeId(node), Nonce(nonce), 1}))
-                              .get());
+  void give_shard(const std::string& node, std::uint64_t incarnation) {
+    token_ = FencingToken(
+        store_
+            .put(keys::shard(ZoneId("a")),
+                 encode(ShardRecord{ZoneId("a"), NodeId(node), ProcessIncarnation(incarnation), 1}))
+            .get());
     run(Duration{20});
   }
 
   [[nodiscard]] std::uint64_t token() const {
-    return store_.get(keys::block(ZoneId("a")))->mod_revision.get();
+    return store_.get(keys::shard(ZoneId("a")))->mod_revision.get();
   }
 
-  ReportAnswer handle_report(std::uint64_t session, std::uint64_t seen,
-                             const std::string& parts = "",
-                             const std::string& machine_id = "vm-1") {
-    return holder_.handle_report(
+  HeartbeatReply handle_heartbeat(std::uint64_t epoch, std::uint64_t seen,
+                                  const std::string& parts = "",
+                                  const std::string& machine_id = "vm-1") {
+    return holder_.handle_heartbeat(
         R"({"host":")" + machine_id + R"(","address":"10.1.0.1:9000","build":"g8",)" +
-        R"("district":"a","loaners":false,"tenure":)" + std::to_string(session) + R"(,"tally":)" +
+        R"("district":"a","loaners":false,"tenure":)" + std::to_string(epoch) + R"(,"tally":)" +
         std::to_string(++sequence_) + R"(,"warrant":)" + std::to_string(seen) +
         R"(,"recall_s":null,"parts":[)" + parts + "]}");
   }
@@ -132,7 +133,7 @@
   }
 
   void bind_and_start() {
-    handle_report(1, token());
+    handle_heartbeat(1, token());
     release();
     run(Duration{50});
     ASSERT_EQ(task().state, TaskState::bound);
@@ -147,7 +148,7 @@
   WatchCache cache_;
   Election election_;
   Cancellations cancellations_;
-  BlockHolder holder_;
+  ShardHolder holder_;
   FencingToken token_;
   std::uint64_t sequence_ = 0;
   bool informed_ = true;
--- a/tests/holder_test.cpp
+++ b/tests/holder_test.cpp
@@ -1,32 +1,33 @@
-// A block's holder: bindings, proofs, cancellations.
+// A shard's holder: bindings, proofs, cancellations.
 #include "holder_fixture.hpp"
 
 namespace marblevale {
 namespace {
 
-using testing::BlockHolderTest;
 using testing::Script;
+using testing::ShardHolderTest;
 
-TEST_F(BlockHolderTest, OnlyTheHolderAnswers200) {
-  EXPECT_EQ(handle_report(1, 0).status, 200);
-  give_block("other", 9);
-  const auto answer = handle_report(1, 0);
+TEST_F(ShardHolderTest, OnlyTheHolderAnswers200) {
+  EXPECT_EQ(handle_heartbeat(1, 0).status, 200);
+  give_shard("other", 9);
+  const auto answer = handle_heartbeat(1, 0);
   EXPECT_EQ(answer.status, 421);
   EXPECT_NE(answer.body.find("\"steward\":\"other\""), std::string::npos);
 }
 
-TEST_F(BlockHolderTest, AWorkerThatSawAHigherWarrantIsNotAnswered) {
-  EXPECT_EQ(handle_report(1, token() + 5).status, 421);
+TEST_F(ShardHolderTest, AWorkerThatSawAHigherWarrantIsNotAnswered) {
+  EXPECT_EQ(handle_heartbeat(1, token() + 5).status, 421);
 }
 
-TEST_F(BlockHolderTest, AMalformedReportIsRefusedAndProvesNothing) {
-  EXPECT_EQ(holder_.handle_report("{").status, 400);
-  EXPECT_EQ(handle_report(1, token(), R"({"part":"nonsense","try":1,"status":"running"})").status,
-            400);
+TEST_F(ShardHolderTest, AMalformedHeartbeatIsRefusedAndProvesNothing) {
+  EXPECT_EQ(holder_.handle_heartbeat("{").status, 400);
+  EXPECT_EQ(
+      handle_heartbeat(1, token(), R"({"part":"nonsense","try":1,"status":"running"})").status,
+      400);
 }
 
-TEST_F(BlockHolderTest, CommitsTheBindingBeforeTheStartIsSent) {
-  handle_report(1, token());
+TEST_F(ShardHolderTest, CommitsTheBindingBeforeTheStartIsSent) {
+  handle_heartbeat(1, token());
   store_.scripts.assign(20, Script::refuse);
   release();
   run(Duration{100});
@@ -37,8 +38,8 @@
   EXPECT_TRUE(sent("start"));
 }
 
-TEST_F(BlockHolderTest, ABindingOfAReplacedHolderFails) {
-  handle_report(1, token());
+TEST_F(ShardHolderTest, ABindingOfAReplacedHolderFails) {
+  handle_heartbeat(1, token());
   run(Duration{60});  // the machine is in its page
   store_.scripts.assign(50, Script::refuse);
   store_.scripts.front() = Script::arrive_late;
@@ -46,14 +47,14 @@
   run(Duration{30});
   ASSERT_EQ(store_.late.size(), 1U);
   store_.scripts.clear();
-  store_.put(keys::block(ZoneId("a")),
-             encode(BlockRecord{ZoneId("a"), NodeId("other"), Nonce(9), 2}));
+  store_.put(keys::shard(ZoneId("a")),
+             encode(ShardRecord{ZoneId("a"), NodeId("other"), ProcessIncarnation(9), 2}));
   EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
   EXPECT_EQ(task().state, TaskState::released);
 }
 
-TEST_F(BlockHolderTest, ACancelThatWinsTheRaceMakesTheBindingFail) {
-  handle_report(1, token());
+TEST_F(ShardHolderTest, ACancelThatWinsTheRaceMakesTheBindingFail) {
+  handle_heartbeat(1, token());
   run(Duration{60});  // the machine is in its page
   store_.scripts.assign(50, Script::refuse);
   store_.scripts.front() = Script::arrive_late;
@@ -67,74 +68,74 @@
   EXPECT_FALSE(sent("start"));
 }
 
-TEST_F(BlockHolderTest, AnUnansweredDirectStartIsRepeatedOnlyToTheSameMachine) {
+TEST_F(ShardHolderTest, AnUnansweredDirectStartIsRepeatedOnlyToTheSameMachine) {
   bind_and_start();
   workers_.sent.back().then({0, false, {}});
   run(Duration{3000});
-  const auto answer = handle_report(1, token());
+  const auto answer = handle_heartbeat(1, token());
   EXPECT_NE(answer.body.find("\"start\""), std::string::npos);
   EXPECT_EQ(task().machine_id, MachineId("vm-1"));
 }
 
-TEST_F(BlockHolderTest, ACancelledTaskIsFreeOnlyWhenNoLateStartCanArrive) {
+TEST_F(ShardHolderTest, ACancelledTaskIsFreeOnlyWhenNoLateStartCanArrive) {
   bind_and_start();
   workers_.sent.back().then({0, false, {}});
   cancel();
   const auto old = token();
   run(Duration{50});
-  handle_report(1, old);
+  handle_heartbeat(1, old);
   run(Duration{50});
   EXPECT_EQ(task().state, TaskState::bound) << "the direct start may still arrive";
   run(Duration{9000});
   ASSERT_GT(token(), old) << "the warrant is renewed to end that";
-  handle_report(1, old);
+  handle_heartbeat(1, old);
   run(Duration{50});
   EXPECT_EQ(task().state, TaskState::bound);
-  handle_report(1, token());
+  handle_heartbeat(1, token());
   run(Duration{50});
   EXPECT_EQ(task().state, TaskState::idle);
 }
 
-TEST_F(BlockHolderTest, AnEndedTaskIsClearedOnlyWhenItsStartCannotBeRepeated) {
+TEST_F(ShardHolderTest, AnEndedTaskIsClearedOnlyWhenItsStartCannotBeRepeated) {
   bind_and_start();
-  auto answer = handle_report(1, token(), task_index("ended", "error"));
+  auto answer = handle_heartbeat(1, token(), task_index("ended", "error"));
   run(Duration{50});
   EXPECT_EQ(task().state, TaskState::idle);
-  answer = handle_report(1, token(), task_index("ended", "error"));
+  answer = handle_heartbeat(1, token(), task_index("ended", "error"));
   EXPECT_EQ(answer.body.find("clear"), std::string::npos) << "a late copy would start it again";
   run(Duration{9000});
-  answer = handle_report(1, token(), task_index("ended", "error"));
+  answer = handle_heartbeat(1, token(), task_index("ended", "error"));
   EXPECT_NE(answer.body.find("clear"), std::string::npos);
 }
 
-TEST_F(BlockHolderTest, ALateReportDoesNotUndoANewerOne) {
+TEST_F(ShardHolderTest, ALateHeartbeatDoesNotUndoANewerOne) {
   bind_and_start();
-  handle_report(1, token(), task_index("running"));
-  sequence_ -= 2;  // an older report, delivered late, without the task
-  handle_report(1, token());
+  handle_heartbeat(1, token(), task_index("running"));
+  sequence_ -= 2;  // an older heartbeat, delivered late, without the task
+  handle_heartbeat(1, token());
   run(Duration{50});
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
-TEST_F(BlockHolderTest, ANewSessionProvesThatTheTaskIsGone) {
+TEST_F(ShardHolderTest, ANewEpochProvesThatTheTaskIsGone) {
   bind_and_start();
-  handle_report(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_index("running"));
   run(Duration{50});
-  handle_report(2, token());
+  handle_heartbeat(2, token());
   run(Duration{50});
   EXPECT_EQ(task().state, TaskState::idle);
 }
 
-TEST_F(BlockHolderTest, SilenceFreesNothing) {
+TEST_F(ShardHolderTest, SilenceFreesNothing) {
   bind_and_start();
-  handle_report(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_index("running"));
   run(Duration{120'000});
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
-TEST_F(BlockHolderTest, ADeletedMachineProvesThatItsTasksAreGone) {
+TEST_F(ShardHolderTest, ADeletedMachineProvesThatItsTasksAreGone) {
   bind_and_start();
-  handle_report(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_index("running"));
   run(Duration{50});
   MachineRecord machine;
   machine.machine_id = MachineId("vm-1");
@@ -146,44 +147,45 @@
   EXPECT_EQ(task().state, TaskState::idle);
 }
 
-TEST_F(BlockHolderTest, WithoutTheStateServiceItStopsAnsweringInTime) {
-  EXPECT_EQ(handle_report(1, token()).status, 200);
+TEST_F(ShardHolderTest, WithoutTheStateServiceItStopsAnsweringInTime) {
+  EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
   informed_ = false;
   run(Duration{20'000});
-  EXPECT_EQ(handle_report(1, token()).status, 200);
+  EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
   // cancel_s - lease_s is 25 s: a cancellation may have been accepted right after the last read.
   run(Duration{6'000});
-  EXPECT_EQ(handle_report(1, token()).status, 421);
+  EXPECT_EQ(handle_heartbeat(1, token()).status, 421);
   holder_.extend_freshness(time_.steady());  // all peers say that nothing was cancelled since
-  EXPECT_EQ(handle_report(1, token()).status, 200);
+  EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
 }
 
 // Found by a rough day: the user had been told `cancelled`, the task ended before it was stopped.
-TEST_F(BlockHolderTest, ACancelledJobStaysCancelledThoughItsTasksAreDone) {
+TEST_F(ShardHolderTest, ACancelledJobStaysCancelledThoughItsTasksAreDone) {
   bind_and_start();
-  handle_report(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_index("running"));
   run(Duration{50});
   cancel();
-  handle_report(1, token(), task_index("ended", "done"));
+  handle_heartbeat(1, token(), task_index("ended", "done"));
   run(Duration{500});
   const auto entry = store_.get(keys::final_job(JobId("req-1")));
   ASSERT_TRUE(entry);
   EXPECT_NE(entry->value.find("cancelled"), std::string::npos);
 }
 
-TEST_F(BlockHolderTest, WhatBelongsToNoJobIsKilledThoughItsSliceIsLeft) {
+TEST_F(ShardHolderTest, WhatBelongsToNoJobIsKilledThoughItsSliceIsLeft) {
   bind_and_start();
   Txn txn;
   txn.remove(keys::job(JobId("req-1")));
   store_.commit(RequestPriority::record, txn, [](const CommitResult&) {});
   run(Duration{50});
   ASSERT_TRUE(cache_.records().placed.contains(MachineId("vm-1")));
-  EXPECT_NE(handle_report(1, token(), task_index("running")).body.find("kill"), std::string::npos);
+  EXPECT_NE(handle_heartbeat(1, token(), task_index("running")).body.find("kill"),
+            std::string::npos);
 }
 
-TEST_F(BlockHolderTest, DoneIsCommittedWithTheEndOfItsLastTask) {
+TEST_F(ShardHolderTest, DoneIsCommittedWithTheEndOfItsLastTask) {
   bind_and_start();
-  handle_report(1, token(), task_index("ended", "done"));
+  handle_heartbeat(1, token(), task_index("ended", "done"));
   run(Duration{50});
   const auto entry = store_.get(keys::final_job(JobId("req-1")));
   ASSERT_TRUE(entry);
@@ -192,17 +194,17 @@
   EXPECT_FALSE(store_.get(keys::job(JobId("req-1"))));
 }
 
-TEST_F(BlockHolderTest, AFailingTaskMakesItsMachineSuspect) {
+TEST_F(ShardHolderTest, AFailingTaskMakesItsMachineSuspect) {
   bind_and_start();
-  handle_report(1, token(), task_index("ended", "error"));
+  handle_heartbeat(1, token(), task_index("ended", "error"));
   run(Duration{50});
   EXPECT_EQ(cache_.records().machines.at(MachineId("vm-1")).record.state, MachineState::suspect);
   EXPECT_EQ(task().faults, 1U);
 }
 
 // Two jobs with a mistake had a sound machine given up at once.
-TEST_F(BlockHolderTest, AFailureOfASecondJobLeavesTheVerdictToTheLeader) {
-  handle_report(1, token());
+TEST_F(ShardHolderTest, AFailureOfASecondJobLeavesTheVerdictToTheLeader) {
+  handle_heartbeat(1, token());
   for (const char* job_id : {"req-1", "req-2"}) {
     JobRecord job;
     job.spec = testing::batch(job_id, 1, 1, 100);
@@ -215,28 +217,28 @@
     slice.tasks[0].attempt = Attempt(1);
     slice.tasks[0].zone = ZoneId("a");
     slice.tasks[0].machine_id = MachineId("vm-1");
-    slice.tasks[0].session = SessionId(1);
+    slice.tasks[0].epoch = WorkerEpoch(1);
     store_.put(keys::slice(job.spec.job_id, 0), encode(slice));
   }
   run(Duration{50});
   const std::string running = R"({"part":"req-2/0","try":1,"status":"running"})";
   const std::string failed = R"({"part":"req-2/0","try":1,"status":"ended","cause":"error"})";
-  handle_report(1, token(), task_index("ended", "error") + "," + running);
+  handle_heartbeat(1, token(), task_index("ended", "error") + "," + running);
   run(Duration{100});
-  handle_report(1, token(), task_index("ended", "error") + "," + failed);
+  handle_heartbeat(1, token(), task_index("ended", "error") + "," + failed);
   run(Duration{100});
   const MachineRecord& machine = cache_.records().machines.at(MachineId("vm-1")).record;
   EXPECT_EQ(machine.state, MachineState::suspect);
   EXPECT_EQ(machine.blamed, JobId("req-1"));
 }
 
-TEST_F(BlockHolderTest, AFailureDoesNotBringBackAMachineThatIsGivenUp) {
+TEST_F(ShardHolderTest, AFailureDoesNotBringBackAMachineThatIsGivenUp) {
   bind_and_start();
   MachineRecord machine = cache_.records().machines.at(MachineId("vm-1")).record;
   machine.state = MachineState::quarantined;
   store_.put_machine(machine);
   run(Duration{50});
-  handle_report(1, token(), task_index("ended", "error"));
+  handle_heartbeat(1, token(), task_index("ended", "error"));
   run(Duration{1'100});
   EXPECT_EQ(task().faults, 1U);
   EXPECT_EQ(cache_.records().machines.at(MachineId("vm-1")).record.state,
@@ -244,23 +246,23 @@
 }
 
 // Found by a rough day: after the end of all controllers, tasks went where their image was not.
-TEST_F(BlockHolderTest, ImagesThatRanAreKeptInTheMachinesRecord) {
+TEST_F(ShardHolderTest, ImagesThatRanAreKeptInTheMachinesRecord) {
   bind_and_start();
-  handle_report(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_index("running"));
   run(Duration{1000});
   const auto& images = cache_.records().machines.at(MachineId("vm-1")).record.images;
   ASSERT_EQ(images.size(), 1U);
   EXPECT_EQ(images[0].first, ImageId("img"));
 }
 
-TEST_F(BlockHolderTest, WorkersThatKeepComingBackMakeAComplaint) {
-  give_block("other", 9);
-  for (const char* machine_id : {"vm-1", "vm-2"}) handle_report(1, 0, "", machine_id);
-  EXPECT_TRUE(holder_.misdirected_zones().empty());
+TEST_F(ShardHolderTest, WorkersThatKeepComingBackMakeAComplaint) {
+  give_shard("other", 9);
+  for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
+  EXPECT_TRUE(holder_.misrouted_zones().empty());
   run(Duration{6'500});
-  for (const char* machine_id : {"vm-1", "vm-2"}) handle_report(1, 0, "", machine_id);
-  ASSERT_EQ(holder_.misdirected_zones().size(), 1U);
-  EXPECT_EQ(holder_.misdirected_zones()[0], ZoneId("a"));
+  for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
+  ASSERT_EQ(holder_.misrouted_zones().size(), 1U);
+  EXPECT_EQ(holder_.misrouted_zones()[0], ZoneId("a"));
 }
 
 TEST(BrokenGang, WhatIsLeftOfItIsStopped) {
@@ -276,9 +278,9 @@
 }
 
 // When writes are short every slice has its turn, and what waits for its own is decided only once.
-TEST_F(BlockHolderTest, CommitsOnTheirWayAreBoundedAndNoSliceIsPassedOver) {
+TEST_F(ShardHolderTest, CommitsOnTheirWayAreBoundedAndNoSliceIsPassedOver) {
   constexpr int kJobs = 40;
-  handle_report(1, token());
+  handle_heartbeat(1, token());
   store_.hold = true;
   const auto slice_commits = [&] {
     return std::count_if(store_.commits.begin(), store_.commits.end(), [](const Txn& txn) {
--- a/tests/late_message_test.cpp
+++ b/tests/late_message_test.cpp
@@ -1,40 +1,40 @@
 // A holder and its workers when two faults meet: machines that are silent towards controllers or
-// out of reach for commands, reports, orders and answers that are held up, a block that moves
+// out of reach for commands, reports, orders and answers that are held up, a shard that moves
 // meanwhile, two lives of one node.
 #include "holder_fixture.hpp"
 
 namespace marblevale {
 namespace {
 
-using testing::BlockHolderTest;
 using testing::Script;
+using testing::ShardHolderTest;
 
-class LateMessageTest : public BlockHolderTest {
+class LateMessageTest : public ShardHolderTest {
  protected:
   [[nodiscard]] MachineState machine_state(const std::string& machine_id = "vm-1") const {
     const auto it = cache_.records().machines.find(MachineId(machine_id));
     return it == cache_.records().machines.end() ? MachineState::gone : it->second.record.state;
   }
 
-  /// vm-1 answers the orders that wait for it, one after the other, with a newer report.
-  void answer_orders(int status, std::uint64_t session = 1, const std::string& parts = "") {
+  /// vm-1 answers the orders that wait for it, one after the other, with a newer heartbeat.
+  void answer_orders(int status, std::uint64_t epoch = 1, const std::string& parts = "") {
     for (; answered_ < workers_.sent.size(); ++answered_) {
       const auto then = workers_.sent[answered_].then;
       then({status, false,
             R"({"host":"vm-1","address":"10.1.0.1:9000","build":"g8","district":"a",)"
             R"("loaners":false,"tenure":)" +
-                std::to_string(session) + R"(,"tally":)" + std::to_string(++sequence_) +
+                std::to_string(epoch) + R"(,"tally":)" + std::to_string(++sequence_) +
                 R"(,"warrant":)" + std::to_string(token()) + R"(,"recall_s":null,"parts":[)" +
                 parts + "]}"});
     }
   }
 
   /// vm-1 reports to nobody, but answers orders; vm-2 reports as its times have it.
-  void reports_lost_for(Duration duration, std::uint64_t session, const std::string& parts,
-                        int status = 200) {
+  void heartbeats_lost_for(Duration duration, std::uint64_t epoch, const std::string& parts,
+                           int status = 200) {
     for (std::int64_t at = 0; at < duration.ms; at += 500) {
-      if (at % 3000 == 0) handle_report(1, token(), "", "vm-2");
-      answer_orders(status, session, parts);
+      if (at % 3000 == 0) handle_heartbeat(1, token(), "", "vm-2");
+      answer_orders(status, epoch, parts);
       run(Duration{500});
     }
   }
@@ -51,7 +51,7 @@
       task.attempt = Attempt(2);
       task.zone = ZoneId("a");
       task.machine_id = MachineId("vm-" + std::to_string(i + 1));
-      task.session = SessionId(1);
+      task.epoch = WorkerEpoch(1);
       task.running = running;
       slice.tasks.push_back(task);
     }
@@ -82,19 +82,19 @@
 
 TEST_F(LateMessageTest, AnswersToOrdersDoNotMakeAMuteMachineLookHealthy) {
   bind_and_start();
-  handle_report(1, token(), "", "vm-2");
-  reports_lost_for(Duration{12'000}, 1, task_index("running"));
+  handle_heartbeat(1, token(), "", "vm-2");
+  heartbeats_lost_for(Duration{12'000}, 1, task_index("running"));
   EXPECT_EQ(machine_state(), MachineState::silent) << "its lease is not renewed";
-  reports_lost_for(Duration{9'000}, 1, task_index("running"));
+  heartbeats_lost_for(Duration{9'000}, 1, task_index("running"));
   EXPECT_EQ(machine_state(), MachineState::silent) << "orders that it answers do not bring it back";
   EXPECT_EQ(task().state, TaskState::bound);
-  handle_report(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_index("running"));
   run(Duration{600});
   EXPECT_EQ(machine_state(), MachineState::up);
 }
 
 TEST_F(LateMessageTest, NothingIsBoundToAMachineThatHasNotReportedForAWhile) {
-  handle_report(1, token());
+  handle_heartbeat(1, token());
   run(Duration{600});
   ASSERT_EQ(machine_state(), MachineState::up);
   run(Duration{8'000});
@@ -102,30 +102,30 @@
   release();
   run(Duration{600});
   EXPECT_EQ(task().state, TaskState::released);
-  handle_report(1, token());
+  handle_heartbeat(1, token());
   run(Duration{600});
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
-TEST_F(LateMessageTest, AMuteMachinesNewSessionIsToldByItsAnswerAndFreesItsTasks) {
+TEST_F(LateMessageTest, AMuteMachinesNewEpochIsToldByItsAnswerAndFreesItsTasks) {
   bind_and_start();
-  handle_report(1, token(), "", "vm-2");
-  reports_lost_for(Duration{24'000}, 1, task_index("running"));
+  handle_heartbeat(1, token(), "", "vm-2");
+  heartbeats_lost_for(Duration{24'000}, 1, task_index("running"));
   ASSERT_EQ(task().state, TaskState::bound);
-  reports_lost_for(Duration{6'000}, 2, "", 409);
+  heartbeats_lost_for(Duration{6'000}, 2, "", 409);
   EXPECT_EQ(task().state, TaskState::idle) << "without waiting for its deletion";
   EXPECT_EQ(machine_state(), MachineState::silent);
 }
 
-TEST_F(LateMessageTest, ABlockThatComesUsesItsMachinesAtOnceButForSilentOnes) {
+TEST_F(LateMessageTest, AShardThatComesUsesItsMachinesAtOnceButForSilentOnes) {
   MachineRecord machine;
   machine.machine_id = MachineId("vm-1");
   machine.address = "10.1.0.1:9000";
   machine.machine_type = "g8";
   machine.zone = ZoneId("a");
   store_.put_machine(machine);
-  give_block("other", 9);
-  give_block("me", 7);
+  give_shard("other", 9);
+  give_shard("me", 7);
   answer_orders(409);
   run(Duration{500});
   answer_orders(200);
@@ -133,63 +133,64 @@
   run(Duration{600});
   EXPECT_EQ(task().state, TaskState::bound) << "it has had no time to report";
 
-  give_block("other", 9);
+  give_shard("other", 9);
   machine.state = MachineState::silent;
   store_.put_machine(machine);
-  give_block("me", 7);
+  give_shard("me", 7);
   answer_orders(200);
   run(Duration{600});
   answer_orders(200);
   run(Duration{600});
   EXPECT_EQ(machine_state(), MachineState::silent) << "it may be mute: it has to report first";
-  handle_report(1, token());
+  handle_heartbeat(1, token());
   run(Duration{600});
   EXPECT_EQ(machine_state(), MachineState::up);
 }
 
-// Reports that are held back, old ones, and copies.
+// Heartbeats that are held back, old ones, and copies.
 
-TEST_F(LateMessageTest, AReportThatWasHeldUpDoesNotMakeAMachineDeaf) {
-  handle_report(1, token());
-  run(Duration{30'000});      // cut off, until its lease is over
-  handle_report(1, token());  // sent before
+TEST_F(LateMessageTest, AHeartbeatThatWasHeldUpDoesNotMakeAMachineDeaf) {
+  handle_heartbeat(1, token());
+  run(Duration{30'000});         // cut off, until its lease is over
+  handle_heartbeat(1, token());  // sent before
   run(Duration{1'000});
-  handle_report(2, token());
+  handle_heartbeat(2, token());
   run(Duration{600});
   release();
   run(Duration{600});
   EXPECT_EQ(task().state, TaskState::bound) << "nothing shows that it had the late answer";
 }
 
-TEST_F(LateMessageTest, CopiesFromBeforeTheBlockMovedDoNotMakeAMachineDeaf) {
-  handle_report(1, token());
+TEST_F(LateMessageTest, CopiesFromBeforeTheShardMovedDoNotMakeAMachineDeaf) {
+  handle_heartbeat(1, token());
   run(Duration{600});
   const auto old = token();
-  give_block("other", 9);
-  give_block("me", 7);
+  give_shard("other", 9);
+  give_shard("me", 7);
   for (int i = 0; i < 5; ++i) {
-    handle_report(1, old);  // held back, and a newer one each time
+    handle_heartbeat(1, old);  // held back, and a newer one each time
     run(Duration{3'000});
   }
-  handle_report(2, token());
+  handle_heartbeat(2, token());
   run(Duration{600});
   release();
   run(Duration{600});
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
-TEST(LateMessageProofTest, AReportOfAnEarlierSessionProvesNothing) {
+TEST(LateMessageProofTest, AHeartbeatOfAnEarlierEpochProvesNothing) {
   TaskRecord task;
   task.state = TaskState::bound;
   task.attempt = Attempt(2);
-  task.session = SessionId(3);
-  Report report;
-  report.session = SessionId(2);
-  report.sequence = ReportSequence(900);
-  report.token = FencingToken(10);
+  task.epoch = WorkerEpoch(3);
+  WorkerHeartbeat heartbeat;
+  heartbeat.epoch = WorkerEpoch(2);
+  heartbeat.sequence = HeartbeatSequence(900);
+  heartbeat.token = FencingToken(10);
   WorkerView view;
-  view.apply(report);
-  EXPECT_EQ(examine({JobId("req-1"), 0}, task, view, FencingToken(10)), Finding::absent);
+  view.apply(heartbeat);
+  EXPECT_EQ(classify_presence({JobId("req-1"), 0}, task, view, FencingToken(10)),
+            TaskPresence::absent);
 }
 
 // A command or its answer held up for seconds.
@@ -212,7 +213,7 @@
     return cache_.records().slice(JobId("req-2"), 0)->record.tasks.at(0).state;
   };
   ASSERT_EQ(state(), TaskState::bound);
-  ASSERT_NE(handle_report(1, token(), task_index("running")).body.find("req-2/0"),
+  ASSERT_NE(handle_heartbeat(1, token(), task_index("running")).body.find("req-2/0"),
             std::string::npos);
   ASSERT_FALSE(sent("req-2/0"));
   job.cancelled = time_.wall();
@@ -221,7 +222,7 @@
   answer_orders(200, 1, task_index("running"));  // overtakes the answer that bears the start
   run(Duration{600});
   EXPECT_EQ(state(), TaskState::bound) << "the start may still be executed";
-  handle_report(1, token(), task_index("running"));  // it had the answer, or has dropped it
+  handle_heartbeat(1, token(), task_index("running"));  // it had the answer, or has dropped it
   run(Duration{600});
   EXPECT_EQ(state(), TaskState::idle);
 }
@@ -229,67 +230,68 @@
 TEST_F(LateMessageTest, AStartThatWasAnsweredCanComeAgain) {
   bind_and_start();
   answer_orders(200, 1, task_index("running"));
-  handle_report(1, token(), task_index("ended", "error"));
+  handle_heartbeat(1, token(), task_index("ended", "error"));
   run(Duration{50});
   ASSERT_EQ(task().state, TaskState::idle);
-  EXPECT_EQ(handle_report(1, token(), task_index("ended", "error")).body.find("clear"),
+  EXPECT_EQ(handle_heartbeat(1, token(), task_index("ended", "error")).body.find("clear"),
             std::string::npos);
   run(Duration{9'000});
-  EXPECT_NE(handle_report(1, token(), task_index("ended", "error")).body.find("clear"),
+  EXPECT_NE(handle_heartbeat(1, token(), task_index("ended", "error")).body.find("clear"),
             std::string::npos)
       << "a higher warrant has ended that";
 }
 
 TEST_F(LateMessageTest, AStartThatCameTooLateIsKilledOnAMuteMachineToo) {
   bind_and_start();
-  handle_report(1, token(), "", "vm-2");
+  handle_heartbeat(1, token(), "", "vm-2");
   const auto before = workers_.sent.size();
-  reports_lost_for(Duration{12'000}, 1,
-                   task_index("running") + "," + item("req-9/0", "running", "", 1));
+  heartbeats_lost_for(Duration{12'000}, 1,
+                      task_index("running") + "," + item("req-9/0", "running", "", 1));
   EXPECT_TRUE(told(before, R"("verb":"kill","part":"req-9/0")"));
 }
 
 // Two lives of one node.
 
-TEST_F(LateMessageTest, TheBlockOfAnEarlierLifeIsTakenAnewAndItsLateCommitsFail) {
+TEST_F(LateMessageTest, TheShardOfAnEarlierLifeIsTakenAnewAndItsLateCommitsFail) {
   store_.scripts.assign(50, Script::refuse);
-  give_block("me", 6);
+  give_shard("me", 6);
   const auto earlier = token();
-  EXPECT_NE(handle_report(1, 0).status, 200) << "the earlier life may have commits on their way";
+  EXPECT_NE(handle_heartbeat(1, 0).status, 200) << "the earlier life may have commits on their way";
   store_.scripts.clear();
   run(Duration{1'000});
   ASSERT_GT(token(), earlier);
-  EXPECT_EQ(handle_report(1, earlier).status, 200);
+  EXPECT_EQ(handle_heartbeat(1, earlier).status, 200);
   Txn binding;
-  binding.guard(keys::block(ZoneId("a")), ModRevision(earlier)).put("mv/slices/req-1/0", "{}");
+  binding.guard(keys::shard(ZoneId("a")), ModRevision(earlier)).put("mv/slices/req-1/0", "{}");
   Outcome outcome = Outcome::done;
   store_.commit(RequestPriority::binding, binding,
                 [&](const CommitResult& r) { outcome = r.outcome; });
   EXPECT_EQ(outcome, Outcome::conflict);
 }
 
-// A out of reach for commands machine while its block moves.
+// A out of reach for commands machine while its shard moves.
 
-TEST_F(LateMessageTest, ADeafMachineWhoseBlockMovesGetsNothingNewAndKeepsItsTasksUntilProof) {
+TEST_F(LateMessageTest, ADeafMachineWhoseShardMovesGetsNothingNewAndKeepsItsTasksUntilProof) {
   bind_and_start();
-  handle_report(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_index("running"));
   run(Duration{100});
   const auto old = token();
-  give_block("other", 9);
-  give_block("me", 7);
-  const auto reports = [&](Duration duration) {
+  give_shard("other", 9);
+  give_shard("me", 7);
+  const auto heartbeats = [&](Duration duration) {
     for (std::int64_t at = 0; at < duration.ms; at += 3000) {
-      handle_report(1, old);  // the task has ended and its end is lost, or this is an old report
-      handle_report(1, token(), "", "vm-2");
+      handle_heartbeat(1,
+                       old);  // the task has ended and its end is lost, or this is an old heartbeat
+      handle_heartbeat(1, token(), "", "vm-2");
       run(Duration{3000});
     }
   };
-  reports(Duration{12'000});
+  heartbeats(Duration{12'000});
   EXPECT_EQ(machine_state(), MachineState::silent) << "its answers vanish, its lease will lapse";
   cancel();
-  reports(Duration{6'000});
+  heartbeats(Duration{6'000});
   EXPECT_EQ(task().state, TaskState::bound) << "what the last holder sent may still arrive";
-  handle_report(2, old);
+  handle_heartbeat(2, old);
   run(Duration{100});
   EXPECT_EQ(task().state, TaskState::idle) << "a new session is proof, whatever it has heard";
 }
@@ -297,35 +299,35 @@
 // One done, all done.
 
 TEST_F(LateMessageTest, AKeptResultOfAGangFreesNoPlaceOfThoseThatStillFetch) {
-  handle_report(1, token(), "", "vm-1");
-  handle_report(1, token(), "", "vm-2");
+  handle_heartbeat(1, token(), "", "vm-1");
+  handle_heartbeat(1, token(), "", "vm-2");
   put_bound_gang(2, WallTime{});  // started again after its end, which nobody heard of
-  handle_report(1, token(), item("req-1/0", "ended", "done"), "vm-1");
-  handle_report(1, token(), item("req-1/1", "fetching"), "vm-2");
+  handle_heartbeat(1, token(), item("req-1/0", "ended", "done"), "vm-1");
+  handle_heartbeat(1, token(), item("req-1/1", "fetching"), "vm-2");
   run(Duration{3'000});
   EXPECT_EQ(state_of(0), TaskState::done);
   EXPECT_EQ(state_of(1), TaskState::bound) << "it will be on its machine for a moment yet";
-  handle_report(1, token(), item("req-1/1", "ended", "done"), "vm-2");
+  handle_heartbeat(1, token(), item("req-1/1", "ended", "done"), "vm-2");
   run(Duration{500});
   EXPECT_TRUE(store_.get(keys::final_job(JobId("req-1"))));
 }
 
 TEST_F(LateMessageTest, AGangWhoseRestIsLostAfterItsEndIsDone) {
-  handle_report(1, token(), "", "vm-1");
-  handle_report(1, token(), "", "vm-2");
+  handle_heartbeat(1, token(), "", "vm-1");
+  handle_heartbeat(1, token(), "", "vm-2");
   put_bound_gang(2, WallTime{});
-  handle_report(1, token(), item("req-1/0", "ended", "done"), "vm-1");
+  handle_heartbeat(1, token(), item("req-1/0", "ended", "done"), "vm-1");
   run(Duration{3'000});
-  handle_report(2, token(), "", "vm-2");
+  handle_heartbeat(2, token(), "", "vm-2");
   run(Duration{500});
   EXPECT_TRUE(store_.get(keys::final_job(JobId("req-1"))));
 }
 
 TEST_F(LateMessageTest, AGangThatRanIsDoneWithTheFirstOfItsTasks) {
-  handle_report(1, token(), "", "vm-1");
-  handle_report(1, token(), "", "vm-2");
+  handle_heartbeat(1, token(), "", "vm-1");
+  handle_heartbeat(1, token(), "", "vm-2");
   put_bound_gang(2, time_.wall());
-  handle_report(1, token(), item("req-1/0", "ended", "done"), "vm-1");
+  handle_heartbeat(1, token(), item("req-1/0", "ended", "done"), "vm-1");
   run(Duration{100});
   EXPECT_TRUE(store_.get(keys::final_job(JobId("req-1"))));
 }
