--- a/tests/leader_change_test.cpp
+++ b/tests/leader_change_test.cpp
@@ -1,6 +1,6 @@
 // A leader whose term meets another trouble: the state service out, another leader before or after
 // it, commits and answers that come late.
-#include "blocks/grants.hpp"
+#include "leader/shard_assigner.hpp"
 #include "leader_fixture.hpp"
 
 namespace marblevale {
@@ -21,16 +21,16 @@
   }
 
   void another_leads() {
-    store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), Nonce(3)}));
+    store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), ProcessIncarnation(3)}));
     run(Duration{20});
-    ASSERT_FALSE(election_.in_charge());
+    ASSERT_FALSE(election_.is_established_leader());
   }
   void it_leads_again() {
     Txn txn;
     txn.remove(keys::kLeader);
     store_.commit(RequestPriority::lease, txn, [](const CommitResult&) {});
     run(Duration{50});
-    ASSERT_TRUE(election_.in_charge());
+    ASSERT_TRUE(election_.is_established_leader());
   }
   /// A term of another between two of this controller's, shorter than a tick of anything.
   void another_leads_for_a_moment() {
@@ -73,7 +73,7 @@
   submit(testing::gang("req-2", 1, 1, 600));
   set_task("req-2", bound("vm-2"));
   std::vector<MachineId> overdue;
-  fleet_.delete_overdue([&overdue] { return overdue; });
+  autoscaler_.delete_overdue([&overdue] { return overdue; });
   begin();
   store_.put(keys::job(cancelled.job_id), encode(JobRecord{cancelled, time_.wall(), time_.wall()}));
   run(Duration{1'000});
@@ -99,43 +99,47 @@
 
 TEST_F(LeaderChangeTest, AnAnswerToAHireThatComesWhileNobodyLeadsIsNotCommitted) {
   settings_.peers = {{NodeId("n1"), ZoneId("b"), {}}, {NodeId("n2"), ZoneId("b"), {}}};
-  cloud_.rents = cloud_.hold_rentals = true;
+  cloud_.scales_out = cloud_.hold_provisioning = true;
   begin();
   run(Duration{1'000});
-  ASSERT_TRUE(election_.in_charge());
+  ASSERT_TRUE(election_.is_established_leader());
   submit(testing::gang("req-1", 1, 1, 60));
   run(Duration{3'000});
-  ASSERT_EQ(cloud_.rentals.size(), 1U);
-  const std::string key = keys::rental(cloud_.rentals[0]);
+  ASSERT_EQ(cloud_.provisioning_requests.size(), 1U);
+  const std::string key = keys::provisioning_request(cloud_.provisioning_requests[0]);
   const auto asked = store_.get(key);
   ASSERT_TRUE(asked);
   Txn txn;
   txn.remove(keys::kLeader);
   store_.commit(RequestPriority::lease, txn, [](const CommitResult&) {});
   run(Duration{100});
-  ASSERT_FALSE(election_.in_charge()) << "the others may stand first";
-  cloud_.answer_rentals();
+  ASSERT_FALSE(election_.is_established_leader()) << "the others may stand first";
+  cloud_.answer_provisioning();
   EXPECT_EQ(store_.get(key)->mod_revision, asked->mod_revision);
-  cloud_.hold_rentals = false;
+  cloud_.hold_provisioning = false;
   run(Duration{3'000});
-  ASSERT_TRUE(election_.in_charge());
-  EXPECT_TRUE(cache_.records().rentals.at(cloud_.rentals[0]).record.answered);
-  EXPECT_EQ(std::set<std::string>(cloud_.rentals.begin(), cloud_.rentals.end()).size(), 1U);
+  ASSERT_TRUE(election_.is_established_leader());
+  EXPECT_TRUE(
+      cache_.records().provisioning_requests.at(cloud_.provisioning_requests[0]).record.answered);
+  EXPECT_EQ(std::set<std::string>(cloud_.provisioning_requests.begin(),
+                                  cloud_.provisioning_requests.end())
+                .size(),
+            1U);
 }
 
 TEST_F(LeaderChangeTest, AHireThatAnEarlierLeaderHasNotSettledIsAskedForUnderItsName) {
-  RentalRecord rental;
-  rental.name = "h-5-1";
-  rental.machine_type = "g8";
-  rental.zone = ZoneId("a");
-  rental.how_many = 2;
-  rental.asked = time_.wall();
-  store_.put(keys::rental(rental.name), encode(rental));
-  cloud_.rents = true;
+  ProvisioningRequest provisioning_request;
+  provisioning_request.name = "h-5-1";
+  provisioning_request.machine_type = "g8";
+  provisioning_request.zone = ZoneId("a");
+  provisioning_request.how_many = 2;
+  provisioning_request.asked = time_.wall();
+  store_.put(keys::provisioning_request(provisioning_request.name), encode(provisioning_request));
+  cloud_.scales_out = true;
   begin();
   run(Duration{2'000});
-  EXPECT_EQ(cloud_.rentals, std::vector<std::string>{"h-5-1"});
-  EXPECT_EQ(cache_.records().rentals.at("h-5-1").record.machine_ids.size(), 2U);
+  EXPECT_EQ(cloud_.provisioning_requests, std::vector<std::string>{"h-5-1"});
+  EXPECT_EQ(cache_.records().provisioning_requests.at("h-5-1").record.machine_ids.size(), 2U);
 }
 
 // Found by reading: what had been decided under one term was written under the next.
@@ -143,7 +147,7 @@
   machine("vm-1");
   begin();
   run(Duration{1'100});
-  fleet_.request_deletion(MachineId("vm-1"), "idle");
+  autoscaler_.request_deletion(MachineId("vm-1"), "idle");
   store_.hold = true;
   store_.scripts.assign(50, Script::refuse);
   run(Duration{1'000});
@@ -189,39 +193,43 @@
   EXPECT_EQ(begun.size(), 10U);
 }
 
-TEST_F(LeaderChangeTest, BlocksDoNotMoveBecauseLeadersChange) {
+TEST_F(LeaderChangeTest, ShardsDoNotMoveBecauseLeadersChange) {
   settings_.peers = {{NodeId("n2"), ZoneId("a"), {}}};
-  store_.put(keys::node(NodeId("n2")), encode(NodeRecord{NodeId("n2"), Nonce(5), LeaseId(90)}));
-  store_.put(keys::block(ZoneId("a")), encode(BlockRecord{ZoneId("a"), NodeId("me"), Nonce(7), 1}));
-  BlockGrants blocks(loop_, time_, settings_, cache_, election_);
+  store_.put(keys::node(NodeId("n2")),
+             encode(NodeRecord{NodeId("n2"), ProcessIncarnation(5), LeaseId(90)}));
+  store_.put(keys::shard(ZoneId("a")),
+             encode(ShardRecord{ZoneId("a"), NodeId("me"), ProcessIncarnation(7), 1}));
+  ShardAssigner shards(loop_, time_, settings_, cache_, election_);
   begin();
-  blocks.begin();
+  shards.begin();
   for (int i = 0; i < 10; ++i) {
     run(Duration{12'000});
-    EXPECT_EQ(cache_.records().blocks.at(ZoneId("a")).record.holder, NodeId("me"));
+    EXPECT_EQ(cache_.records().shards.at(ZoneId("a")).record.holder, NodeId("me"));
     another_leads_for_a_moment();
   }
   run(Duration{30'000});
-  EXPECT_EQ(cache_.records().blocks.at(ZoneId("a")).record.holder, NodeId("n2"))
+  EXPECT_EQ(cache_.records().shards.at(ZoneId("a")).record.holder, NodeId("n2"))
       << "a leader that stays has work enough";
 }
 
 // Found by inc-9b45: a zone's controller that had lost its workers for two minutes was given its
-// block back every 45 s, and lost it again 20 s later.
-TEST_F(LeaderChangeTest, ABlockWhoseHomeDoesNotReachItsWorkersIsAwayLongerEachTime) {
+// shard back every 45 s, and lost it again 20 s later.
+TEST_F(LeaderChangeTest, AShardWhoseHomeDoesNotReachItsWorkersIsAwayLongerEachTime) {
   settings_.peers = {{NodeId("n2"), ZoneId("a"), {}}, {NodeId("n3"), ZoneId("b"), {}}};
   for (const char* node : {"n2", "n3"}) {
-    store_.put(keys::node(NodeId(node)), encode(NodeRecord{NodeId(node), Nonce(5), LeaseId(90)}));
+    store_.put(keys::node(NodeId(node)),
+               encode(NodeRecord{NodeId(node), ProcessIncarnation(5), LeaseId(90)}));
   }
-  store_.put(keys::block(ZoneId("a")), encode(BlockRecord{ZoneId("a"), NodeId("n2"), Nonce(5), 1}));
-  BlockGrants blocks(loop_, time_, settings_, cache_, election_);
+  store_.put(keys::shard(ZoneId("a")),
+             encode(ShardRecord{ZoneId("a"), NodeId("n2"), ProcessIncarnation(5), 1}));
+  ShardAssigner shards(loop_, time_, settings_, cache_, election_);
   begin();
-  blocks.begin();
+  shards.begin();
   run(Duration{10'000});
-  const auto holder = [&] { return cache_.records().blocks.at(ZoneId("a")).record.holder; };
+  const auto holder = [&] { return cache_.records().shards.at(ZoneId("a")).record.holder; };
   for (const std::int64_t away_ms : {45'000, 90'000, 180'000, 180'000}) {
     ASSERT_EQ(holder(), NodeId("n2"));
-    blocks.misdirection(ZoneId("a"), NodeId("n3"));
+    shards.note_misrouted_heartbeat(ZoneId("a"), NodeId("n3"));
     run(Duration{1'000});
     ASSERT_EQ(holder(), NodeId("n3"));
     run(Duration{away_ms - 3'000});
@@ -230,7 +238,7 @@
   }
 }
 
-/// A leader that stood still for longer than its session's lease and has no word of the records
+/// A leader that stood still for longer than its epoch's lease and has no word of the records
 /// yet.
 class PausedLeaderTest : public LeaderChangeTest {
  protected:
@@ -252,7 +260,7 @@
 };
 
 // Found by inc-0452: a leader that stood still planned a round and released three tasks before it
-// read that its session had ended. The commits failed by their guards; the plan was in vain.
+// read that its epoch had ended. The commits failed by their guards; the plan was in vain.
 TEST_F(PausedLeaderTest, ReleasesNothingBeforeItHasReadTheRecordsAgain) {
   machine("vm-1");
   begin();
@@ -273,14 +281,14 @@
   run(Duration{1'200});
   submit(testing::gang("req-1", 1, 2, 60));
   for (int i = 0; i < 20 && store_.commits.empty(); ++i) run(Duration{10});
-  run(Duration{200});  // a round has told the fleet what is missing; its next tick is to come
-  ASSERT_TRUE(cloud_.rentals.empty());
+  run(Duration{200});  // a round has told the cluster what is missing; its next tick is to come
+  ASSERT_TRUE(cloud_.provisioning_requests.empty());
   stand_still();
   without_word(Duration{2'500});
-  EXPECT_TRUE(cloud_.rentals.empty());
+  EXPECT_TRUE(cloud_.provisioning_requests.empty());
   EXPECT_EQ(commits_since(), 0U);
   run(Duration{2'500});
-  EXPECT_FALSE(cloud_.rentals.empty());
+  EXPECT_FALSE(cloud_.provisioning_requests.empty());
 }
 
 TEST_F(PausedLeaderTest, DecidesOnNoDeletionBeforeItHasReadTheRecordsAgain) {
@@ -306,7 +314,7 @@
   machine("vm-1");
   begin();
   run(Duration{1'100});
-  fleet_.request_deletion(MachineId("vm-1"), "idle");
+  autoscaler_.request_deletion(MachineId("vm-1"), "idle");
   stand_still();
   without_word(Duration{1'500});
   EXPECT_EQ(commits_since(), 0U);
@@ -320,7 +328,7 @@
   begin();
   run(Duration{1'100});
   cloud_.removes = false;  // the cloud is out
-  fleet_.request_deletion(MachineId("vm-1"), "silent");
+  autoscaler_.request_deletion(MachineId("vm-1"), "silent");
   run(Duration{1'100});
   ASSERT_EQ(state_of("vm-1"), MachineState::deleting);
   cloud_.removed.clear();
@@ -330,17 +338,18 @@
   EXPECT_EQ(commits_since(), 0U);
 }
 
-TEST_F(PausedLeaderTest, MovesNoBlockBeforeItHasReadTheRecordsAgain) {
-  store_.put(keys::block(ZoneId("a")), encode(BlockRecord{ZoneId("a"), NodeId("n2"), Nonce(5), 1}));
-  BlockGrants blocks(loop_, time_, settings_, cache_, election_);
+TEST_F(PausedLeaderTest, MovesNoShardBeforeItHasReadTheRecordsAgain) {
+  store_.put(keys::shard(ZoneId("a")),
+             encode(ShardRecord{ZoneId("a"), NodeId("n2"), ProcessIncarnation(5), 1}));
+  ShardAssigner shards(loop_, time_, settings_, cache_, election_);
   begin();
-  ASSERT_TRUE(election_.in_charge());
+  ASSERT_TRUE(election_.is_established_leader());
   stand_still();
-  blocks.begin();
+  shards.begin();
   without_word(Duration{1'500});
   EXPECT_EQ(commits_since(), 0U);
   run(Duration{1'000});
-  EXPECT_EQ(cache_.records().blocks.at(ZoneId("a")).record.holder, NodeId("me"));
+  EXPECT_EQ(cache_.records().shards.at(ZoneId("a")).record.holder, NodeId("me"));
 }
 
 // Found by reading: a slow answer to its own commit, told after the watch had told the deletion,
@@ -553,7 +562,8 @@
   silent.state = MachineState::silent;
   silent.since = time_.wall();
   store_.put_machine(silent);
-  store_.put(keys::block(ZoneId("b")), encode(BlockRecord{ZoneId("b"), NodeId("me"), Nonce(7), 1}));
+  store_.put(keys::shard(ZoneId("b")),
+             encode(ShardRecord{ZoneId("b"), NodeId("me"), ProcessIncarnation(7), 1}));
   int n = 1;
   for (const std::string machine_id : {"vm-2", "vm-3", "vm-lost"}) {
     const std::string job_id = "req-" + std::to_string(n++);
@@ -563,7 +573,7 @@
     set_task(job_id, task);
   }
   begin();
-  granting_.out_of_reach(NodeId("me"), {ZoneId("b")});
+  leader_loop_.note_unreachable_zones(NodeId("me"), {ZoneId("b")});
   submit(testing::gang("req-9", 1, 1, 60));
   run(Duration{3'000});
   EXPECT_TRUE(tasks("req-9").empty()) << "the team's three GPUs are taken";
@@ -616,13 +626,13 @@
   slice.tasks = {bound("vm-lost"), TaskRecord{}};
   slice.tasks[0].zone = ZoneId("b");
   store_.put(keys::slice(slice.job_id, 0), encode(slice));
-  cloud_.rents = true;
+  cloud_.scales_out = true;
   begin();
   run(Duration{5'000});
-  ASSERT_FALSE(cloud_.rented_in.empty());
-  for (const ZoneId& zone : cloud_.rented_in) EXPECT_EQ(zone, ZoneId("b"));
+  ASSERT_FALSE(cloud_.provisioned_in.empty());
+  for (const ZoneId& zone : cloud_.provisioned_in) EXPECT_EQ(zone, ZoneId("b"));
   std::size_t machine_ids = 0;
-  for (const auto& [name, rented] : cloud_.rented) machine_ids += rented.size();
+  for (const auto& [name, provisioned] : cloud_.provisioned) machine_ids += provisioned.size();
   EXPECT_GE(machine_ids, 3U) << "two for the gang, one for the array";
 }
 
--- a/tests/leader_fixture.hpp
+++ b/tests/leader_fixture.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "helpers.hpp"
-#include "planner/granting.hpp"
+#include "leader/leader_loop.hpp"
 #include "scripted_store.hpp"
 
 namespace marblevale::testing {
@@ -15,38 +15,38 @@
   void list(const MachineId&, std::function<void(std::optional<MachineList>)> then) override {
     then(listing);
   }
-  void rental(const std::string& name, const std::string&, const ZoneId& zone, bool,
-              std::uint32_t how_many,
-              std::function<void(RentalOutcome, std::vector<MachineId>)> then) override {
-    rentals.push_back(name);
-    rented_in.push_back(zone);
-    std::vector<MachineId>& machine_ids = rented[name];
-    while (rents && machine_ids.size() < how_many) {
+  void provisioning_request(
+      const std::string& name, const std::string&, const ZoneId& zone, bool, std::uint32_t how_many,
+      std::function<void(ProvisioningOutcome, std::vector<MachineId>)> then) override {
+    provisioning_requests.push_back(name);
+    provisioned_in.push_back(zone);
+    std::vector<MachineId>& machine_ids = provisioned[name];
+    while (scales_out && machine_ids.size() < how_many) {
       machine_ids.emplace_back("vm-" + name + "-" + std::to_string(machine_ids.size()));
     }
-    const RentalOutcome outcome =
-        machine_ids.empty() ? RentalOutcome::no_capacity : RentalOutcome::rented;
-    held_rentals.emplace_back(
+    const ProvisioningOutcome outcome =
+        machine_ids.empty() ? ProvisioningOutcome::no_capacity : ProvisioningOutcome::provisioned;
+    held_provisioning.emplace_back(
         [then = std::move(then), outcome, machine_ids] { then(outcome, machine_ids); });
-    if (!hold_rentals) answer_rentals();
+    if (!hold_provisioning) answer_provisioning();
   }
   void remove(const std::vector<MachineId>& machine_ids, std::function<void(bool)> then) override {
     removed.insert(removed.end(), machine_ids.begin(), machine_ids.end());
     then(removes);
   }
-  void answer_rentals() {
-    while (!held_rentals.empty()) {
-      const auto next = std::move(held_rentals.front());
-      held_rentals.pop_front();
+  void answer_provisioning() {
+    while (!held_provisioning.empty()) {
+      const auto next = std::move(held_provisioning.front());
+      held_provisioning.pop_front();
       next();
     }
   }
-  std::vector<std::string> rentals;
-  std::vector<ZoneId> rented_in;
-  bool rents = false;
-  std::map<std::string, std::vector<MachineId>> rented;  // by the request's name
-  bool hold_rentals = false;
-  std::deque<std::function<void()>> held_rentals;
+  std::vector<std::string> provisioning_requests;
+  std::vector<ZoneId> provisioned_in;
+  bool scales_out = false;
+  std::map<std::string, std::vector<MachineId>> provisioned;  // by the request's name
+  bool hold_provisioning = false;
+  std::deque<std::function<void()>> held_provisioning;
   std::vector<MachineId> removed;
   bool removes = true;
   std::optional<MachineList> listing;                     // none: no answer
@@ -57,9 +57,9 @@
  protected:
   LeaderTest()
       : cache_(loop_, time_, store_, 1),
-        election_(loop_, time_, settings(), store_, cache_, Nonce(7)),
-        fleet_(loop_, time_, settings_, cache_, election_, cloud_),
-        granting_(loop_, time_, settings_, cache_, election_, fleet_) {
+        election_(loop_, time_, settings(), store_, cache_, ProcessIncarnation(7)),
+        autoscaler_(loop_, time_, settings_, cache_, election_, cloud_),
+        leader_loop_(loop_, time_, settings_, cache_, election_, autoscaler_) {
     MachineType type;
     type.name = "g8";
     type.resources = {96, 8, 768};
@@ -85,8 +85,8 @@
   void begin() {
     cache_.begin();
     election_.begin();
-    fleet_.begin();
-    granting_.begin();
+    autoscaler_.begin();
+    leader_loop_.begin();
     run(Duration{20});
   }
 
@@ -131,9 +131,9 @@
 
   [[nodiscard]] std::vector<std::string> notes(const std::string& job_id) const {
     std::vector<std::string> out;
-    const auto grant = cache_.records().grants.find(JobId(job_id));
-    if (grant == cache_.records().grants.end()) return out;
-    for (const Note& n : grant->second.record.notes) out.push_back(n.what);
+    const auto guarantee_record = cache_.records().guarantee_records.find(JobId(job_id));
+    if (guarantee_record == cache_.records().guarantee_records.end()) return out;
+    for (const Note& n : guarantee_record->second.record.notes) out.push_back(n.what);
     return out;
   }
 
@@ -150,7 +150,7 @@
     task.attempt = Attempt(1);
     task.zone = ZoneId("a");
     task.machine_id = MachineId(machine_id);
-    task.session = SessionId(1);
+    task.epoch = WorkerEpoch(1);
     return task;
   }
 
@@ -161,8 +161,8 @@
   ScriptedCloud cloud_;
   WatchCache cache_;
   Election election_;
-  Fleet fleet_;
-  Granting granting_;
+  Autoscaler autoscaler_;
+  LeaderLoop leader_loop_;
 };
 
 }  // namespace marblevale::testing
--- a/tests/lowered_limits_test.cpp
+++ b/tests/lowered_limits_test.cpp
@@ -1,10 +1,10 @@
 // Limits of the state service that fall without notice: records fit the smaller values, are written
 // so that the version in production reads them until then, and none stays stuck.
-#include "app/settings.hpp"
+#include "config/settings.hpp"
 #include "holder_fixture.hpp"
+#include "leader/open_releases.hpp"
 #include "leader_fixture.hpp"
-#include "planner/open_releases.hpp"
-#include "store/compact_encoding.hpp"
+#include "records/compact_encoding.hpp"
 
 namespace marblevale {
 namespace {
@@ -37,7 +37,7 @@
     t.zone = ZoneId(i % 2 == 0 ? "laurentides" : "mauricie");
     t.machine_id = MachineId("vm-0" + std::to_string(12'345 + i));
     t.failed_on = MachineId("vm-0" + std::to_string(54'321 + i));
-    t.session = SessionId(2 + i);
+    t.epoch = WorkerEpoch(2 + i);
     t.since = {1'800'000'000'000 + n * 999'123};
     t.running = {t.since.ms + 95'000};
     t.progress = Duration{1'234'567};
@@ -52,7 +52,7 @@
   EXPECT_EQ(a.attempt, b.attempt);
   EXPECT_EQ(a.zone, b.zone);
   EXPECT_EQ(a.machine_id, b.machine_id);
-  EXPECT_EQ(a.session, b.session);
+  EXPECT_EQ(a.epoch, b.epoch);
   EXPECT_EQ(a.since, b.since);
   EXPECT_EQ(a.running, b.running);
   EXPECT_EQ(a.progress, b.progress);
@@ -108,7 +108,7 @@
     EXPECT_EQ(back.tasks[i].attempt, slice.tasks[i].attempt);
     EXPECT_EQ(back.tasks[i].machine_id, slice.tasks[i].machine_id);
     EXPECT_EQ(back.tasks[i].zone, slice.tasks[i].zone);
-    EXPECT_EQ(back.tasks[i].session, slice.tasks[i].session);
+    EXPECT_EQ(back.tasks[i].epoch, slice.tasks[i].epoch);
     EXPECT_EQ(back.tasks[i].faults, slice.tasks[i].faults);
     EXPECT_TRUE(back.tasks[i].stop);
     EXPECT_LE(back.tasks[i].since, slice.tasks[i].since);
@@ -202,16 +202,16 @@
 }
 
 TEST(Notes, GiveWayWhereTheRecordIsTooLarge) {
-  GrantRecord grant;
-  grant.job_id = JobId("req-" + std::string(32, 'x'));
+  GuaranteeRecord guarantee_record;
+  guarantee_record.job_id = JobId("req-" + std::string(32, 'x'));
   FinalRecord ended;
   for (int i = 0; i < 16; ++i) {
-    grant.note({i}, std::to_string(i) + " " + std::string(200, 'y'));
+    guarantee_record.note({i}, std::to_string(i) + " " + std::string(200, 'y'));
   }
-  ended.notes = grant.notes;
-  const std::string text = encode(grant, kLoweredBytes);
+  ended.notes = guarantee_record.notes;
+  const std::string text = encode(guarantee_record, kLoweredBytes);
   EXPECT_LE(text.size(), kLoweredBytes);
-  const auto back = read_back<GrantRecord>(text);
+  const auto back = read_back<GuaranteeRecord>(text);
   EXPECT_EQ(back.notes.front().what.substr(0, 2), "0 ") << "what was granted at arrival";
   EXPECT_EQ(back.notes.back().what.substr(0, 3), "15 ") << "the latest";
   EXPECT_LE(encode(ended, kLoweredBytes).size(), kLoweredBytes);
@@ -245,7 +245,7 @@
   EXPECT_FALSE(exceeds_announced(over, limits)) << "the present limits refuse it as well";
 }
 
-class LoweredLimitsTest : public testing::BlockHolderTest {
+class LoweredLimitsTest : public testing::ShardHolderTest {
  protected:
   /// An array whose 64 tasks are released to vm-1: its slice is too large for the lowered limit.
   void release_large_slice() {
@@ -267,7 +267,7 @@
 
   /// The machine reports the first task as ended, and what has to be written is written.
   void end_first_task() {
-    handle_report(1, token(), task_index("ended", "done"));
+    handle_heartbeat(1, token(), task_index("ended", "done"));
     run(Duration{12'000});
   }
 
@@ -277,9 +277,9 @@
 
   void bind_large_slice() {
     store_.announce_limits(kLoweredBytes, 5);
-    handle_report(1, 0);
+    handle_heartbeat(1, 0);
     run(Duration{50});
-    handle_report(1, token());
+    handle_heartbeat(1, token());
     release_large_slice();
     run(Duration{1'000});
     ASSERT_EQ(task().state, TaskState::bound);
@@ -310,7 +310,7 @@
   end_first_task();
   EXPECT_GT(stored_slice().size(), kLoweredBytes);
   EXPECT_EQ(task().state, TaskState::bound) << "nothing was lost: it waits";
-  NodeRecord renewed{NodeId("other"), Nonce(4), LeaseId(9), kReadsForms};
+  NodeRecord renewed{NodeId("other"), ProcessIncarnation(4), LeaseId(9), kReadsForms};
   store_.put(keys::node(NodeId("other")), encode(renewed));
   run(Duration{12'000});
   EXPECT_EQ(task().state, TaskState::done);
@@ -390,10 +390,10 @@
   last_step.assign(10'000, Script::lose_request);
   for (int i = 0; i < 400 && placed_by_attempt().empty(); ++i) run(Duration{10});
   ASSERT_EQ(placed_by_attempt(), (std::map<Attempt, std::size_t>{{Attempt(1), 5 * kSliceTasks}}));
-  store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), Nonce(9)}));
+  store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), ProcessIncarnation(9)}));
   run(Duration{100});
   last_step.clear();
-  store_.put(keys::kLeader, encode(LeaderRecord{NodeId("me"), Nonce(7)}));
+  store_.put(keys::kLeader, encode(LeaderRecord{NodeId("me"), ProcessIncarnation(7)}));
   run(Duration{3'000});
   EXPECT_EQ(placed_by_attempt(), (std::map<Attempt, std::size_t>{{Attempt(1), 5 * kSliceTasks}}));
 }
--- a/tests/occupancy_test.cpp
+++ b/tests/occupancy_test.cpp
@@ -1,5 +1,5 @@
 // The profile that is kept up from change to change, against one made anew from all records.
-#include "planner/occupancy.hpp"
+#include "scheduling/occupancy.hpp"
 
 #include <random>
 
@@ -85,7 +85,7 @@
     for (std::size_t i = 0; i < old->second.record.tasks.size(); ++i) {
       const TaskRecord& t = old->second.record.tasks[i];
       if (!t.placed()) continue;
-      records_.placed[t.machine_id].erase({key.first, static_cast<std::uint32_t>(i)});
+      records_.placed[t.machine_id].erase({key.job_id, static_cast<std::uint32_t>(i)});
       if (records_.placed[t.machine_id].empty()) records_.placed.erase(t.machine_id);
     }
     records_.slices.erase(old);
@@ -119,8 +119,8 @@
       const auto there = kept.find(m.machine_id);
       ASSERT_TRUE(there) << m.machine_id.get();
       ASSERT_EQ(kept.machines()[*there].zone, m.zone);
-      const Lane& a = kept.lane(*there);
-      const Lane& b = anew.lane(*anew.find(m.machine_id));
+      const ResourceTimeline& a = kept.timeline(*there);
+      const ResourceTimeline& b = anew.timeline(*anew.find(m.machine_id));
       ASSERT_EQ(a.allocations().size(), b.allocations().size())
           << m.machine_id.get() << " step " << step;
       for (int s = 0; s < 200; s += 7) {
--- a/tests/open_releases_test.cpp
+++ b/tests/open_releases_test.cpp
@@ -2,8 +2,8 @@
 #include <gtest/gtest.h>
 
 #include "helpers.hpp"
-#include "planner/limit_waits.hpp"
-#include "planner/team_usage.hpp"
+#include "leader/limit_waits.hpp"
+#include "leader/team_usage.hpp"
 #include "scripted_store.hpp"
 
 namespace marblevale {
@@ -112,7 +112,8 @@
   const ReleaseId id = sent();
   answer(id, Outcome::conflict, Revision(cache_.revision().get() + 1));
   EXPECT_TRUE(open_after(Duration{60'000})) << "what made a guard fail is not in the records yet";
-  store_.put("mv/grants/req-9", encode(GrantRecord{JobId("req-9"), {}, {}}, testing::kValueBytes));
+  store_.put("mv/grants/req-9",
+             encode(GuaranteeRecord{JobId("req-9"), {}, {}}, testing::kValueBytes));
   tell();
   EXPECT_FALSE(open_after(Duration{0}));
 }
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -1,10 +1,10 @@
 // The planner against the paper's figures: one machine whose GPUs stand for its processors.
-#include "planner/planner.hpp"
+#include "scheduling/planner.hpp"
 
 #include <memory>
 
 #include "helpers.hpp"
-#include "planner/queueing.hpp"
+#include "scheduling/job_queue.hpp"
 
 namespace marblevale {
 namespace {
@@ -174,9 +174,9 @@
   EXPECT_GT(r.at(wide.job_id).start, at(0));
 }
 
-// Found by a quiet day: tasks were displaced for a job, and the room went to another whose place
+// Found by a quiet day: tasks were preempted for a job, and the room went to another whose place
 // was predicted elsewhere.
-TEST(Displacement, RoomThatWasMadeIsKeptForItsJob) {
+TEST(Preemption, RoomThatWasMadeIsKeptForItsJob) {
   const JobSpec wide = gang("req-wide", 1, 2, 60);
   JobSpec other = gang("req-other", 1, 1, 60);
   other.urgency = Urgency::urgent;
--- a/tests/proof_test.cpp
+++ b/tests/proof_test.cpp
@@ -1,7 +1,6 @@
-// What reports prove: late starts, repeated starts, late reports, lapsed sessions.
-#include "blocks/proof.hpp"
-
+// What reports prove: late starts, repeated starts, late reports, lapsed epochs.
 #include "helpers.hpp"
+#include "shards/task_presence.hpp"
 
 namespace marblevale {
 namespace {
@@ -15,79 +14,82 @@
   task.attempt = Attempt(2);
   task.zone = ZoneId("a");
   task.machine_id = MachineId("vm-1");
-  task.session = SessionId(1);
+  task.epoch = WorkerEpoch(1);
   return task;
 }
 
-Report report(std::uint64_t session, std::uint64_t sequence, std::uint64_t token,
-              std::vector<ReportedTask> parts = {}) {
-  Report r;
+WorkerHeartbeat heartbeat(std::uint64_t epoch, std::uint64_t sequence, std::uint64_t token,
+                          std::vector<ReportedTask> parts = {}) {
+  WorkerHeartbeat r;
   r.machine_id = MachineId("vm-1");
-  r.session = SessionId(session);
-  r.sequence = ReportSequence(sequence);
+  r.epoch = WorkerEpoch(epoch);
+  r.sequence = HeartbeatSequence(sequence);
   r.token = FencingToken(token);
   r.tasks = std::move(parts);
   return r;
 }
 
-Finding look(const WorkerView& view) { return examine(kTask, bound(), view, FencingToken(kToken)); }
+TaskPresence look(const WorkerView& view) {
+  return classify_presence(kTask, bound(), view, FencingToken(kToken));
+}
 
-TEST(Proof, AReportWithoutTheTaskProvesNothingBeforeTheWorkerSawOurWarrant) {
+TEST(Proof, AHeartbeatWithoutTheTaskProvesNothingBeforeTheWorkerSawOurWarrant) {
   // An earlier holder's start may still be on its way to the worker.
   WorkerView view;
-  view.apply(report(1, 5, kToken - 1));
-  EXPECT_EQ(look(view), Finding::absent);
-  view.apply(report(1, 6, kToken));
-  EXPECT_EQ(look(view), Finding::never_here);
+  view.apply(heartbeat(1, 5, kToken - 1));
+  EXPECT_EQ(look(view), TaskPresence::absent);
+  view.apply(heartbeat(1, 6, kToken));
+  EXPECT_EQ(look(view), TaskPresence::never_here);
 }
 
 TEST(Proof, ADirectStartCanArriveLateUntilAHigherWarrantIsSeen) {
   WorkerView view;
-  view.apply(report(1, 5, kToken));
+  view.apply(heartbeat(1, 5, kToken));
   view.direct_starts[{kTask, Attempt(2)}] = FencingToken(kToken);
-  view.apply(report(1, 6, kToken));
+  view.apply(heartbeat(1, 6, kToken));
   view.prune();
-  EXPECT_EQ(look(view), Finding::absent);
-  view.apply(report(1, 7, kToken + 1));
+  EXPECT_EQ(look(view), TaskPresence::absent);
+  view.apply(heartbeat(1, 7, kToken + 1));
   view.prune();
-  EXPECT_EQ(examine(kTask, bound(), view, FencingToken(kToken + 1)), Finding::never_here);
+  EXPECT_EQ(classify_presence(kTask, bound(), view, FencingToken(kToken + 1)),
+            TaskPresence::never_here);
 }
 
-TEST(Proof, AStartInAnAnswerIsSettledByTheNextReport) {
+TEST(Proof, AStartInAnAnswerIsSettledByTheNextHeartbeat) {
   WorkerView view;
-  view.apply(report(1, 5, kToken));
-  view.answered_starts[{kTask, Attempt(2)}] = ReportSequence(5);
-  EXPECT_EQ(look(view), Finding::absent);
-  view.apply(report(1, 6, kToken));
-  EXPECT_EQ(look(view), Finding::never_here);
+  view.apply(heartbeat(1, 5, kToken));
+  view.answered_starts[{kTask, Attempt(2)}] = HeartbeatSequence(5);
+  EXPECT_EQ(look(view), TaskPresence::absent);
+  view.apply(heartbeat(1, 6, kToken));
+  EXPECT_EQ(look(view), TaskPresence::never_here);
 }
 
-TEST(Proof, ANewSessionIsProofAndALateReportOfTheOldOneIsDropped) {
+TEST(Proof, ANewEpochIsProofAndALateHeartbeatOfTheOldOneIsDropped) {
   WorkerView view;
   EXPECT_TRUE(
-      view.apply(report(1, 5, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}})));
-  EXPECT_EQ(look(view), Finding::present);
-  EXPECT_TRUE(view.apply(report(2, 6, kToken)));
-  EXPECT_EQ(look(view), Finding::lost);
+      view.apply(heartbeat(1, 5, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}})));
+  EXPECT_EQ(look(view), TaskPresence::present);
+  EXPECT_TRUE(view.apply(heartbeat(2, 6, kToken)));
+  EXPECT_EQ(look(view), TaskPresence::lost);
   EXPECT_FALSE(
-      view.apply(report(1, 9, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}})));
-  EXPECT_EQ(look(view), Finding::lost);
+      view.apply(heartbeat(1, 9, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}})));
+  EXPECT_EQ(look(view), TaskPresence::lost);
 }
 
 TEST(Proof, AnOlderTallyIsDropped) {
   WorkerView view;
-  view.apply(report(1, 8, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}}));
-  EXPECT_FALSE(view.apply(report(1, 7, kToken)));
-  EXPECT_EQ(look(view), Finding::present);
+  view.apply(heartbeat(1, 8, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}}));
+  EXPECT_FALSE(view.apply(heartbeat(1, 7, kToken)));
+  EXPECT_EQ(look(view), TaskPresence::present);
 }
 
 TEST(Proof, AnotherAttemptOfTheTaskIsNotThisOne) {
   WorkerView view;
-  view.apply(report(1, 5, kToken, {{kTask, Attempt(1), TaskStatus::ended, "peers", false}}));
-  EXPECT_EQ(look(view), Finding::never_here);
+  view.apply(heartbeat(1, 5, kToken, {{kTask, Attempt(1), TaskStatus::ended, "peers", false}}));
+  EXPECT_EQ(look(view), TaskPresence::never_here);
 }
 
-TEST(Proof, SilenceProvesNothing) { EXPECT_EQ(look(WorkerView{}), Finding::absent); }
+TEST(Proof, SilenceProvesNothing) { EXPECT_EQ(look(WorkerView{}), TaskPresence::absent); }
 
 TEST(Ends, SavedProgressIsKeptAndALostTaskFallsBackToItsSnapshot) {
   const JobSpec job = testing::gang("req-1", 1, 1, 100);  // saves every 10 s
--- a/tests/release_offer_test.cpp
+++ b/tests/release_offer_test.cpp
@@ -1,4 +1,4 @@
-// A leader that offers its releases to the holder of a block: what is offered counts until it is
+// A leader that offers its releases to the holder of a shard: what is offered counts until it is
 // settled, whatever the holder says and whenever the answer comes.
 #include "leader_fixture.hpp"
 
@@ -31,10 +31,10 @@
   void begin_offering() {
     machine("vm-1");
     store_.put(keys::node(NodeId("other")),
-               encode(NodeRecord{NodeId("other"), Nonce(5), LeaseId(9)}));
-    store_.put(keys::block(ZoneId("a")),
-               encode(BlockRecord{ZoneId("a"), NodeId("other"), Nonce(5), 1}));
-    granting_.release_through(channel_);
+               encode(NodeRecord{NodeId("other"), ProcessIncarnation(5), LeaseId(9)}));
+    store_.put(keys::shard(ZoneId("a")),
+               encode(ShardRecord{ZoneId("a"), NodeId("other"), ProcessIncarnation(5), 1}));
+    leader_loop_.release_through(channel_);
     begin();
   }
   void submit_urgent(const std::string& job_id, double gpus) {
--- a/tests/release_outcome_test.cpp
+++ b/tests/release_outcome_test.cpp
@@ -90,7 +90,7 @@
   EXPECT_EQ(gpus_in_use({{"req-2", 1}}), 1) << "the team's next job has its turn";
 }
 
-// A session that ends and is opened again under the same leader record: what is open stays open,
+// A epoch that ends and is opened again under the same leader record: what is open stays open,
 // and an answer that comes in between is heard.
 TEST_F(ReleaseOutcomeTest, WhatIsOpenStaysOpenWhileTheSameTermIsInterrupted) {
   begin();
@@ -101,13 +101,13 @@
   store_.end_lease(LeaseId(1));
   store_.hold = true;
   run(Duration{1100});
-  for (const auto& answer : std::exchange(store_.held, {})) answer();  // the session has ended
+  for (const auto& answer : std::exchange(store_.held, {})) answer();  // the epoch has ended
   run(Duration{1000});
-  ASSERT_FALSE(election_.in_charge()) << "the next session is not open yet";
+  ASSERT_FALSE(election_.is_established_leader()) << "the next session is not open yet";
   store_.hold = false;
   store_.deliver_all();
   run(Duration{500});
-  ASSERT_TRUE(election_.in_charge());
+  ASSERT_TRUE(election_.is_established_leader());
   ASSERT_EQ(election_.term(), term);
   submit_gang("req-2", 1, Urgency::urgent);
   run(Duration{1000});
--- a/tests/rental_outcome_test.cpp
+++ b/tests/rental_outcome_test.cpp
@@ -5,22 +5,22 @@
 namespace marblevale {
 namespace {
 
-class RentalOutcomeTest : public testing::LeaderTest {};
+class ProvisioningOutcomeTest : public testing::LeaderTest {};
 
 // A request went without an answer, its repeat was refused for want of capacity and its record is
 // gone; then the first one is carried out. The machine is in the cloud's list and in no record.
-TEST_F(RentalOutcomeTest, AMachineThatComesAfterItsRequestWasRefusedIsReturned) {
+TEST_F(ProvisioningOutcomeTest, AMachineThatComesAfterItsRequestWasRefusedIsReturned) {
   begin();
   submit(testing::gang("req-1", 1, 2, 60));
   run(Duration{3'000});
-  ASSERT_FALSE(cloud_.rentals.empty());
-  EXPECT_TRUE(cache_.records().rentals.empty()) << "refused: there is no capacity";
+  ASSERT_FALSE(cloud_.provisioning_requests.empty());
+  EXPECT_TRUE(cache_.records().provisioning_requests.empty()) << "refused: there is no capacity";
   Txn over;
   over.remove(keys::job(JobId("req-1")));
   store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
   cloud_.listing.emplace();
   cloud_.listing->machines.push_back({MachineId("vm-late"), "", "g8", ZoneId("a"), false,
-                                      RentalStatus::running, Duration{600'000}});
+                                      ProvisioningStatus::running, Duration{600'000}});
   run(Duration{10'000});
   EXPECT_EQ(cloud_.removed, std::vector<MachineId>{MachineId("vm-late")});
 }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,6 +1,6 @@
 // Planning at the size of the largest deployment: its cost as a count of steps, never as time.
 #include "helpers.hpp"
-#include "planner/planner.hpp"
+#include "scheduling/planner.hpp"
 
 namespace marblevale {
 namespace {
@@ -13,7 +13,7 @@
 
 bool never(double) { return false; }
 
-// The sanitizers' build, which is many times slower, plans a smaller fleet; the count that bounds
+// The sanitizers' build, which is many times slower, plans a smaller cluster; the count that bounds
 // the cost is per machine and job in both.
 #ifdef NDEBUG
 constexpr int kMachines = 4200;
@@ -25,7 +25,7 @@
 constexpr std::uint64_t kMaxLooked = 10ULL * kMachines * kJobs;
 
 /// Machines of 4 and 8 GPUs in three zones.
-Profile large_fleet() {
+Profile large_cluster() {
   Profile p;
   for (int i = 0; i < kMachines; ++i) {
     const std::string zone(1, static_cast<char>('a' + i % 3));
@@ -60,11 +60,11 @@
     queue.push_back(item(jobs[i], i + 1, static_cast<double>(i) / 100));
   }
   Reservations r;
-  Planner planner(large_fleet(), queue, r, testing::no_failed_starts(), at(100), never);
+  Planner planner(large_cluster(), queue, r, testing::no_failed_starts(), at(100), never);
   EXPECT_TRUE(planner.admit_arrivals());
   EXPECT_EQ(r.size(), jobs.size());
   const auto admitted = planner.profile().looked();
-  // A place is looked for among the machines once, not once for each moment: a few lanes per
+  // A place is looked for among the machines once, not once for each moment: a few timelines per
   // machine and job, however full the profile is.
   EXPECT_LT(admitted, kMaxLooked);
   std::size_t cursor = 0;
--- a/tests/scripted_store.hpp
+++ b/tests/scripted_store.hpp
@@ -11,8 +11,8 @@
 
 #include "core/time.hpp"
 #include "net/loop.hpp"
+#include "records/records.hpp"
 #include "store/client.hpp"
-#include "store/records.hpp"
 
 namespace marblevale::testing {
 
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -1,4 +1,4 @@
-// A small cluster for randomised tests: controllers with their leader and block holders, workers
+// A small cluster for randomised tests: controllers with their leader and shard holders, workers
 // that carry out orders, and a state service. Requests to the state service and offers between
 // controllers are refused, lost, held up and repeated by a random generator with a given seed.
 #pragma once
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
-#include "blocks/grants.hpp"
-#include "blocks/holder.hpp"
+#include "leader/shard_assigner.hpp"
 #include "leader_fixture.hpp"
-#include "wire/json.hpp"
+#include "protocol/json.hpp"
+#include "shards/shard_holder.hpp"
 
 namespace marblevale::testing {
 
@@ -154,9 +154,9 @@
   [[nodiscard]] const std::map<std::pair<std::string, std::uint64_t>, Task>& tasks() const {
     return tasks_;
   }
-  SteadyTime next_report;
+  SteadyTime next_heartbeat;
 
-  std::string report() {
+  std::string heartbeat() {
     json::Writer out;
     out.open()
         .put("host", name_)
@@ -179,7 +179,7 @@
     return out.str();
   }
 
-  void on_answer(const ReportAnswer& answer, SteadyTime now, Dice& dice) {
+  void on_answer(const HeartbeatReply& answer, SteadyTime now, Dice& dice) {
     json::Document doc;
     if (answer.status != 200 || !json::parse(doc, answer.body)) return;
     const auto token = json::count(doc, "warrant");
@@ -264,7 +264,8 @@
 
 /// One life of a controller's process.
 struct SimulatedController {
-  SimulatedController(SimulatedCluster& cluster, Settings node_settings, Nonce nonce);
+  SimulatedController(SimulatedCluster& cluster, Settings node_settings,
+                      ProcessIncarnation incarnation);
 
   Settings settings;
   Loop loop;
@@ -274,10 +275,10 @@
   Election election;
   Cancellations cancellations;
   SimulatedCloud cloud;
-  Fleet fleet;
-  Granting granting;
-  BlockGrants grants;
-  BlockHolder holder;
+  Autoscaler autoscaler;
+  LeaderLoop leader_loop;
+  ShardAssigner guarantee_records;
+  ShardHolder holder;
 };
 
 class SimulatedCluster {
@@ -320,8 +321,8 @@
 
   void start_controller(const std::string& node, const std::string& zone) {
     controllers[NodeId(node)].reset();
-    controllers[NodeId(node)] =
-        std::make_unique<SimulatedController>(*this, settings_of(node, zone), Nonce(++last_nonce_));
+    controllers[NodeId(node)] = std::make_unique<SimulatedController>(
+        *this, settings_of(node, zone), ProcessIncarnation(++last_incarnation_));
   }
 
   void add_machine(const std::string& name, const std::string& zone) {
@@ -364,21 +365,21 @@
     store.tell_watch();
     for (auto& [name, worker] : workers) {
       worker.step(time.steady(), Duration{12'000});
-      if (time.steady() < worker.next_report) continue;
-      worker.next_report = time.steady() + dice.span(500, 1'200);
+      if (time.steady() < worker.next_heartbeat) continue;
+      worker.next_heartbeat = time.steady() + dice.span(500, 1'200);
       if (SimulatedController* holder = holder_of(worker.zone())) {
-        const ReportAnswer answer = holder->holder.handle_report(worker.report());
+        const HeartbeatReply answer = holder->holder.handle_heartbeat(worker.heartbeat());
         worker.on_answer(answer, time.steady(), dice);
       }
     }
   }
 
   SimulatedController* holder_of(const std::string& zone) {
-    const auto entry = store.get(keys::block(ZoneId(zone)));
-    BlockRecord block;
+    const auto entry = store.get(keys::shard(ZoneId(zone)));
+    ShardRecord shard;
     json::Document doc;
-    if (!entry || !json::parse(doc, entry->value) || !decode(doc, block)) return nullptr;
-    const auto it = controllers.find(block.holder);
+    if (!entry || !json::parse(doc, entry->value) || !decode(doc, shard)) return nullptr;
+    const auto it = controllers.find(shard.holder);
     return it == controllers.end() ? nullptr : it->second.get();
   }
 
@@ -441,30 +442,30 @@
   bool network_faults = false;
 
  private:
-  std::uint64_t last_nonce_ = 0;
+  std::uint64_t last_incarnation_ = 0;
   std::uint64_t last_machine_ = 0;
 };
 
 inline SimulatedController::SimulatedController(SimulatedCluster& cluster, Settings node_settings,
-                                                Nonce nonce)
+                                                ProcessIncarnation incarnation)
     : settings(std::move(node_settings)),
       loop(&cluster.time),
       store(cluster.store, cluster.events, cluster.dice),
       network(cluster),
-      cache(loop, cluster.time, store, nonce.get()),
-      election(loop, cluster.time, settings, store, cache, nonce),
+      cache(loop, cluster.time, store, incarnation.get()),
+      election(loop, cluster.time, settings, store, cache, incarnation),
       cancellations(cluster.time, cache),
       cloud(cluster),
-      fleet(loop, cluster.time, settings, cache, election, cloud),
-      granting(loop, cluster.time, settings, cache, election, fleet),
-      grants(loop, cluster.time, settings, cache, election),
+      autoscaler(loop, cluster.time, settings, cache, election, cloud),
+      leader_loop(loop, cluster.time, settings, cache, election, autoscaler),
+      guarantee_records(loop, cluster.time, settings, cache, election),
       holder(loop, cluster.time, settings, cache, election, network, cancellations) {
-  if (cluster.offers_releases) granting.release_through(network);
+  if (cluster.offers_releases) leader_loop.release_through(network);
   cache.begin();
   election.begin();
-  fleet.begin();
-  granting.begin();
-  grants.begin();
+  autoscaler.begin();
+  leader_loop.begin();
+  guarantee_records.begin();
   holder.begin();
 }
 
@@ -512,7 +513,7 @@
     const auto it = cluster.workers.find(address);
     if (it == cluster.workers.end()) return {0, false, {}};
     const int status = it->second.on_order(body, cluster.time.steady(), cluster.dice);
-    return {status, false, it->second.report()};
+    return {status, false, it->second.heartbeat()};
   };
   const auto answer = [alive = std::weak_ptr<bool>(alive_), then](const HttpReply& reply) {
     if (!alive.expired()) then(reply);
--- a/tests/standing_jobs_test.cpp
+++ b/tests/standing_jobs_test.cpp
@@ -1,11 +1,11 @@
 // Standing jobs: replicas run until the job is cancelled. One that ends in any way runs again, and
 // one whose machine is about to go moves ahead of the loss.
-#include "blocks/proof.hpp"
 #include "holder_fixture.hpp"
 #include "leader_fixture.hpp"
-#include "planner/displacement.hpp"
-#include "planner/machine_evacuation.hpp"
-#include "planner/queueing.hpp"
+#include "scheduling/job_queue.hpp"
+#include "scheduling/machine_evacuation.hpp"
+#include "scheduling/preemption.hpp"
+#include "shards/task_presence.hpp"
 
 namespace marblevale {
 namespace {
@@ -61,18 +61,18 @@
   EXPECT_EQ(task.faults, 4U) << "the loss of a machine is not its fault";
 }
 
-class StandingHolderTest : public testing::BlockHolderTest {};
+class StandingHolderTest : public testing::ShardHolderTest {};
 
 TEST_F(StandingHolderTest, AReplicaThatEndsLeavesTheJobUnfinished) {
-  handle_report(1, 0);
+  handle_heartbeat(1, 0);
   run(Duration{50});
-  handle_report(1, token());
+  handle_heartbeat(1, token());
   release(standing("req-1", 1, 1));
   run(Duration{500});
   ASSERT_EQ(task().state, TaskState::bound);
-  handle_report(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_index("running"));
   run(Duration{500});
-  handle_report(1, token(), task_index("ended", "done"));
+  handle_heartbeat(1, token(), task_index("ended", "done"));
   run(Duration{12'000});
   EXPECT_EQ(task().state, TaskState::idle);
   EXPECT_TRUE(store_.get(keys::job(JobId("req-1"))));
@@ -82,9 +82,9 @@
 // While writes are short sixteen commits are on their way, and those that wait have their turn one
 // by one: on a day of hawakir-fields-next replicas were bound 20 to 80 s after their release.
 TEST_F(StandingHolderTest, ItsBindingDoesNotWaitForTheCommitsOfOthers) {
-  handle_report(1, 0);
+  handle_heartbeat(1, 0);
   run(Duration{50});
-  handle_report(1, token());
+  handle_heartbeat(1, token());
   store_.hold = true;
   for (std::size_t i = 0; i < 2 * SliceCommits::kMaxInFlight; ++i) {
     release(testing::batch("req-" + std::to_string(100 + i), 1, 0, 100));
@@ -95,8 +95,8 @@
   store_.hold = false;
   store_.deliver_all();
   EXPECT_EQ(task().state, TaskState::bound);
-  EXPECT_EQ(cache_.records().binding_priority(JobId("req-1")), RequestPriority::standing_binding);
-  EXPECT_EQ(cache_.records().binding_priority(JobId("req-100")), RequestPriority::binding);
+  EXPECT_EQ(binding_priority(cache_.records(), JobId("req-1")), RequestPriority::standing_binding);
+  EXPECT_EQ(binding_priority(cache_.records(), JobId("req-100")), RequestPriority::binding);
 }
 
 class StandingLeaderTest : public testing::LeaderTest {
@@ -219,7 +219,8 @@
 // A replica is down from the end of its worker's lease: its machine is given up then, and not a
 // part of a lease later like others that fell silent.
 TEST_F(StandingLeaderTest, ASilentMachineWithAReplicaIsGivenUpOnceItsLeaseIsOver) {
-  const Duration lease_over = settings_.workers.lease - settings_.workers.report * kSilentReports;
+  const Duration lease_over =
+      settings_.workers.lease - settings_.workers.heartbeat * kSilentHeartbeats;
   machine_in_state("vm-1", MachineState::silent);
   machine_in_state("vm-2", MachineState::silent);
   begin();
--- a/tests/startup_times_test.cpp
+++ b/tests/startup_times_test.cpp
@@ -16,10 +16,12 @@
     settings_.node = NodeId("me");
     settings_.zones = {ZoneId("a"), ZoneId("b")};
     bind_task(time_.wall() - Duration{60'000});
-    give_block("a", "me");
-    store_.put(keys::node(NodeId("me")), encode(NodeRecord{NodeId("me"), Nonce(7), LeaseId(1)}));
-    store_.put(keys::node(NodeId("n2")), encode(NodeRecord{NodeId("n2"), Nonce(7), LeaseId(2)}));
-    times_.emplace(time_, settings_, cache_, Nonce(7));
+    give_shard("a", "me");
+    store_.put(keys::node(NodeId("me")),
+               encode(NodeRecord{NodeId("me"), ProcessIncarnation(7), LeaseId(1)}));
+    store_.put(keys::node(NodeId("n2")),
+               encode(NodeRecord{NodeId("n2"), ProcessIncarnation(7), LeaseId(2)}));
+    times_.emplace(time_, settings_, cache_, ProcessIncarnation(7));
     cache_.begin();
     pass(Duration{1'000});
   }
@@ -39,9 +41,9 @@
     slice.tasks = {task};
     store_.put(keys::slice(slice.job_id, 0), encode(slice));
   }
-  void give_block(const std::string& zone, const std::string& node, std::uint64_t nonce = 7) {
-    store_.put(keys::block(ZoneId(zone)),
-               encode(BlockRecord{ZoneId(zone), NodeId(node), Nonce(nonce), 1}));
+  void give_shard(const std::string& zone, const std::string& node, std::uint64_t incarnation = 7) {
+    store_.put(keys::shard(ZoneId(zone)),
+               encode(ShardRecord{ZoneId(zone), NodeId(node), ProcessIncarnation(incarnation), 1}));
   }
 
   FakeTime time_;
@@ -71,26 +73,26 @@
 }
 
 TEST_F(StartupTimesTest, ABindingByAnotherHolderDoesNotCount) {
-  give_block("a", "n2");
+  give_shard("a", "n2");
   pass(Duration{100});
   bind_task(time_.wall());
   pass(Duration{100});
   EXPECT_FALSE(times_->after(StartupMilestone::task_bound));
 }
 
-TEST_F(StartupTimesTest, TheLastBlockIsTimedByItsHolderWhenAllHaveLivingOnes) {
-  EXPECT_FALSE(times_->after(StartupMilestone::last_block_held));
-  give_block("b", "n2", 3);  // an earlier life
+TEST_F(StartupTimesTest, TheLastShardIsTimedByItsHolderWhenAllHaveLivingOnes) {
+  EXPECT_FALSE(times_->after(StartupMilestone::last_shard_held));
+  give_shard("b", "n2", 3);  // an earlier life
   pass(Duration{100});
-  give_block("a", "me");
+  give_shard("a", "me");
   pass(Duration{100});
-  EXPECT_FALSE(times_->after(StartupMilestone::last_block_held));
-  give_block("b", "n2");
+  EXPECT_FALSE(times_->after(StartupMilestone::last_shard_held));
+  give_shard("b", "n2");
   pass(Duration{100});
-  EXPECT_FALSE(times_->after(StartupMilestone::last_block_held)) << "n2 tells it";
-  give_block("a", "me");
+  EXPECT_FALSE(times_->after(StartupMilestone::last_shard_held)) << "n2 tells it";
+  give_shard("a", "me");
   pass(Duration{100});
-  EXPECT_EQ(times_->after(StartupMilestone::last_block_held), Duration{1'400});
+  EXPECT_EQ(times_->after(StartupMilestone::last_shard_held), Duration{1'400});
 }
 
 }  // namespace
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -1,5 +1,5 @@
 // Jobs that wait beside a machine that fits, as the records have it.
-#include "planner/starvation.hpp"
+#include "scheduling/starvation.hpp"
 
 #include "helpers.hpp"
 
--- a/tests/worker_partition_test.cpp
+++ b/tests/worker_partition_test.cpp
@@ -5,8 +5,8 @@
 namespace marblevale {
 namespace {
 
-using testing::BlockHolderTest;
 using testing::Script;
+using testing::ShardHolderTest;
 
 TEST(OrderConnections, FollowTheSocketsThatTheMachineHas) {
   Settings settings;
@@ -43,16 +43,16 @@
   EXPECT_EQ(store.ranges.size(), 5U) << "four pages, one of them twice";
 }
 
-class WorkerPartitionTest : public BlockHolderTest {
+class WorkerPartitionTest : public ShardHolderTest {
  protected:
   [[nodiscard]] MachineState machine_state(const std::string& machine_id = "vm-1") const {
     const auto it = cache_.records().machines.find(MachineId(machine_id));
     return it == cache_.records().machines.end() ? MachineState::gone : it->second.record.state;
   }
-  /// Reports as its times have it, each of which is answered.
-  void report_for(Duration duration, std::uint64_t session, const std::string& parts = "") {
+  /// Heartbeats as its times have it, each of which is answered.
+  void heartbeat_for(Duration duration, std::uint64_t epoch, const std::string& parts = "") {
     for (std::int64_t at = 0; at < duration.ms; at += 3000) {
-      handle_report(session, token(), parts);
+      handle_heartbeat(epoch, token(), parts);
       run(Duration{3000});
     }
   }
@@ -68,50 +68,50 @@
 };
 
 TEST_F(WorkerPartitionTest, NothingIsBoundToAMachineThatHasNotShownThatItHears) {
-  EXPECT_EQ(handle_report(1, 0).status, 200);
+  EXPECT_EQ(handle_heartbeat(1, 0).status, 200);
   release();
   run(Duration{500});
   EXPECT_EQ(task().state, TaskState::released);
   ASSERT_FALSE(workers_.sent.empty()) << "it is told who speaks for its block";
   answer_direct(200);
-  handle_report(1, token());
+  handle_heartbeat(1, token());
   run(Duration{600});
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
 TEST_F(WorkerPartitionTest, APauseOfThisProcessIsNotTheSilenceOfItsMachines) {
-  handle_report(1, token(), "", "vm-1");
-  handle_report(1, token(), "", "vm-2");
+  handle_heartbeat(1, token(), "", "vm-1");
+  handle_heartbeat(1, token(), "", "vm-2");
   run(Duration{600});
   ASSERT_EQ(machine_state("vm-1"), MachineState::up);
   time_.stand_still(Duration{51'000});
-  handle_report(1, token(), "", "vm-2");  // the first to be heard again
+  handle_heartbeat(1, token(), "", "vm-2");  // the first to be heard again
   run(Duration{1'000});
   EXPECT_EQ(machine_state("vm-1"), MachineState::up) << "it has had no time to report";
   for (int i = 0; i < 4; ++i) {
-    handle_report(1, token(), "", "vm-2");
+    handle_heartbeat(1, token(), "", "vm-2");
     run(Duration{3'000});
   }
   EXPECT_EQ(machine_state("vm-1"), MachineState::silent);
 }
 
-// Found by inc-0452: a holder that alone had lost its workers kept its block for 17 s of a lease of
+// Found by inc-0452: a holder that alone had lost its workers kept its shard for 17 s of a lease of
 // 24 s, since only the third visit of its workers was taken for a complaint.
 TEST_F(WorkerPartitionTest, WorkersThatTheirHolderDoesNotAnswerComplainByTheirSecondVisit) {
-  give_block("other", 9);
-  for (const char* machine_id : {"vm-1", "vm-2"}) handle_report(1, 0, "", machine_id);
+  give_shard("other", 9);
+  for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
   run(Duration{5'000});  // sent on to their holder: 4 s without an answer, then 1 s more
-  for (const char* machine_id : {"vm-1", "vm-2"}) handle_report(1, 0, "", machine_id);
-  EXPECT_EQ(holder_.misdirected_zones(), std::vector<ZoneId>{ZoneId("a")});
+  for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
+  EXPECT_EQ(holder_.misrouted_zones(), std::vector<ZoneId>{ZoneId("a")});
 }
 
 TEST_F(WorkerPartitionTest, WorkersOfAHolderThatEndedDoNotComplainBeforeItIsReplaced) {
-  give_block("other", 9);
-  // Its connections are refused: they turn to the next controller a second later. Its session ends
+  give_shard("other", 9);
+  // Its connections are refused: they turn to the next controller a second later. Its epoch ends
   // after 4 s at the latest.
   for (int visit = 0; visit < 5; ++visit) {
-    for (const char* machine_id : {"vm-1", "vm-2"}) handle_report(1, 0, "", machine_id);
-    EXPECT_TRUE(holder_.misdirected_zones().empty()) << visit;
+    for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
+    EXPECT_TRUE(holder_.misrouted_zones().empty()) << visit;
     run(Duration{1'100});
   }
 }
@@ -121,44 +121,45 @@
   workers_.sent.clear();
   informed_ = false;
   time_.stand_still(Duration{3'000});
-  const ReportAnswer soon = handle_report(1, token());
+  const HeartbeatReply soon = handle_heartbeat(1, token());
   EXPECT_EQ(soon.status, 200) << "no cancellation can be overdue yet";
   EXPECT_EQ(soon.body.find("start"), std::string::npos);
   run(Duration{1'000});
   EXPECT_FALSE(sent("start"));
   informed_ = true;
   run(Duration{50});
-  EXPECT_NE(handle_report(1, token()).body.find("start"), std::string::npos);
+  EXPECT_NE(handle_heartbeat(1, token()).body.find("start"), std::string::npos);
 }
 
-TEST_F(WorkerPartitionTest, AHolderThatStoodStillForLongAnswersNoReportBeforeItHasReadAgain) {
+TEST_F(WorkerPartitionTest, AHolderThatStoodStillForLongAnswersNoHeartbeatBeforeItHasReadAgain) {
   bind_and_start();
   workers_.sent.clear();
   time_.stand_still(Duration{30'000});
   informed_ = false;
-  EXPECT_NE(handle_report(1, token(), task_index("running")).status, 200);
+  EXPECT_NE(handle_heartbeat(1, token(), task_index("running")).status, 200);
   run(Duration{1'000});
   EXPECT_TRUE(workers_.sent.empty());
   informed_ = true;
   run(Duration{50});
-  EXPECT_EQ(handle_report(1, token(), task_index("running")).status, 200);
+  EXPECT_EQ(handle_heartbeat(1, token(), task_index("running")).status, 200);
 }
 
 TEST_F(WorkerPartitionTest, AHolderThatWasCutOffDoesNotCallItsMachinesSilentWhenItIsBack) {
-  handle_report(1, token(), "", "vm-1");
-  handle_report(1, token(), "", "vm-2");
+  handle_heartbeat(1, token(), "", "vm-1");
+  handle_heartbeat(1, token(), "", "vm-2");
   run(Duration{600});
   ASSERT_EQ(machine_state("vm-1"), MachineState::up);
-  // Cut off from the state service; its workers have gone to the block's new holder, but for one.
+  // Cut off from the state service; its workers have gone to the shard's new holder, but for one.
   informed_ = false;
   for (int i = 0; i < 10; ++i) {
-    handle_report(1, token(), "", "vm-2");
+    handle_heartbeat(1, token(), "", "vm-2");
     store_.scripts.assign(20, Script::refuse);
     run(Duration{3000});
   }
-  store_.put(keys::block(ZoneId("a")),
-             encode(BlockRecord{ZoneId("a"), NodeId("other"), Nonce(9), 2}));
-  store_.put(keys::block(ZoneId("a")), encode(BlockRecord{ZoneId("a"), NodeId("me"), Nonce(7), 3}));
+  store_.put(keys::shard(ZoneId("a")),
+             encode(ShardRecord{ZoneId("a"), NodeId("other"), ProcessIncarnation(9), 2}));
+  store_.put(keys::shard(ZoneId("a")),
+             encode(ShardRecord{ZoneId("a"), NodeId("me"), ProcessIncarnation(7), 3}));
   store_.scripts.clear();
   informed_ = true;
   run(Duration{2000});
@@ -167,7 +168,8 @@
 
 TEST_F(WorkerPartitionTest, MachinesThatComeUpTogetherCostAWriteAPage) {
   const auto before = store_.commits.size();
-  for (int i = 0; i < 240; ++i) handle_report(1, token(), "", "vm-" + std::to_string(100'000 + i));
+  for (int i = 0; i < 240; ++i)
+    handle_heartbeat(1, token(), "", "vm-" + std::to_string(100'000 + i));
   run(Duration{1'000});
   EXPECT_EQ(cache_.records().machines.size(), 240U);
   std::size_t puts = 0;
@@ -178,14 +180,14 @@
 }
 
 TEST_F(WorkerPartitionTest, AMachineThatHungAndIsBackIsNotTakenForDeaf) {
-  handle_report(1, token());
+  handle_heartbeat(1, token());
   release();
   run(Duration{50});
   ASSERT_EQ(task().state, TaskState::bound);
   run(Duration{20'000});  // it hangs: the start can't show
-  handle_report(1, token());
+  handle_heartbeat(1, token());
   run(Duration{600});
-  handle_report(1, token(), task_index("fetching"));
+  handle_heartbeat(1, token(), task_index("fetching"));
   run(Duration{600});
   EXPECT_EQ(machine_state(), MachineState::up);
 }
@@ -199,17 +201,18 @@
   store_.put_machine(m);
   run(Duration{20});
   EXPECT_EQ(holder_.unreachable_zones(), std::set<ZoneId>{ZoneId("a")});
-  handle_report(1, token());
+  handle_heartbeat(1, token());
   EXPECT_TRUE(holder_.unreachable_zones().empty());
   run(Duration{8'000});
   EXPECT_EQ(holder_.unreachable_zones(), std::set<ZoneId>{ZoneId("a")})
       << "no report for 2.5 times";
-  handle_report(1, token(), "", "vm-2");  // the zone is in reach again: the first of its machines
+  handle_heartbeat(1, token(), "",
+                   "vm-2");  // the zone is in reach again: the first of its machines
   run(Duration{2'000});
   EXPECT_EQ(machine_state(), MachineState::up) << "the others have had no time to report";
 }
 
-TEST_F(WorkerPartitionTest, ABlockThatComesTellsMachinesWithWorkFirstAndNotAllAtOnce) {
+TEST_F(WorkerPartitionTest, AShardThatComesTellsMachinesWithWorkFirstAndNotAllAtOnce) {
   for (int i = 0; i < 300; ++i) {
     MachineRecord m;
     m.machine_id = MachineId("vm-" + std::to_string(1000 + i));
@@ -228,11 +231,12 @@
   slice.tasks[0].zone = ZoneId("a");
   slice.tasks[0].machine_id = MachineId("vm-1299");
   store_.put(keys::slice(slice.job_id, 0), encode(slice));
-  store_.put(keys::block(ZoneId("a")),
-             encode(BlockRecord{ZoneId("a"), NodeId("other"), Nonce(9), 2}));
+  store_.put(keys::shard(ZoneId("a")),
+             encode(ShardRecord{ZoneId("a"), NodeId("other"), ProcessIncarnation(9), 2}));
   run(Duration{20});
   workers_.sent.clear();
-  store_.put(keys::block(ZoneId("a")), encode(BlockRecord{ZoneId("a"), NodeId("me"), Nonce(7), 3}));
+  store_.put(keys::shard(ZoneId("a")),
+             encode(ShardRecord{ZoneId("a"), NodeId("me"), ProcessIncarnation(7), 3}));
   for (int i = 0; i < 20 && workers_.sent.empty(); ++i) {
     store_.tell_watch();
     time_.advance(Duration{1});
@@ -244,26 +248,27 @@
   EXPECT_EQ(workers_.sent.size(), 300U);
 }
 
-TEST_F(WorkerPartitionTest, AMachineThatReportsButHearsNothingIsGivenUpWithoutFreeingItsTasks) {
+TEST_F(WorkerPartitionTest,
+       AMachineThatSendsHeartbeatsButHearsNothingIsGivenUpWithoutFreeingItsTasks) {
   bind_and_start();
-  report_for(Duration{12'000}, 1);  // the start does not show in any of its reports
+  heartbeat_for(Duration{12'000}, 1);  // the start does not show in any of its reports
   EXPECT_EQ(machine_state(), MachineState::silent);
   EXPECT_EQ(task().state, TaskState::bound) << "its silence about the task proves nothing";
-  report_for(Duration{9'000}, 1);
+  heartbeat_for(Duration{9'000}, 1);
   EXPECT_EQ(machine_state(), MachineState::silent) << "reports alone do not bring it back";
   // Its lease has lapsed, as it had to: that is the proof.
-  handle_report(2, token());
+  handle_heartbeat(2, token());
   run(Duration{100});
   EXPECT_EQ(task().state, TaskState::idle);
   EXPECT_EQ(machine_state(), MachineState::silent);
 }
 
-TEST_F(WorkerPartitionTest, ALeaseThatLapsesUnderAnsweredReportsTellsADeafMachine) {
-  handle_report(1, token());
+TEST_F(WorkerPartitionTest, ALeaseThatLapsesUnderAnsweredHeartbeatsTellsADeafMachine) {
+  handle_heartbeat(1, token());
   run(Duration{100});
   ASSERT_EQ(machine_state(), MachineState::up);
-  report_for(Duration{24'000}, 1);
-  handle_report(2, token());
+  heartbeat_for(Duration{24'000}, 1);
+  handle_heartbeat(2, token());
   run(Duration{600});
   EXPECT_EQ(machine_state(), MachineState::silent);
   release();
@@ -272,58 +277,58 @@
   // Once an order has reached it, it is as good as any.
   run(Duration{2'500});
   answer_direct(200);
-  handle_report(2, token());
+  handle_heartbeat(2, token());
   run(Duration{100});
   EXPECT_EQ(machine_state(), MachineState::up);
 }
 
 TEST_F(WorkerPartitionTest, ALateCopyProvesNothingToAHolderThatHasJustBegun) {
   bind_and_start();
-  handle_report(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_index("running"));
   run(Duration{100});
   const auto old = token();
-  give_block("other", 9);
-  give_block("me", 7);  // it knows nothing of the worker any more
+  give_shard("other", 9);
+  give_shard("me", 7);  // it knows nothing of the worker any more
   ASSERT_GT(token(), old);
-  handle_report(1, old);  // a copy from before the task had started
+  handle_heartbeat(1, old);  // a copy from before the task had started
   run(Duration{200});
   EXPECT_EQ(task().state, TaskState::bound);
-  handle_report(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_index("running"));
   run(Duration{200});
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
 TEST_F(WorkerPartitionTest, ALateCopyMakesNoMachineAliveAgain) {
-  handle_report(1, token());
+  handle_heartbeat(1, token());
   run(Duration{100});
   const auto last = sequence_;
-  const auto others_report = [this](Duration duration) {
+  const auto others_heartbeat = [this](Duration duration) {
     for (std::int64_t at = 0; at < duration.ms; at += 3000) {
-      handle_report(1, token(), "", "vm-2");
+      handle_heartbeat(1, token(), "", "vm-2");
       run(Duration{3000});
     }
   };
-  others_report(Duration{12'000});
+  others_heartbeat(Duration{12'000});
   ASSERT_EQ(machine_state(), MachineState::silent);
   const auto now = sequence_;
   sequence_ = last - 1;
-  handle_report(1, token());  // the same report once more
+  handle_heartbeat(1, token());  // the same heartbeat once more
   sequence_ = now;
   run(Duration{100});
   EXPECT_EQ(machine_state(), MachineState::silent) << "known to this holder";
   const auto old = token();
-  give_block("other", 9);
-  give_block("me", 7);
-  handle_report(1, old);
+  give_shard("other", 9);
+  give_shard("me", 7);
+  handle_heartbeat(1, old);
   run(Duration{100});
   EXPECT_EQ(machine_state(), MachineState::silent) << "sent under an earlier warrant";
-  handle_report(1, token());
+  handle_heartbeat(1, token());
   run(Duration{100});
   EXPECT_EQ(machine_state(), MachineState::up);
 }
 
 TEST_F(WorkerPartitionTest, ALateCopyNeitherAdoptsNorBringsBackAMachine) {
-  handle_report(1, token() - 1, "", "vm-7");  // deleted long ago, and its record with it
+  handle_heartbeat(1, token() - 1, "", "vm-7");  // deleted long ago, and its record with it
   run(Duration{1000});
   EXPECT_FALSE(cache_.records().machines.contains(MachineId("vm-7")));
   MachineRecord machine;
@@ -333,34 +338,35 @@
   machine.state = MachineState::gone;
   store_.put_machine(machine);
   run(Duration{50});
-  handle_report(1, token(), "", "vm-8");
+  handle_heartbeat(1, token(), "", "vm-8");
   run(Duration{1000});
   EXPECT_EQ(machine_state("vm-8"), MachineState::gone);
 }
 
 TEST_F(WorkerPartitionTest, AControllerThatIsCutOffGivesWayAsSoonAsAWorkerHasHeardAnother) {
-  handle_report(1, token());
+  handle_heartbeat(1, token());
   informed_ = false;  // neither the state service nor a peer reaches it
   const auto ours = token();
-  store_.put(keys::block(ZoneId("a")),
-             encode(BlockRecord{ZoneId("a"), NodeId("other"), Nonce(9), 2}));
+  store_.put(keys::shard(ZoneId("a")),
+             encode(ShardRecord{ZoneId("a"), NodeId("other"), ProcessIncarnation(9), 2}));
   run(Duration{1000});
-  EXPECT_EQ(handle_report(1, ours).status, 200) << "it may still be the holder, for all it knows";
+  EXPECT_EQ(handle_heartbeat(1, ours).status, 200)
+      << "it may still be the holder, for all it knows";
   // The new holder has introduced itself by a direct order: a 200 would be dropped, and the worker
   // would stay here until its lease is over.
-  EXPECT_EQ(handle_report(1, token()).status, 421);
+  EXPECT_EQ(handle_heartbeat(1, token()).status, 421);
 }
 
 class OfferTest : public WorkerPartitionTest {
  protected:
   /// A job of one task that nobody has released yet, and the leader's offer for it.
   ReleaseOffer offered() {
-    store_.put(keys::kLeader, encode(LeaderRecord{NodeId("boss"), Nonce(1)}));
+    store_.put(keys::kLeader, encode(LeaderRecord{NodeId("boss"), ProcessIncarnation(1)}));
     JobRecord job;
     job.spec = testing::gang("req-1", 1, 1, 100);
     job.accepted = time_.wall();
     store_.put(keys::job(job.spec.job_id), encode(job));
-    handle_report(1, token());
+    handle_heartbeat(1, token());
     run(Duration{100});
     ReleaseOffer offer;
     offer.term = store_.get(keys::kLeader)->mod_revision.get();
@@ -368,7 +374,7 @@
     offer.revision = cache_.revision().get();
     offer.tasks = {{0, 1, "a", "vm-1"}};
     offer.serial = ++last_serial_;
-    offer.holder_nonce = 7;
+    offer.holder_incarnation = 7;
     offer.job_revision = store_.get(keys::job(job.spec.job_id))->mod_revision.get();
     return offer;
   }
@@ -398,7 +404,8 @@
   offer.revision += 1;
   EXPECT_TRUE(holder_.accept_offer(offer));
   EXPECT_FALSE(store_.get(keys::slice(JobId("req-1"), 0)));
-  store_.put("mv/grants/req-9", encode(GrantRecord{JobId("req-9"), {}, {}}, testing::kValueBytes));
+  store_.put("mv/grants/req-9",
+             encode(GuaranteeRecord{JobId("req-9"), {}, {}}, testing::kValueBytes));
   run(Duration{600});
   EXPECT_EQ(task().state, TaskState::bound);
 }
@@ -408,7 +415,7 @@
   store_.scripts = {Script::arrive_late};
   holder_.accept_offer(offer);
   ASSERT_EQ(store_.late.size(), 1U);
-  store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), Nonce(2)}));
+  store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), ProcessIncarnation(2)}));
   EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
   run(Duration{100});
   EXPECT_FALSE(holder_.accept_offer(offer)) << "the offer is of an earlier term";
@@ -424,7 +431,7 @@
   run(Duration{50});
   EXPECT_FALSE(holder_.accept_offer(offer));
   offer = offered();
-  offer.holder_nonce = 6;
+  offer.holder_incarnation = 6;
   const auto commits = store_.commits.size();
   EXPECT_TRUE(holder_.accept_offer(offer)) << "an earlier life, for which it is, may have taken it";
   run(Duration{3'000});
@@ -462,11 +469,11 @@
   slice.tasks[0].state = TaskState::bound;
   slice.tasks[0].machine_id = MachineId("vm-1");
   slice.tasks[0].zone = ZoneId("a");
-  slice.tasks[0].session = SessionId(1);
+  slice.tasks[0].epoch = WorkerEpoch(1);
   store_.put(keys::slice(slice.job_id, 0), encode(slice));
   run(Duration{50});
   EXPECT_FALSE(holder_.accept_offer(offer)) << "that machine has not reported";
-  handle_report(1, token(), "", "vm-2");
+  handle_heartbeat(1, token(), "", "vm-2");
   run(Duration{100});
   // The room of the first offer, the whole of the team's limit, goes to another job.
   JobRecord other;
