--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -168,7 +168,7 @@
   if (now - since->second < kNearlyForgotten) return;
   // A user who is told nothing for longer takes the job for forgotten.
   spdlog::warn("admission: no request about {} could be answered for {} s", job_id.get(),
-               (now - since->second).ms / 1000);
+               whole_seconds(now - since->second));
   since->second = now;
 }
 
--- a/src/api/feasibility.cpp
+++ b/src/api/feasibility.cpp
@@ -29,7 +29,7 @@
 
 /// The record as it is once the job is cancelled: its largest form.
 std::size_t largest_record_bytes(const JobSpec& job) {
-  constexpr WallTime kAnyTime{1'800'000'000'000};
+  constexpr WallTime kAnyTime = from_unix_milliseconds(1'800'000'000'000);
   return encode(JobRecord{job, kAnyTime, kAnyTime}).size();
 }
 
--- a/src/api/why.cpp
+++ b/src/api/why.cpp
@@ -15,7 +15,7 @@
 void write_history(json::Writer& out, const std::vector<Note>& notes, WallTime accepted) {
   out.key("history").open_list();
   for (const Note& note : notes) {
-    out.open().put("after_s", (note.at - accepted).seconds()).put("what", note.what).close();
+    out.open().put("after_s", to_seconds(note.at - accepted)).put("what", note.what).close();
   }
   out.close_list();
 }
@@ -75,7 +75,7 @@
   out << std::fixed << std::setprecision(1) << "its tasks failed " << failures.count
       << " times, on at least " << failures.machines.size()
       << " machines, and none has worked: probably a mistake in the job";
-  if (failures.retry_in) out << "; tried again in " << failures.retry_in->seconds() << " s";
+  if (failures.retry_in) out << "; tried again in " << to_seconds(*failures.retry_in) << " s";
   return out.str();
 }
 
@@ -83,7 +83,7 @@
   out.put("faults", failures.count);
   if (failures.count == 0) return;
   out.put("failed_machines", static_cast<std::uint64_t>(failures.machines.size()));
-  if (failures.retry_in) out.put("retry_in_s", failures.retry_in->seconds());
+  if (failures.retry_in) out.put("retry_in_s", to_seconds(*failures.retry_in));
   if (failures.suggest_faulty_job()) out.put("reason", faulty_job_reason(failures));
 }
 
@@ -111,7 +111,7 @@
                                    : "queued")
       .put("crew", spec.team.get())
       .put("urgency", name_of(spec.urgency))
-      .put("waited_s", (now - job.accepted).seconds())
+      .put("waited_s", to_seconds(now - job.accepted))
       .put("parts", static_cast<std::uint64_t>(spec.task_count))
       .put("done", done)
       .put("placed", bound)
@@ -121,9 +121,9 @@
   if (guarantee_record != records.guarantee_records.end()) {
     if (!guarantee_record->second.record.guarantees.empty()) {
       const Guarantee& g = guarantee_record->second.record.guarantees.back();
-      out.put("granted_start_s", (g.first - job.accepted).seconds())
-          .put("planned_start_s", (g.start - job.accepted).seconds())
-          .put("planned_end_s", (g.end - job.accepted).seconds());
+      out.put("granted_start_s", to_seconds(g.first - job.accepted))
+          .put("planned_start_s", to_seconds(g.start - job.accepted))
+          .put("planned_end_s", to_seconds(g.end - job.accepted));
     }
     write_history(out, guarantee_record->second.record.notes, job.accepted);
   } else {
@@ -139,7 +139,7 @@
       .put("uid", job.job_id.get())
       .put("status", job.state == FinalState::done ? "done" : "cancelled")
       .put("parts", static_cast<std::uint64_t>(job.task_count))
-      .put("took_s", (job.ended - job.accepted).seconds());
+      .put("took_s", to_seconds(job.ended - job.accepted));
   write_history(out, job.notes, job.accepted);
   out.close();
   return out.str();
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -85,19 +85,22 @@
   std::string config;
   bool check = false;
   Tuning tuning;
+  std::int64_t round_budget_ms = tuning.round_budget.count();
+  std::int64_t shard_lease_ms = tuning.shard_lease.count();
+  std::int64_t session_lease_ms = tuning.session_lease.count();
+  std::int64_t idle_return_ms = tuning.idle_return.count();
   app.add_option("--config", config, "settings file (TOML)")->envname("MARBLEVALE_CONFIG");
   app.add_flag("--check", check, "check the settings and exit");
-  app.add_option("--round-budget-ms", tuning.round_budget.ms, "time of one round of decisions")
+  app.add_option("--round-budget-ms", round_budget_ms, "time of one round of decisions")
       ->envname("MARBLEVALE_ROUND_BUDGET_MS")
       ->check(CLI::Range(1, 10'000));
-  app.add_option("--block-lease-ms", tuning.shard_lease.ms, "lease of machine blocks")
+  app.add_option("--block-lease-ms", shard_lease_ms, "lease of machine blocks")
       ->envname("MARBLEVALE_BLOCK_LEASE_MS")
       ->check(CLI::Range(1'000, 600'000));
-  app.add_option("--session-lease-ms", tuning.session_lease.ms, "lease of liveness and leadership")
+  app.add_option("--session-lease-ms", session_lease_ms, "lease of liveness and leadership")
       ->envname("MARBLEVALE_SESSION_LEASE_MS")
       ->check(CLI::Range(1'000, 600'000));
-  app.add_option("--idle-return-ms", tuning.idle_return.ms,
-                 "idle time after which a machine goes back")
+  app.add_option("--idle-return-ms", idle_return_ms, "idle time after which a machine goes back")
       ->envname("MARBLEVALE_IDLE_RETURN_MS")
       ->check(CLI::Range(1'000, 86'400'000));
   app.add_option("--max-open-jobs", tuning.max_open_jobs, "unfinished jobs that are admitted")
@@ -113,6 +116,10 @@
   } catch (const CLI::ParseError& e) {
     return app.exit(e) == 0 ? 0 : kBadSettings;
   }
+  tuning.round_budget = Duration{round_budget_ms};
+  tuning.shard_lease = Duration{shard_lease_ms};
+  tuning.session_lease = Duration{session_lease_ms};
+  tuning.idle_return = Duration{idle_return_ms};
 
   try {
     if (!set_up_logging()) return kBadSettings;
--- a/src/app/startup_times.cpp
+++ b/src/app/startup_times.cpp
@@ -34,7 +34,7 @@
   auto& reached = reached_.at(static_cast<std::size_t>(milestone));
   if (reached) return;
   reached = clock_.steady() - began_;
-  spdlog::info("startup: {} after {} ms", what, reached->ms);
+  spdlog::info("startup: {} after {} ms", what, reached->count());
 }
 
 void StartupTimes::user_answered(int status) {
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -53,7 +53,7 @@
                 }),
       tick_timer_(loop, [this] { tick(); }) {}
 
-void Autoscaler::begin() { tick_timer_.start({50}); }
+void Autoscaler::begin() { tick_timer_.start(Duration{50}); }
 
 Duration Autoscaler::boot_time(const std::string& machine_type) const {
   const MachineType* type = cache_.records().type(machine_type);
@@ -75,7 +75,7 @@
       const Duration boot = boot_time(provisioning_request.record.machine_type);
       // One that is late is expected soon, until it is given up.
       const WallTime likely =
-          std::max(provisioning_request.record.asked + boot * 1.1, now + Duration{5'000});
+          std::max(provisioning_request.record.asked + scaled(boot, 1.1), now + Duration{5'000});
       out.push_back({machine_id, provisioning_request.record.machine_type,
                      provisioning_request.record.zone, provisioning_request.record.spot, likely});
     }
@@ -151,7 +151,7 @@
 void Autoscaler::refresh_list() {
   const SteadyTime now = clock_.steady();
   // A list of a large cluster takes several calls: the more pages it had, the rarer it is read.
-  const Duration every = std::max({Duration{2000}, settings_.list_lag * 0.5,
+  const Duration every = std::max({Duration{2000}, scaled(settings_.list_lag, 0.5),
                                    from_seconds(list_pages_ / (settings_.cloud_rps * kListShare))});
   if (listing_ || now - list_at_ < every) return;
   listing_ = true;
@@ -191,7 +191,7 @@
   // deletion, without waiting for its silence.
   std::vector<MachineId> vanished;
   for (const auto& [machine_id, entry] : listed_) {
-    if (!last_seen_.contains(machine_id) && sent - settings_.list_lag * 2.0 > entry.seen) {
+    if (!last_seen_.contains(machine_id) && sent - settings_.list_lag * 2 > entry.seen) {
       vanished.push_back(machine_id);
     }
   }
@@ -380,7 +380,7 @@
   const SteadyTime now = clock_.steady();
   std::size_t left = idle.size();
   for (const auto& [since, machine_id] : idle) {
-    const Duration most = left > spare ? settings_.tuning.idle_return * kSurplusPatience
+    const Duration most = left > spare ? scaled(settings_.tuning.idle_return, kSurplusPatience)
                                        : settings_.tuning.idle_return;
     if (now - since <= most) continue;
     request_deletion(machine_id, "idle");
@@ -400,11 +400,12 @@
 
 Duration Autoscaler::patience_with_silent(const MachineId& machine_id, std::size_t silent) const {
   const Duration lease = settings_.workers.lease;
-  const Duration ordinary = lease * (silent >= kManySilent ? kManySilentLeases : kSilentLeases);
+  const Duration ordinary =
+      scaled(lease, (silent >= kManySilent ? kManySilentLeases : kSilentLeases));
   if (!holds_replica(machine_id)) return ordinary;
   // Its replicas are down from the end of the worker's lease on, whatever became of the machine: to
   // wait for longer only keeps them from running elsewhere.
-  const Duration silent_before = settings_.workers.heartbeat * kSilentHeartbeats;
+  const Duration silent_before = scaled(settings_.workers.heartbeat, kSilentHeartbeats);
   return std::min(ordinary, std::max(Duration{0}, lease - silent_before) + kLeaseMargin);
 }
 
@@ -444,7 +445,7 @@
       case MachineState::up: {
         // Only its record is left, as a late commit may bring it back: its holder knows no such
         // worker and can't call it silent. A list describes a moment at most twice the lag ago.
-        const Duration known_for = wall - m.since - (now - last_list_) - settings_.list_lag * 2.0;
+        const Duration known_for = wall - m.since - (now - last_list_) - settings_.list_lag * 2;
         if (!listed && last_list_ > charge_since_ && known_for > kUnlistedGracePeriod) {
           request_deletion(machine_id, "up, but not listed");
           break;
@@ -469,7 +470,7 @@
       if (std::find(machine_ids.begin(), machine_ids.end(), b.machine_id) == machine_ids.end())
         continue;
       if (wall - provisioning_request.record.asked >
-          boot_time(provisioning_request.record.machine_type) * kBootTimeout) {
+          scaled(boot_time(provisioning_request.record.machine_type), kBootTimeout)) {
         request_deletion(b.machine_id, "never came up");
       }
     }
@@ -478,7 +479,8 @@
     if (records.machines.contains(machine_id)) continue;
     if (entry.machine.status == ProvisioningStatus::failed) request_deletion(machine_id, "failed");
     // One that nobody expected, and that never reports: it costs money.
-    if (entry.machine.age > boot_time(entry.machine.machine_type) * kBootTimeout * 1.5) {
+    if (entry.machine.age >
+        scaled(scaled(boot_time(entry.machine.machine_type), kBootTimeout), 1.5)) {
       request_deletion(machine_id, "listed, but does not report");
     }
   }
@@ -561,8 +563,8 @@
     const bool needed = std::any_of(
         stored.record.machine_ids.begin(), stored.record.machine_ids.end(),
         [&](const MachineId& machine_id) { return !records.machines.contains(machine_id); });
-    const bool old =
-        wall - stored.record.asked > boot_time(stored.record.machine_type) * kBootTimeout * 4.0;
+    const bool old = wall - stored.record.asked >
+                     scaled(boot_time(stored.record.machine_type), kBootTimeout) * 4;
     if (needed && !old) continue;
     txn.guard(keys::provisioning_request(name), stored.mod_revision)
         .remove(keys::provisioning_request(name));
--- a/src/autoscaler/autoscaler.hpp
+++ b/src/autoscaler/autoscaler.hpp
@@ -82,8 +82,8 @@
   std::function<std::vector<MachineId>()> overdue_;
   bool deleting_unrecorded_ = false;
   std::set<MachineId> deleted_unrecorded_;  // while the state service does not answer
-  SteadyTime types_at_{-1'000'000};
-  SteadyTime list_at_{-1'000'000};
+  SteadyTime types_at_ = kLongAgo;
+  SteadyTime list_at_ = kLongAgo;
   SteadyTime charge_since_{};
   ModRevision term_;                    // of the last tick; none: not in charge then
   std::map<MachineId, Listed> listed_;  // until it is sure that they are listed no longer
--- a/src/cancellations/cancellations.cpp
+++ b/src/cancellations/cancellations.cpp
@@ -53,7 +53,8 @@
   for (const auto& item : list.items) {
     const JobId job_id(item.job_id);
     if (!valid_job_id(item.job_id)) continue;
-    if (keep(job_id, std::min(WallTime{item.at_ms}, now)) && peer_cancellation_listener_)
+    if (keep(job_id, std::min(from_unix_milliseconds(item.at_ms), now)) &&
+        peer_cancellation_listener_)
       peer_cancellation_listener_(job_id);
   }
 }
@@ -73,12 +74,12 @@
 
 CancellationList Cancellations::list() {
   CancellationList out;
-  out.began_ms = began_.ms;
-  out.fresh_ms = cache_.fresh_until_wall().ms;
+  out.began_ms = unix_milliseconds(began_);
+  out.fresh_ms = unix_milliseconds(cache_.fresh_until_wall());
   out.complete = kept_all() && cache_.ready();
   const auto add = [&out](const JobId& job_id, WallTime at) {
     if (out.items.size() < kMaxListed) {
-      out.items.push_back({job_id.get(), at.ms});
+      out.items.push_back({job_id.get(), unix_milliseconds(at)});
     } else {
       out.complete = false;
     }
@@ -94,17 +95,18 @@
 std::optional<SteadyTime> Vouching::until(
     SteadyTime now, WallTime now_wall, WallTime watched,
     const std::vector<std::optional<PeerCancellationList>>& words) {
-  const Duration apart = clock_error_ * 2.0;  // two clocks, each off by the bound
+  const Duration apart = clock_error_ * 2;  // two clocks, each off by the bound
   known_ = std::max(known_, watched);
   for (const auto& word : words) {
     if (word && word->list.complete)
-      known_ = std::max(known_, WallTime{word->list.fresh_ms} - apart);
+      known_ = std::max(known_, from_unix_milliseconds(word->list.fresh_ms) - apart);
   }
   SteadyTime since = now;
   WallTime since_wall = now_wall;
   for (const auto& word : words) {
     // A life that began since can't tell what the one before it has confirmed.
-    if (!word || !word->list.complete || WallTime{word->list.began_ms} + apart >= known_) {
+    if (!word || !word->list.complete ||
+        from_unix_milliseconds(word->list.began_ms) + apart >= known_) {
       return std::nullopt;
     }
     since = std::min(since, word->asked);
--- a/src/cancellations/cancellations.hpp
+++ b/src/cancellations/cancellations.hpp
@@ -107,7 +107,7 @@
                                   const std::vector<std::optional<PeerCancellationList>>& words);
 
  private:
-  Duration clock_error_;
+  Duration clock_error_{};
   WallTime known_;
 };
 
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -39,15 +39,15 @@
   enum class Kind { wait, finished, deadline, guarantee };
   Kind kind = Kind::wait;
   std::string job_class;  // empty: any
-  Duration within;        // not of a deadline
+  Duration within{};      // not of a deadline
 };
 
 struct WorkerTimes {
-  Duration heartbeat;
-  Duration lease;
-  Duration gang_wait;
-  Duration gang_peer;
-  Duration cancel;
+  Duration heartbeat{};
+  Duration lease{};
+  Duration gang_wait{};
+  Duration gang_peer{};
+  Duration cancel{};
 };
 
 /// Report intervals without a heartbeat after which a machine is called silent.
@@ -71,13 +71,13 @@
   Address cloud;
   Address state;
   std::vector<ZoneId> zones;
-  Duration clock_error;
+  Duration clock_error{};
   std::vector<Team> teams;
   std::vector<Objective> objectives;
   WorkerTimes workers;
   StoreLimits store;
   double cloud_rps = 1;
-  Duration list_lag;
+  Duration list_lag{};
   double ram_mb = 0;
   int max_sockets = 0;
   Tuning tuning;
--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -20,7 +20,7 @@
 void Metrics::waited(const std::string& what, Duration duration) {
   Waits& w = waits_[what];
   ++w.times;
-  w.ms += duration.ms;
+  w.total += duration;
   w.longest = std::max(w.longest, duration);
 }
 
@@ -38,9 +38,9 @@
     s = {};
   }
   for (auto& [name, w] : waits_) {
-    add(name + " " + std::to_string(w.ms / static_cast<std::int64_t>(w.times)) +
+    add(name + " " + std::to_string(w.total.count() / static_cast<std::int64_t>(w.times)) +
         " ms on average of " + std::to_string(w.times) + ", longest " +
-        std::to_string(w.longest.ms));
+        std::to_string(w.longest.count()));
   }
   waits_.clear();
   for (const auto& [name, n] : counts_) add(name + " " + std::to_string(n));
--- a/src/core/metrics.hpp
+++ b/src/core/metrics.hpp
@@ -68,8 +68,8 @@
   };
   struct Waits {
     std::uint64_t times = 0;
-    std::int64_t ms = 0;
-    Duration longest;
+    Duration total{};
+    Duration longest{};
   };
   std::array<Spent, kDutyCount> spent_;
   std::map<std::string, std::uint64_t> counts_;
--- a/src/core/time.hpp
+++ b/src/core/time.hpp
@@ -1,47 +1,72 @@
-// Times: spans, points of the steady clock (local waits) and of the time of day (what crosses
-// machines). The clock is an interface so that tests run on a fake one.
+// Spans and points of time. Local waits use the steady clock; what crosses machines uses the time
+// of day. The clock is an interface, so that tests run on a fake one.
 #pragma once
 
-#include <compare>
+#include <chrono>
 #include <cstdint>
 
 namespace marblevale {
 
-struct Duration {
-  std::int64_t ms = 0;
-  auto operator<=>(const Duration&) const = default;
-  friend Duration operator+(Duration a, Duration b) { return {a.ms + b.ms}; }
-  friend Duration operator-(Duration a, Duration b) { return {a.ms - b.ms}; }
-  friend Duration operator*(Duration a, double f) {
-    return {static_cast<std::int64_t>(static_cast<double>(a.ms) * f)};
-  }
-  [[nodiscard]] double seconds() const { return static_cast<double>(ms) / 1000.0; }
+using Duration = std::chrono::milliseconds;
+
+/// Tags the points of this process's steady clock; they mean nothing to another process.
+struct SteadyClock {
+  using duration = Duration;
+  using rep = duration::rep;
+  using period = duration::period;
+  using time_point = std::chrono::time_point<SteadyClock>;
+  static constexpr bool is_steady = true;
 };
 
-/// The least multiple of `step` that is no shorter.
-inline Duration round_up(Duration duration, Duration step) {
-  return {(duration.ms + step.ms - 1) / step.ms * step.ms};
+/// Tags the points of the time of day, which differs between machines by the settings'
+/// `clock_error` at most.
+struct WallClock {
+  using duration = Duration;
+  using rep = duration::rep;
+  using period = duration::period;
+  using time_point = std::chrono::time_point<WallClock>;
+  static constexpr bool is_steady = false;
+};
+
+using SteadyTime = SteadyClock::time_point;
+using WallTime = WallClock::time_point;
+
+/// Earlier than every moment of this process: what was "last done" then is due.
+inline constexpr SteadyTime kLongAgo{Duration{-1'000'000}};
+
+constexpr Duration from_seconds(double seconds) {
+  return Duration{static_cast<std::int64_t>(seconds * 1000.0)};
 }
 
-inline Duration from_seconds(double s) { return {static_cast<std::int64_t>(s * 1000.0)}; }
+constexpr double to_seconds(Duration duration) {
+  return static_cast<double>(duration.count()) / 1000.0;
+}
 
-template <typename Tag>
-struct TimePoint {
-  std::int64_t ms = 0;
-  auto operator<=>(const TimePoint&) const = default;
-  friend TimePoint operator+(TimePoint a, Duration b) { return {a.ms + b.ms}; }
-  friend TimePoint operator-(TimePoint a, Duration b) { return {a.ms - b.ms}; }
-  friend Duration operator-(TimePoint a, TimePoint b) { return {a.ms - b.ms}; }
-};
+constexpr std::int64_t whole_seconds(Duration duration) { return duration.count() / 1000; }
 
-using SteadyTime = TimePoint<struct SteadyTimeTag>;
-using WallTime = TimePoint<struct WallTimeTag>;
+/// A multiple of a duration, cut to whole milliseconds.
+constexpr Duration scaled(Duration duration, double factor) {
+  return Duration{static_cast<std::int64_t>(static_cast<double>(duration.count()) * factor)};
+}
+
+/// The form in which times of day are stored and sent.
+constexpr std::int64_t unix_milliseconds(WallTime time) { return time.time_since_epoch().count(); }
+
+constexpr WallTime from_unix_milliseconds(std::int64_t milliseconds) {
+  return WallTime{Duration{milliseconds}};
+}
+
+/// The least multiple of `step` that is no shorter.
+constexpr Duration round_up(Duration duration, Duration step) {
+  return (duration + step - Duration{1}) / step * step;
+}
 
 /// The first multiple of `step`, counted from time 0, that is no earlier.
-inline WallTime round_up(WallTime time, Duration step) {
-  return {(time.ms + step.ms - 1) / step.ms * step.ms};
+constexpr WallTime round_up(WallTime time, Duration step) {
+  return WallTime{round_up(time.time_since_epoch(), step)};
 }
 
+Duration operator*(Duration, double) = delete;
 class Clock {
  public:
   virtual ~Clock() = default;
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -31,7 +31,8 @@
         check_leadership();
       }) {
   cache_.listen([this](RecordKind topic, const std::string&) {
-    if (topic == RecordKind::leader || topic == RecordKind::node) leadership_timer_.start({0});
+    if (topic == RecordKind::leader || topic == RecordKind::node)
+      leadership_timer_.start(Duration{0});
   });
 }
 
@@ -59,7 +60,7 @@
   if (!fresh && !stale_logged_) {
     spdlog::info(
         "election: leads, but the last word of the records is {} ms old: waits for another",
-        age.ms);
+        age.count());
   }
   stale_logged_ = !fresh;
   return fresh;
@@ -73,7 +74,7 @@
     }
     backoff_.reset();
     session_ = r.lease_id;
-    session_timer_.start(settings_.tuning.session_lease * 0.25);
+    session_timer_.start(scaled(settings_.tuning.session_lease, 0.25));
     check_leadership();
   });
 }
@@ -87,7 +88,7 @@
       open_session();
       return;
     }
-    session_timer_.start(settings_.tuning.session_lease * 0.25);
+    session_timer_.start(scaled(settings_.tuning.session_lease, 0.25));
   });
 }
 
@@ -98,7 +99,7 @@
       return;
     }
     shard_lease_id_ = r.lease_id;
-    shard_timer_.start(settings_.tuning.shard_lease * 0.25);
+    shard_timer_.start(scaled(settings_.tuning.shard_lease, 0.25));
     check_leadership();
   });
 }
@@ -110,7 +111,8 @@
       open_shard_lease();
       return;
     }
-    shard_timer_.start(settings_.tuning.shard_lease * (r.outcome == Outcome::done ? 0.25 : 0.05));
+    shard_timer_.start(
+        scaled(settings_.tuning.shard_lease, (r.outcome == Outcome::done ? 0.25 : 0.05)));
   });
 }
 
@@ -136,7 +138,7 @@
 
 void Election::check_leadership() {
   if (session_ == LeaseId{} || shard_lease_id_ == LeaseId{} || !cache_.ready()) {
-    if (session_ != LeaseId{}) leadership_timer_.start({100});
+    if (session_ != LeaseId{}) leadership_timer_.start(Duration{100});
     return;
   }
   announce();
--- a/src/leader/guarantee_writer.cpp
+++ b/src/leader/guarantee_writer.cpp
@@ -61,9 +61,9 @@
   for (const auto& [job_id, r] : reservations) {
     if (!r.changed) continue;
     const auto job = records.jobs.find(job_id);
-    const WallTime since = r.written.ms != 0           ? r.written + kRewrite
+    const WallTime since = r.written != WallTime{}     ? r.written + kRewrite
                            : job != records.jobs.end() ? job->second.record.accepted + kBeginsAtOnce
-                                                       : WallTime{0};
+                                                       : WallTime{};
     if (since <= wall) due.insert(job_id);
   }
   for (const auto& [job_id, notes] : notes_) due.insert(job_id);
@@ -81,8 +81,9 @@
     if (const auto r = reservations.find(job_id); r != reservations.end()) {
       if (guarantee_record.guarantees.empty()) {
         const auto wait = r->second.first - job->second.record.accepted;
-        guarantee_record.note(clock_.wall(), "granted a start " + std::to_string(wait.ms / 1000) +
-                                                 " s after acceptance");
+        guarantee_record.note(
+            clock_.wall(),
+            "granted a start " + std::to_string(whole_seconds(wait)) + " s after acceptance");
       }
       guarantee_record.guarantees = {{0, r->second.first, r->second.start, r->second.end}};
       r->second.changed = false;
--- a/src/leader/guarantee_writer.hpp
+++ b/src/leader/guarantee_writer.hpp
@@ -31,7 +31,7 @@
   std::unordered_map<JobId, std::vector<Note>> notes_;  // not yet in the state service
   bool writing_ = false;
   std::uint64_t life_ = 0;  // of which term a commit was
-  SteadyTime last_{-1'000'000};
+  SteadyTime last_ = kLongAgo;
 };
 
 }  // namespace marblevale
--- a/src/leader/job_cleanup.cpp
+++ b/src/leader/job_cleanup.cpp
@@ -32,7 +32,7 @@
     if (job.record.cancelled || slice_count(job.record.spec) > 1) candidates.push_back(job_id);
     if (!job.record.cancelled) continue;
     const Duration since = clock_.wall() - *job.record.cancelled;
-    if (since < settings_.workers.cancel * kCancelledDeletionShare) continue;
+    if (since < scaled(settings_.workers.cancel, kCancelledDeletionShare)) continue;
     delete_machines_of_cancelled(job_id);
   }
   for (const JobId& job_id : candidates) end_if_over(job_id);
--- a/src/leader/leader_loop.cpp
+++ b/src/leader/leader_loop.cpp
@@ -33,7 +33,7 @@
 /// Time to save, unless saving takes longer than the work that is lost on average by not saving.
 Duration preemption_grace_period(const JobSpec& job) {
   const Duration saving = job.save_time + Duration{2'000};
-  return job.checkpoint_interval > Duration{0} && job.checkpoint_interval * 0.5 <= saving
+  return job.checkpoint_interval > Duration{0} && scaled(job.checkpoint_interval, 0.5) <= saving
              ? Duration{0}
              : saving;
 }
@@ -109,7 +109,7 @@
   // Rounds take at most about a third of the processor's share.
   const Duration since = clock_.steady() - round_over_;
   const Duration pause =
-      std::max(kCoalesce, std::max(kRoundCoalesceInterval, round_took_ * 2.0) - since);
+      std::max(kCoalesce, std::max(kRoundCoalesceInterval, round_took_ * 2) - since);
   if (timer_.pending() && timer_due_ <= clock_.steady() + pause) return;
   timer_due_ = clock_.steady() + pause;
   timer_.start(pause);
@@ -190,7 +190,7 @@
   std::erase_if(failed_starts_, [&](const auto& entry) { return !queued.contains(entry.first); });
   Planner planner(std::move(occupancy_.profile()), std::move(queue), reservations_, failed_starts_,
                   now, [this, begin](double share) {
-                    return clock_.steady() - begin > settings_.tuning.round_budget * share;
+                    return clock_.steady() - begin > scaled(settings_.tuning.round_budget, share);
                   });
   restore(planner, begin);
   const bool admitted = admit(planner);
@@ -232,7 +232,7 @@
   }
   for (const Moved& moved : planner.restore(pins)) {
     grants_.note(moved.job_id,
-                 "start moved " + std::to_string((moved.to - moved.from).ms / 1000) +
+                 "start moved " + std::to_string(whole_seconds(moved.to - moved.from)) +
                      " s later: tasks before it overran, a machine was lost or out of reach, "
                      "or room was made there for a job that goes first");
   }
@@ -287,7 +287,7 @@
 void LeaderLoop::preempt(const Planner& planner) {
   const SteadyTime now = clock_.steady();
   // To look through all that runs takes long in a large cluster: at most a tenth of the time.
-  if (now - last_preempted_ < std::max(kPreemptionInterval, preempt_took_ * 10.0)) return;
+  if (now - last_preempted_ < std::max(kPreemptionInterval, preempt_took_ * 10)) return;
   const auto timed = metrics_.time(Duty::preempt);
   last_preempted_ = now;
   const auto guaranteed = guaranteed_jobs(cache_.records(), settings_);
--- a/src/leader/leader_loop.hpp
+++ b/src/leader/leader_loop.hpp
@@ -89,12 +89,12 @@
   std::unordered_map<JobId, PreemptedRoom> preempted_room_;
   Occupancy occupancy_;
   Duration preempt_took_{};
-  SteadyTime last_preempted_{-1'000'000};
+  SteadyTime last_preempted_ = kLongAgo;
   SteadyTime timer_due_{};
   SteadyTime round_over_{};
   Duration round_took_{};
-  SteadyTime last_summary_{-1'000'000};
-  SteadyTime last_profile_rebuild_{-1'000'000};
+  SteadyTime last_summary_ = kLongAgo;
+  SteadyTime last_profile_rebuild_ = kLongAgo;
   SteadyTime last_limit_check_{};
   std::unordered_set<JobId> limit_noted_;  // jobs that wait and have the note already
   Timer timer_;
--- a/src/leader/open_releases.cpp
+++ b/src/leader/open_releases.cpp
@@ -195,7 +195,7 @@
     release.next_at = now + kOfferTimeout;
   } else {
     const std::uint32_t doublings = std::min(release.refusals++, kMaxPauseDoublings);
-    release.next_at = now + kRefusedPause * static_cast<double>(1U << doublings);
+    release.next_at = now + scaled(kRefusedPause, static_cast<double>(1U << doublings));
   }
   const bool open = release.offer_open || release.commit_open || release.is_step;
   transition(id, release, open ? State::unknown : State::refused, why);
--- a/src/leader/releaser.cpp
+++ b/src/leader/releaser.cpp
@@ -123,7 +123,7 @@
   const JobSpec& spec = job->spec;
   if (spec.shape != JobShape::array || !short_of_writes()) return true;
   const SteadyTime now = clock_.steady();
-  const auto last = last_release_.try_emplace(start.job_id, SteadyTime{-1'000'000}).first;
+  const auto last = last_release_.try_emplace(start.job_id, kLongAgo).first;
   const bool small =
       start.task_indices.size() < std::min<std::size_t>(kSmallPiece, spec.task_count);
   if (small && now - last->second < kPieceEvery) return false;
--- a/src/leader/releaser.hpp
+++ b/src/leader/releaser.hpp
@@ -87,7 +87,7 @@
   OpenReleases open_;
   TeamUsage usage_;
   std::unordered_map<JobId, SteadyTime> last_release_;  // of arrays that still wait
-  SteadyTime last_limit_log_{-1'000'000};
+  SteadyTime last_limit_log_ = kLongAgo;
 };
 
 }  // namespace marblevale
--- a/src/leader/scale_out_planner.cpp
+++ b/src/leader/scale_out_planner.cpp
@@ -18,7 +18,7 @@
     : metrics_(metrics), clock_(clock), settings_(settings), autoscaler_(autoscaler) {}
 
 bool ScaleOutPlanner::due() const {
-  return clock_.steady() - last_ >= std::max(kInterval, took_ * kIdleShare);
+  return clock_.steady() - last_ >= std::max(kInterval, scaled(took_, kIdleShare));
 }
 
 void ScaleOutPlanner::plan(const Planner& planner, const Reservations& reservations) {
--- a/src/leader/scale_out_planner.hpp
+++ b/src/leader/scale_out_planner.hpp
@@ -43,7 +43,7 @@
   const Clock& clock_;
   const Settings& settings_;
   Autoscaler& autoscaler_;
-  SteadyTime last_{-1'000'000};
+  SteadyTime last_ = kLongAgo;
   Duration took_{};
 };
 
--- a/src/leader/shard_assigner.cpp
+++ b/src/leader/shard_assigner.cpp
@@ -28,7 +28,7 @@
       }) {
   cache_.listen([this](RecordKind topic, const std::string&) {
     if (topic == RecordKind::node || topic == RecordKind::shard || topic == RecordKind::leader)
-      timer_.start({0});
+      timer_.start(Duration{0});
   });
 }
 
@@ -36,7 +36,7 @@
 
 void ShardAssigner::note_misrouted_heartbeat(const ZoneId& zone, const NodeId& witness) {
   misrouted_heartbeats_[zone] = {witness, clock_.steady()};
-  timer_.start({0});
+  timer_.start(Duration{0});
 }
 
 std::optional<NodeId> ShardAssigner::home(const ZoneId& zone, const ShardRecord* held) const {
@@ -62,8 +62,7 @@
 void ShardAssigner::note_absence(const ZoneId& zone, SteadyTime now) {
   const auto last = absences_.find(zone);
   const bool relapse = last != absences_.end() && now - last->second.since < kRelapseWindow;
-  const Duration length =
-      relapse ? std::min(last->second.length * 2.0, kMaxAbsence) : kFirstAbsence;
+  const Duration length = relapse ? std::min(last->second.length * 2, kMaxAbsence) : kFirstAbsence;
   absences_[zone] = {now, length};
 }
 
--- a/src/leader/shard_assigner.hpp
+++ b/src/leader/shard_assigner.hpp
@@ -36,7 +36,7 @@
   /// while, and for longer each time.
   struct Absence {
     SteadyTime since;
-    Duration length;
+    Duration length{};
   };
   void note_absence(const ZoneId& zone, SteadyTime now);
   std::map<ZoneId, Absence> absences_;
--- a/src/leader/starvation_check.cpp
+++ b/src/leader/starvation_check.cpp
@@ -41,7 +41,7 @@
     since.last_logged_at = last_run_;
     const Cause cause = explain(job, round);
     spdlog::warn("granting: {} has waited for {} s, though {} has room for it: {}",
-                 job.job_id.get(), job.waited.ms / 1000, job.machine_id.get(), cause.what);
+                 job.job_id.get(), whole_seconds(job.waited), job.machine_id.get(), cause.what);
     profile_is_wrong = profile_is_wrong || cause.profile_is_wrong;
   }
   std::erase_if(waiting_, [&](const auto& entry) { return !still.contains(entry.first); });
@@ -91,7 +91,7 @@
   for (const auto& [job_id, reservation] : round.reservations) {
     if (job_id == job.job_id) continue;
     for (const auto& place : reservation.places) {
-      if (place.machine_id == job.machine_id && place.start < now + item.demand.run * 2.0) {
+      if (place.machine_id == job.machine_id && place.start < now + item.demand.run * 2) {
         return {"room there is reserved for " + job_id.get()};
       }
     }
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -111,7 +111,7 @@
   if (ending == Ending::broken) connection.spoilt = true;
   HttpHandler handler = std::move(connection.handler);
   connection.handler = nullptr;
-  if (!queue_.empty()) pump_later_.start({0});
+  if (!queue_.empty()) pump_later_.start(Duration{0});
   handler(reply);
 }
 
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -13,8 +13,8 @@
 }
 }  // namespace
 
-SteadyTime SystemClock::steady() const { return {read_clock(CLOCK_MONOTONIC)}; }
-WallTime SystemClock::wall() const { return {read_clock(CLOCK_REALTIME)}; }
+SteadyTime SystemClock::steady() const { return SteadyTime{Duration{read_clock(CLOCK_MONOTONIC)}}; }
+WallTime SystemClock::wall() const { return WallTime{Duration{read_clock(CLOCK_REALTIME)}}; }
 
 Loop::Loop(TimerQueue* timers) : base_(event_base_new(), &event_base_free), timers_(timers) {
   if (!base_) throw std::runtime_error("libevent gave no event base");
@@ -36,7 +36,7 @@
 }
 
 void Timer::start(Duration after) {
-  const std::int64_t ms = after.ms < 0 ? 0 : after.ms;
+  const std::int64_t ms = after.count() < 0 ? 0 : after.count();
   if (queue_ != nullptr) {
     queue_->arm(*this, Duration{ms});
     return;
--- a/src/net/rate_limit.hpp
+++ b/src/net/rate_limit.hpp
@@ -44,7 +44,7 @@
  private:
   void refill(SteadyTime now) {
     if (started_ && now > last_) {
-      tokens_ = std::min(burst_, tokens_ + per_second_ * (now - last_).seconds());
+      tokens_ = std::min(burst_, tokens_ + per_second_ * to_seconds(now - last_));
     }
     started_ = true;
     last_ = now;
@@ -64,15 +64,15 @@
   template <typename Engine>
   Duration next(Engine& engine) {
     const Duration base = next_;
-    next_ = std::min(most_, next_ * 2.0);
-    return base * std::uniform_real_distribution<>(0.5, 1.0)(engine);
+    next_ = std::min(most_, next_ * 2);
+    return scaled(base, std::uniform_real_distribution<>(0.5, 1.0)(engine));
   }
   void reset() { next_ = first_; }
 
  private:
-  Duration first_;
-  Duration most_;
-  Duration next_;
+  Duration first_{};
+  Duration most_{};
+  Duration next_{};
 };
 
 }  // namespace marblevale
--- a/src/peers/peer_heartbeat.cpp
+++ b/src/peers/peer_heartbeat.cpp
@@ -68,7 +68,7 @@
   responder->reply(200, encode(answer));
 }
 
-void PeerHeartbeatExchange::begin() { timer_.start({200}); }
+void PeerHeartbeatExchange::begin() { timer_.start(Duration{200}); }
 
 void PeerHeartbeatExchange::send_soon() {
   send_soon_ = true;
--- a/src/peers/peer_heartbeat.hpp
+++ b/src/peers/peer_heartbeat.hpp
@@ -97,7 +97,7 @@
   Received received_;
   PeerHeartbeatOrder order_;
   std::uint64_t serial_ = 0;
-  SteadyTime last_tick_{-1'000'000};
+  SteadyTime last_tick_ = kLongAgo;
   bool send_soon_ = false;
   bool dropped_ = false;  // something that could not be read: logged once
   std::map<NodeId, PeerState> peers_;
--- a/src/protocol/cloud.cpp
+++ b/src/protocol/cloud.cpp
@@ -40,7 +40,7 @@
         .put("pull_gb_per_s", type.pull_gb_per_s)
         .put("hourly", type.price)
         .put("market_price", type.spot_price)
-        .put("ready_s", type.boot.seconds())
+        .put("ready_s", to_seconds(type.boot))
         .key("districts")
         .open_list();
     for (const auto& zone : type.zones) out.value(zone.get());
--- a/src/protocol/cloud.hpp
+++ b/src/protocol/cloud.hpp
@@ -20,7 +20,7 @@
   double pull_gb_per_s = 0;
   double price = 0;       // per hour
   double spot_price = 0;  // per hour
-  Duration boot;
+  Duration boot{};
   std::vector<ZoneId> zones;
 
   [[nodiscard]] double price_of(bool spot) const { return spot ? spot_price : price; }
@@ -38,7 +38,7 @@
   ZoneId zone;
   bool spot = false;
   ProvisioningStatus status = ProvisioningStatus::starting;
-  Duration age;
+  Duration age{};
 };
 
 struct MachineList {
--- a/src/protocol/job_spec.cpp
+++ b/src/protocol/job_spec.cpp
@@ -126,7 +126,7 @@
   if (!read_seconds(object, "snapshot_s", job.checkpoint_interval)) return fault("snapshot_s");
   if (!read_seconds(object, "stash_s", job.save_time)) return fault("stash_s");
   if (json::field(object, "due_s") != nullptr) {
-    Duration deadline;
+    Duration deadline{};
     if (!read_seconds(object, "due_s", deadline)) return fault("due_s");
     job.deadline = deadline;
   }
@@ -160,10 +160,10 @@
   out.put("together", job.together)
       .put("spread", job.spread)
       .put("loaners", job.allows_spot)
-      .put("expect_s", job.estimated_run.seconds())
-      .put("snapshot_s", job.checkpoint_interval.seconds())
-      .put("stash_s", job.save_time.seconds());
-  if (job.deadline) out.put("due_s", job.deadline->seconds());
+      .put("expect_s", to_seconds(job.estimated_run))
+      .put("snapshot_s", to_seconds(job.checkpoint_interval))
+      .put("stash_s", to_seconds(job.save_time));
+  if (job.deadline) out.put("due_s", to_seconds(*job.deadline));
   out.close();
 }
 
--- a/src/protocol/job_spec.hpp
+++ b/src/protocol/job_spec.hpp
@@ -35,9 +35,9 @@
   bool together = false;
   bool spread = false;
   bool allows_spot = false;
-  Duration estimated_run;
-  Duration checkpoint_interval;
-  Duration save_time;
+  Duration estimated_run{};
+  Duration checkpoint_interval{};
+  Duration save_time{};
   std::optional<Duration> deadline;
 
   [[nodiscard]] bool gang() const { return shape == JobShape::gang; }
--- a/src/protocol/worker.cpp
+++ b/src/protocol/worker.cpp
@@ -51,7 +51,7 @@
         .put("verb", name_of(order.verb))
         .put("part", order.id.str())
         .put("try", order.attempt.get());
-    if (order.verb == Verb::kill) out.put("leeway_s", order.grace_period.seconds());
+    if (order.verb == Verb::kill) out.put("leeway_s", to_seconds(order.grace_period));
     out.close();
   }
   out.close_list();
--- a/src/protocol/worker.hpp
+++ b/src/protocol/worker.hpp
@@ -51,7 +51,7 @@
   Verb verb = Verb::start;
   TaskId id;
   Attempt attempt;
-  Duration grace_period;  // of a kill
+  Duration grace_period{};  // of a kill
 };
 
 /// The answer to a heartbeat.
--- a/src/records/machine_page_codec.cpp
+++ b/src/records/machine_page_codec.cpp
@@ -28,9 +28,9 @@
       .put("b", r.machine_type)
       .put("z", r.zone.get())
       .put("s", name_of(r.state))
-      .put("t", r.since.ms);
+      .put("t", unix_milliseconds(r.since));
   if (r.spot) out.put("spot", true);
-  if (r.reclaim_at) out.put("recall", r.reclaim_at->ms);
+  if (r.reclaim_at) out.put("recall", unix_milliseconds(*r.reclaim_at));
   if (r.blamed != JobId{}) out.put("blamed", r.blamed.get());
   if (!r.images.empty() && images > 0) {
     out.key("i").open_list();
@@ -100,7 +100,8 @@
  public:
   explicit CompactPageWriter(const MachinePage& page) {
     for (const MachineRecord& machine : page.machines) {
-      if (base_ == 0 || machine.since.ms < base_) base_ = machine.since.ms;
+      if (base_ == 0 || unix_milliseconds(machine.since) < base_)
+        base_ = unix_milliseconds(machine.since);
     }
   }
 
@@ -114,8 +115,8 @@
     bytes_.put(names_.number_of(r.machine_id.get()));
     bytes_.put(index_in(texts_, r.machine_type));
     bytes_.put(index_in(texts_, r.zone.get()));
-    bytes_.put_signed(r.since.ms - base_);
-    if (r.reclaim_at) bytes_.put_signed(r.reclaim_at->ms - base_);
+    bytes_.put_signed(unix_milliseconds(r.since) - base_);
+    if (r.reclaim_at) bytes_.put_signed(unix_milliseconds(*r.reclaim_at) - base_);
     if (blamed) bytes_.put(index_in(texts_, r.blamed.get()));
     write_images(r, detail.images);
     addresses_.push_back(r.address);
@@ -198,8 +199,9 @@
     const auto name = names_.name_of(bytes_.number());
     if (!name || !read_text(out.machine_type) || !read_text(out.zone)) return false;
     out.machine_id = MachineId(*name);
-    out.since = WallTime{base_ + bytes_.signed_time()};
-    if ((head & kHasReclaim) != 0) out.reclaim_at = WallTime{base_ + bytes_.signed_time()};
+    out.since = from_unix_milliseconds(base_ + bytes_.signed_time());
+    if ((head & kHasReclaim) != 0)
+      out.reclaim_at = from_unix_milliseconds(base_ + bytes_.signed_time());
     if ((head & kHasBlamed) != 0 && !read_text(out.blamed)) return false;
     return read_images(out) && bytes_.ok();
   }
--- a/src/records/record_fields.hpp
+++ b/src/records/record_fields.hpp
@@ -33,7 +33,7 @@
 /// Reads a time of day in milliseconds.
 inline bool read(const json::Value& v, const char* name, WallTime& out) {
   const auto ms = json::integer(v, name);
-  if (ms) out = {*ms};
+  if (ms) out = from_unix_milliseconds(*ms);
   return ms.has_value();
 }
 
--- a/src/records/records.cpp
+++ b/src/records/records.cpp
@@ -139,8 +139,8 @@
 
 std::string encode(const JobRecord& r) {
   json::Writer out;
-  out.open().put("v", kFormat).put("accepted", r.accepted.ms);
-  if (r.cancelled) out.put("cancelled", r.cancelled->ms);
+  out.open().put("v", kFormat).put("accepted", unix_milliseconds(r.accepted));
+  if (r.cancelled) out.put("cancelled", unix_milliseconds(*r.cancelled));
   out.key("spec");
   write_job(out, r.spec);
   out.close();
@@ -161,7 +161,8 @@
 
 void write_notes(json::Writer& out, const std::vector<Note>& notes) {
   out.key("notes").open_list();
-  for (const Note& note : notes) out.open().put("at", note.at.ms).put("what", note.what).close();
+  for (const Note& note : notes)
+    out.open().put("at", unix_milliseconds(note.at)).put("what", note.what).close();
   out.close_list();
 }
 
@@ -185,9 +186,9 @@
   for (const Guarantee& g : r.guarantees) {
     out.open()
         .put("slice", static_cast<std::uint64_t>(g.slice))
-        .put("first", g.first.ms)
-        .put("start", g.start.ms)
-        .put("end", g.end.ms)
+        .put("first", unix_milliseconds(g.first))
+        .put("start", unix_milliseconds(g.start))
+        .put("end", unix_milliseconds(g.end))
         .close();
   }
   out.close_list();
@@ -227,7 +228,7 @@
       .put("zone", r.zone.get())
       .put("spot", r.spot)
       .put("count", static_cast<std::uint64_t>(r.how_many))
-      .put("asked", r.asked.ms)
+      .put("asked", unix_milliseconds(r.asked))
       .put("answered", r.answered)
       .key("hosts")
       .open_list();
@@ -263,8 +264,8 @@
       .put("uid", r.job_id.get())
       .put("state", r.state == FinalState::done ? "done" : "cancelled")
       .put("parts", static_cast<std::uint64_t>(r.task_count))
-      .put("accepted", r.accepted.ms)
-      .put("ended", r.ended.ms);
+      .put("accepted", unix_milliseconds(r.accepted))
+      .put("ended", unix_milliseconds(r.ended));
   write_notes(out, r.notes);
   out.close();
   return out.str();
--- a/src/records/records.hpp
+++ b/src/records/records.hpp
@@ -96,7 +96,7 @@
 enum class TaskState { idle, released, bound, done };
 
 struct StopOrder {
-  Duration grace_period;
+  Duration grace_period{};
   std::string reason;
 };
 
@@ -110,7 +110,7 @@
   WorkerEpoch epoch;         // the worker's epoch when it was bound
   WallTime since;            // of the release, the binding, or the last end
   WallTime running;          // when it was first seen running; 0: not yet
-  Duration progress;         // saved
+  Duration progress{};       // saved
   std::uint32_t faults = 0;  // ends by error
   MachineId failed_on;       // machine of the last end by error
   std::optional<StopOrder> stop;
--- a/src/records/slice_codec.cpp
+++ b/src/records/slice_codec.cpp
@@ -38,15 +38,17 @@
 // also zone, host, epoch, running; when it is to stop, also grace period and reason. Times count
 // from the base, plus one, so that 0 stands for none.
 void write_task(json::Writer& out, const TaskRecord& task, SliceCommon& common) {
-  const auto time = [&](WallTime at) { return at.ms == 0 ? 0 : at.ms - common.base + 1; };
+  const auto time = [&](WallTime at) {
+    return unix_milliseconds(at) == 0 ? 0 : unix_milliseconds(at) - common.base + 1;
+  };
   out.open_list().value(static_cast<int>(task.state)).value(task.attempt.get());
-  out.value(time(task.since)).value(task.progress.ms);
+  out.value(time(task.since)).value(task.progress.count());
   out.value(static_cast<std::uint64_t>(task.faults)).value(task.failed_on.get());
   if (task.placed()) {
     out.value(SliceCommon::index(common.zones, task.zone.get())).value(task.machine_id.get());
     out.value(task.epoch.get()).value(time(task.running));
     if (task.stop) {
-      out.value(task.stop->grace_period.ms);
+      out.value(task.stop->grace_period.count());
       out.value(SliceCommon::index(common.reasons, task.stop->reason));
     }
   }
@@ -85,7 +87,9 @@
 
 bool read_task(const json::Value& v, TaskRecord& task, const SliceCommon& common) {
   ListReader in(v);
-  const auto time = [&](std::int64_t ms) { return WallTime{ms == 0 ? 0 : ms + common.base - 1}; };
+  const auto time = [&](std::int64_t ms) {
+    return from_unix_milliseconds(ms == 0 ? 0 : ms + common.base - 1);
+  };
   const std::uint64_t state = in.count();
   if (!in.ok() || state > static_cast<std::uint64_t>(TaskState::done)) return false;
   task.state = static_cast<TaskState>(state);
@@ -135,7 +139,7 @@
     std::uint64_t head = static_cast<std::uint64_t>(task.state);
     if (task.progress > Duration{0}) head |= kHasProgress;
     if (task.faults > 0) head |= kHasFaults;
-    if (placed && task.running.ms != 0) head |= kHasRunning;
+    if (placed && task.running != WallTime{}) head |= kHasRunning;
     if (placed && task.stop) head |= kHasStop;
     bytes_.put(head);
     bytes_.put(task.attempt.get());
@@ -169,11 +173,11 @@
     return static_cast<std::uint64_t>(SliceCommon::index(list, text));
   }
   [[nodiscard]] std::uint64_t time(WallTime at) const {
-    if (at.ms == 0) return 0;
-    return static_cast<std::uint64_t>((at.ms - base_) / detail_.time_unit_ms) + 1;
+    if (unix_milliseconds(at) == 0) return 0;
+    return static_cast<std::uint64_t>((unix_milliseconds(at) - base_) / detail_.time_unit_ms) + 1;
   }
   void put_duration(Duration duration) {
-    bytes_.put(static_cast<std::uint64_t>(duration.ms / detail_.time_unit_ms));
+    bytes_.put(static_cast<std::uint64_t>(duration.count() / detail_.time_unit_ms));
   }
 
   std::int64_t base_;
@@ -238,8 +242,8 @@
   }
   WallTime time() {
     const std::uint64_t units = bytes_.time();
-    if (units == 0) return WallTime{0};
-    return WallTime{base_ + static_cast<std::int64_t>(units - 1) * unit_ms_};
+    if (units == 0) return WallTime{};
+    return from_unix_milliseconds(base_ + static_cast<std::int64_t>(units - 1) * unit_ms_);
   }
   Duration duration() { return Duration{static_cast<std::int64_t>(bytes_.time()) * unit_ms_}; }
 
@@ -256,7 +260,8 @@
   std::int64_t base = 0;
   for (const TaskRecord& task : r.tasks) {
     for (const WallTime at : {task.since, task.running}) {
-      if (at.ms != 0 && (base == 0 || at.ms < base)) base = at.ms;
+      if (unix_milliseconds(at) != 0 && (base == 0 || unix_milliseconds(at) < base))
+        base = unix_milliseconds(at);
     }
   }
   return base;
--- a/src/scheduling/job_queue.cpp
+++ b/src/scheduling/job_queue.cpp
@@ -31,13 +31,13 @@
   switch (faults) {
     case 0:
     case 1:
-      return {0};
+      return Duration{0};
     case 2:
-      return {4'000};
+      return Duration{4'000};
     case 3:
-      return {10'000};
+      return Duration{10'000};
     default:
-      return {30'000};
+      return Duration{30'000};
   }
 }
 
@@ -85,7 +85,7 @@
   item.accepted = job.accepted;
   item.demand.job = &spec;
   Duration progress = spec.estimated_run;
-  WallTime soonest{std::numeric_limits<std::int64_t>::max()};
+  WallTime soonest = WallTime::max();
   WallTime last_fault{};
   std::uint32_t faults = 0;  // of the task that has failed most
   std::set<MachineId> failed_on;
@@ -106,14 +106,14 @@
         ++zones[task->zone];
       }
       if (task != nullptr) {
-        const bool lasted = task->running.ms != 0 && now - task->running > kProvenRun;
+        const bool lasted = task->running != WallTime{} && now - task->running > kProvenRun;
         worked = worked || task->state == TaskState::done || task->progress > Duration{0} ||
                  (task->placed() && lasted);
         if (task->faults > 0) failed_on.insert(task->failed_on);
       }
       if (task != nullptr && !waits(*task, spec)) continue;
       progress = std::min(progress, task == nullptr ? Duration{0} : task->progress);
-      const WallTime at = task == nullptr ? WallTime{0} : task->since + retry_pause(task->faults);
+      const WallTime at = task == nullptr ? WallTime{} : task->since + retry_pause(task->faults);
       soonest = std::min(soonest, at);
       if (task != nullptr && task->faults > 0) {
         last_fault = std::max(last_fault, task->since);
@@ -163,10 +163,11 @@
         start = item.accepted + o.within;
         break;
       case Objective::Kind::finished:
-        start = item.accepted + o.within - item.demand.run * kEstimateMargin;
+        start = item.accepted + o.within - scaled(item.demand.run, kEstimateMargin);
         break;
       case Objective::Kind::deadline:
-        if (job.deadline) start = item.accepted + *job.deadline - item.demand.run * kEstimateMargin;
+        if (job.deadline)
+          start = item.accepted + *job.deadline - scaled(item.demand.run, kEstimateMargin);
         break;
       case Objective::Kind::guarantee:
         break;  // has a rank of its own
--- a/src/scheduling/machine_evacuation.cpp
+++ b/src/scheduling/machine_evacuation.cpp
@@ -33,7 +33,7 @@
   for (auto it = records.slices.lower_bound({job.job_id, 0});
        it != records.slices.end() && it->first.job_id == job.job_id; ++it) {
     for (const TaskRecord& task : it->second.record.tasks) {
-      if (task.placed() && !task.stop && task.running.ms != 0) ++placed;
+      if (task.placed() && !task.stop && task.running != WallTime{}) ++placed;
     }
   }
   return placed == job.task_count;
--- a/src/scheduling/machine_evacuation.hpp
+++ b/src/scheduling/machine_evacuation.hpp
@@ -12,7 +12,7 @@
 /// Tasks of one job that are to be stopped on their machines, by slice and index in it.
 struct Evacuation {
   std::map<std::uint32_t, std::set<std::size_t>> tasks;
-  Duration grace_period;
+  Duration grace_period{};
   const char* reason = "";  // for the members
 };
 
--- a/src/scheduling/occupancy.cpp
+++ b/src/scheduling/occupancy.cpp
@@ -33,7 +33,7 @@
                     WallTime now) {
   if (task.stop) return now + std::min(task.stop->grace_period, job.save_time) + kReached;
   WallTime begin = task.running;
-  if (begin.ms == 0) {
+  if (begin == WallTime{}) {
     const auto machine = records.machines.find(task.machine_id);
     const MachineType* type = machine == records.machines.end()
                                   ? nullptr
@@ -44,8 +44,9 @@
   const Duration left = std::max(kMinRun, job.estimated_run - task.progress);
   const WallTime end = round_up(begin + left, kPlanningStep);
   if (end > now + kReached) return end;
-  const Duration step = round_up(std::max(kMinRun, job.estimated_run * kStretch), kPlanningStep);
-  return end + Duration{((now + kReached - end).ms / step.ms + 1) * step.ms};
+  const Duration step =
+      round_up(std::max(kMinRun, scaled(job.estimated_run, kStretch)), kPlanningStep);
+  return end + Duration{((now + kReached - end).count() / step.count() + 1) * step.count()};
 }
 
 ImageSet Occupancy::images_at(const MachineId& machine_id, const Records& records) const {
@@ -76,7 +77,7 @@
     }
     if (slice == nullptr || job == nullptr) continue;
     const TaskRecord& task = slice->record.tasks.at(id.task_index % kSliceTasks);
-    if (task.running.ms == 0) coming.insert(job->spec.image);
+    if (task.running == WallTime{}) coming.insert(job->spec.image);
   }
   for (const auto& [image, gb] : machine->second.record.images) coming.erase(image);
   return coming.size();
@@ -162,7 +163,7 @@
   const JobRecord* job = records.job(key.job_id);
   if (slice == nullptr || job == nullptr) return;
   const JobSpec& spec = job->spec;
-  WallTime first{std::numeric_limits<std::int64_t>::max()};
+  WallTime first = WallTime::max();
   Plan running;
   for (const TaskRecord& task : slice->tasks) {
     if (!task.placed()) continue;
@@ -171,13 +172,13 @@
     on_[key].insert(task.machine_id);
     fetching_.insert(task.machine_id);
     if (const auto machine = profile_.find(task.machine_id)) {
-      running.placements.push_back({*machine, WallTime{0}, end});
+      running.placements.push_back({*machine, WallTime{}, end});
       const MachineType* type = records.type(profile_.machines()[*machine].machine_type);
       if (task.state == TaskState::bound && type != nullptr) {
         images_.used(task.machine_id, spec.image, spec.image_gb, type->cache_gb);
       }
     } else {
-      profile_.take_team(spec.team, {WallTime{0}, end, spec.need, owner_of(key)});
+      profile_.take_team(spec.team, {WallTime{}, end, spec.need, owner_of(key)});
     }
   }
   if (!running.placements.empty()) profile_.take(running, spec, owner_of(key));
--- a/src/scheduling/placement_search.cpp
+++ b/src/scheduling/placement_search.cpp
@@ -18,7 +18,7 @@
 /// rougher.
 constexpr Duration kPlanningStep{1000};
 const Resources kNoLimit{1e12, 1e12, 1e12};
-constexpr WallTime kNever{std::numeric_limits<std::int64_t>::max()};
+constexpr WallTime kNever = WallTime::max();
 
 std::uint64_t mix(std::uint64_t x) {
   // The finalizer of splitmix64: spreads what differs in a few bits.
@@ -58,7 +58,7 @@
   const double starved = starves ? free.gpus / m.resources.gpus : 0;
   const double apart = demand.lean && *demand.lean != m.zone ? kApartSeconds : 0;
   return apart + kWasteSeconds * (waste + starved) +
-         fetch.seconds() * (job.deadline ? kPatientFetch : 1.0) +
+         to_seconds(fetch) * (job.deadline ? kPatientFetch : 1.0) +
          price_weight(share_of(job.need, m.resources), m) +
          share_of(free, m.resources) * (job.gang() ? 0.2 : 1.0) + static_cast<double>(draw) / 1e5;
 }
@@ -98,7 +98,7 @@
   std::size_t machine;
   Resources free;
   double score;
-  Duration run;
+  Duration run{};
 };
 
 std::vector<PlacementSearch::Candidate> PlacementSearch::candidates(
@@ -212,7 +212,7 @@
   for (const ZoneId& zone : zones()) {
     auto plan = place_in(demand, at, zone, false, Duration{0});
     if (!plan) continue;
-    const double cost = (plan->end() - at).seconds() + plan_cost(demand, *plan, zone);
+    const double cost = to_seconds(plan->end() - at) + plan_cost(demand, *plan, zone);
     if (!best || cost < best_cost) {
       best = std::move(plan);
       best_cost = cost;
@@ -246,7 +246,7 @@
     WallTime next;
     std::size_t machine;
     std::uint32_t nth;
-    Duration run;
+    Duration run{};
   };
   std::vector<Open> opens;
   const auto ask = [&](Open& open, WallTime at) {
@@ -312,7 +312,7 @@
     WallTime next;
     double score;
     std::size_t machine;
-    Duration run;
+    Duration run{};
     bool operator>(const Open& o) const { return next != o.next ? next > o.next : score > o.score; }
   };
   std::priority_queue<Open, std::vector<Open>, std::greater<>> opens;
@@ -373,7 +373,7 @@
     if (!plan) continue;
     // The start is what is granted; what it costs decides only between equal ones.
     const double cost =
-        plan->start() == from ? plan_cost(demand, *plan, zone) + (plan->end() - from).seconds() : 0;
+        plan->start() == from ? plan_cost(demand, *plan, zone) + to_seconds(plan->end() - from) : 0;
     if (!best || plan->start() < best->start() ||
         (plan->start() == best->start() && cost < best_cost)) {
       best = std::move(plan);
--- a/src/scheduling/planner.cpp
+++ b/src/scheduling/planner.cpp
@@ -389,7 +389,7 @@
 void Planner::begin_now(QueueItem& item, const Plan& plan) {
   // As what runs: from the beginning of time, so that a full machine is seen at a glance.
   Plan running = plan;
-  for (Placement& placement : running.placements) placement.start = WallTime{0};
+  for (Placement& placement : running.placements) placement.start = WallTime{};
   profile_.take(running, *item.demand.job, Owner{item.owner.get() | kStarted});
   started_.push_back(Owner{item.owner.get() | kStarted});
   const auto n = static_cast<std::ptrdiff_t>(plan.placements.size());
--- a/src/scheduling/planner.hpp
+++ b/src/scheduling/planner.hpp
@@ -56,7 +56,7 @@
   Profile::Version version;  // of the profile that had no place
   WallTime at;
   std::uint32_t tasks = 0;
-  Duration run;
+  Duration run{};
   std::optional<ZoneId> zone;
   bool at_team_limit = false;  // the limit left too little, whatever the machines had
 };
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -51,7 +51,7 @@
     Place place{machine_id, m.zone, type->resources, 0, {}};
     const auto timeline = profile.find(machine_id);
     if (timeline) {
-      place.fetch = profile.fetch_time(spec, profile.machines()[*timeline]).seconds();
+      place.fetch = to_seconds(profile.fetch_time(spec, profile.machines()[*timeline]));
     }
     if (const auto placed = records.placed.find(machine_id); placed != records.placed.end()) {
       for (const auto& [id, attempt] : placed->second) {
@@ -69,11 +69,11 @@
         const bool beyond =
             item.guaranteed && other->spec.team != spec.team && !guaranteed.contains(id.job_id);
         if ((!lower && !beyond) || (other->spec.gang() && other->spec.task_count > 1)) continue;
-        const Duration ran = task->running.ms == 0 ? Duration{0} : now - task->running;
+        const Duration ran = task->running == WallTime{} ? Duration{0} : now - task->running;
         // What a restart costs: the unsaved work, another image fetch perhaps, and its own wait.
         double lost = other->spec.checkpoint_interval > Duration{0}
-                          ? other->spec.save_time.seconds()
-                          : ran.seconds();
+                          ? to_seconds(other->spec.save_time)
+                          : to_seconds(ran);
         lost += (type->pull_gb_per_s > 0 ? other->spec.image_gb / type->pull_gb_per_s : 0) * 0.5;
         if (!other->spec.deadline) lost += kImpatientLoss;
         if (ran < kFreshStart) lost += kFreshLoss;
--- a/src/scheduling/profile.cpp
+++ b/src/scheduling/profile.cpp
@@ -10,7 +10,7 @@
 namespace marblevale {
 
 namespace {
-constexpr WallTime kNever{std::numeric_limits<std::int64_t>::max()};
+constexpr WallTime kNever = WallTime::max();
 }  // namespace
 
 WallTime Plan::first_start() const {
@@ -213,7 +213,7 @@
 void Profile::release_reservations_on(std::size_t machine) {
   std::vector<Owner> owners;
   for (const Allocation& t : timelines_[machine].allocations()) {
-    if (t.from.ms != 0) owners.push_back(t.owner);
+    if (t.from != WallTime{}) owners.push_back(t.owner);
   }
   for (const Owner owner : owners) release(owner);
 }
@@ -229,7 +229,7 @@
 }
 
 Duration Profile::fetch_time(const JobSpec& job, const PlanMachine& machine) const {
-  if (machine.pull_gb_per_s <= 0 || machine.images.contains(key_of(job.image))) return {0};
+  if (machine.pull_gb_per_s <= 0 || machine.images.contains(key_of(job.image))) return Duration{0};
   return from_seconds(job.image_gb / machine.pull_gb_per_s *
                       static_cast<double>(1 + machine.fetching));
 }
--- a/src/scheduling/profile.hpp
+++ b/src/scheduling/profile.hpp
@@ -36,7 +36,7 @@
 struct Demand {
   const JobSpec* job = nullptr;
   std::uint32_t tasks = 1;
-  Duration run;                 // estimated run time of each
+  Duration run{};               // estimated run time of each
   std::vector<MachineId> only;  // if given: no other machines
   std::optional<ZoneId> zone;   // where the job's other tasks are, if `together`
   std::optional<ZoneId> lean;   // where to go among equals: one zone costs fewer writes
--- a/src/scheduling/resource_timeline.cpp
+++ b/src/scheduling/resource_timeline.cpp
@@ -56,9 +56,9 @@
 void ResourceTimeline::take(const Allocation& allocation) {
   allocations_.push_back(allocation);
   add(allocation, 1);
-  if (allocation.from.ms == 0) {
+  if (allocation.from == WallTime{}) {
     running_until_ =
-        running_until_.ms == 0 ? allocation.to : std::min(running_until_, allocation.to);
+        running_until_ == WallTime{} ? allocation.to : std::min(running_until_, allocation.to);
     running_ += allocation.resources;
   }
 }
@@ -68,7 +68,7 @@
   for (std::size_t i = allocations_.size(); i-- > 0;) {
     if (allocations_[i].owner != owner) continue;
     add(allocations_[i], -1);
-    ran = ran || allocations_[i].from.ms == 0;
+    ran = ran || allocations_[i].from == WallTime{};
     allocations_[i] = allocations_.back();
     allocations_.pop_back();
   }
@@ -80,8 +80,8 @@
   running_ = Resources{};
   running_until_ = WallTime{};
   for (const Allocation& t : allocations_) {
-    if (t.from.ms != 0) continue;
-    running_until_ = running_until_.ms == 0 ? t.to : std::min(running_until_, t.to);
+    if (t.from != WallTime{}) continue;
+    running_until_ = running_until_ == WallTime{} ? t.to : std::min(running_until_, t.to);
     running_ += t.resources;
   }
 }
--- a/src/scheduling/scale_out.hpp
+++ b/src/scheduling/scale_out.hpp
@@ -23,8 +23,8 @@
 struct UnmetDemand {
   const JobSpec* job = nullptr;
   std::uint32_t tasks = 0;
-  Duration run;
-  Duration wait;               // until its planned start
+  Duration run{};
+  Duration wait{};             // until its planned start
   std::optional<ZoneId> zone;  // where it must be
 };
 
--- a/src/scheduling/starvation.cpp
+++ b/src/scheduling/starvation.cpp
@@ -64,7 +64,7 @@
 // Not split yet, issue 17.
 // NOLINTNEXTLINE(readability-function-cognitive-complexity)
 std::optional<Waiting> waiting(const JobId& job_id, const JobRecord& job, const Records& records) {
-  Waiting out{&job, WallTime{std::numeric_limits<std::int64_t>::max()}, {}};
+  Waiting out{&job, WallTime::max(), {}};
   std::uint32_t idle = 0;
   for (std::uint32_t n = 0; n < slice_count(job.spec); ++n) {
     const auto* slice = records.slice(job_id, n);
--- a/src/scheduling/starvation.hpp
+++ b/src/scheduling/starvation.hpp
@@ -11,7 +11,7 @@
 
 struct StarvedJob {
   JobId job_id;
-  Duration waited;
+  Duration waited{};
   MachineId machine_id;  // a machine that fits and has room
   MachineState state = MachineState::up;
 };
--- a/src/shards/cancellation_deadlines.cpp
+++ b/src/shards/cancellation_deadlines.cpp
@@ -32,7 +32,7 @@
   spdlog::warn(
       "holder: cancel_s leaves less than a report beyond lease_s: without word of the state "
       "service no report is answered for longer than {} ms",
-      answer_limit().ms);
+      answer_limit().count());
 }
 
 void CancellationDeadlines::extend_freshness(SteadyTime until) {
@@ -58,7 +58,7 @@
   const Records& records = context_.cache.records();
   const auto placed = records.placed.find(machine_id);
   if (placed == records.placed.end()) return false;
-  const WallTime now = context_.clock.wall() + context_.settings.clock_error * 2.0;
+  const WallTime now = context_.clock.wall() + context_.settings.clock_error * 2;
   const FencingToken token = shards_.token_of(worker.zone);
   return std::any_of(placed->second.begin(), placed->second.end(), [&](const auto& entry) {
     const TaskId& id = entry.first;
@@ -78,7 +78,7 @@
 
 std::vector<MachineId> CancellationDeadlines::overdue_machines(
     const WorkerRegistry& workers) const {
-  const Duration limit = context_.settings.workers.cancel * kUnrecordedDeletionShare;
+  const Duration limit = scaled(context_.settings.workers.cancel, kUnrecordedDeletionShare);
   std::vector<MachineId> machines;
   for (const auto& [machine_id, worker] : workers.all()) {
     if (!shards_.holds(worker.zone)) continue;
--- a/src/shards/reachability.cpp
+++ b/src/shards/reachability.cpp
@@ -45,7 +45,7 @@
 }
 
 void WorkerReachability::heartbeat_answered(SteadyTime now, Duration lease) {
-  if (now - last_answer_ >= lease * 0.5) answered_since_ = now;
+  if (now - last_answer_ >= scaled(lease, 0.5)) answered_since_ = now;
   last_answer_ = now;
 }
 
@@ -53,14 +53,14 @@
   missing_starts_.clear();
   // One heartbeat that was held up while the lease lapsed for other reasons, and is answered now,
   // does not show that the machine had the answer.
-  return now - last_answer_ < lease && now - answered_since_ >= lease * 0.5;
+  return now - last_answer_ < lease && now - answered_since_ >= scaled(lease, 0.5);
 }
 
 bool WorkerReachability::misses_starts(const WorkerView& view, SteadyTime now,
                                        Duration heartbeat_interval) const {
   return std::any_of(missing_starts_.begin(), missing_starts_.end(), [&](const auto& entry) {
     // A machine that hung has not reported meanwhile: only answers that it should have had count.
-    return now - entry.second.since > heartbeat_interval * kMaxHeartbeatsWithoutStart &&
+    return now - entry.second.since > scaled(heartbeat_interval, kMaxHeartbeatsWithoutStart) &&
            entry.second.answers >= kMinAnswersWithStart && !view.tasks.contains(entry.first);
   });
 }
--- a/src/shards/reachability.hpp
+++ b/src/shards/reachability.hpp
@@ -64,7 +64,7 @@
     int answers = 0;  // to reports, each of which bore it
   };
 
-  static constexpr SteadyTime kNever{-1'000'000};
+  static constexpr SteadyTime kNever = kLongAgo;
 
   /// The one place where the state changes. `token`: under which it was reachable, or none.
   void transition(State next, FencingToken token, const char* reason);
--- a/src/shards/shard_holder.cpp
+++ b/src/shards/shard_holder.cpp
@@ -193,7 +193,7 @@
 void ShardHolder::check_commands_reachable(const MachineId& machine_id, KnownWorker& worker) {
   const SteadyTime now = context_.clock.steady();
   const Duration heartbeat_interval = context_.settings.workers.heartbeat;
-  if (now - worker.last_heartbeat_at < heartbeat_interval * 2.0 &&
+  if (now - worker.last_heartbeat_at < heartbeat_interval * 2 &&
       worker.reachability.misses_starts(worker.view, now, heartbeat_interval)) {
     worker.reachability.mark_commands_unreachable("its starts do not show");
   }
--- a/src/shards/task_lifecycle.cpp
+++ b/src/shards/task_lifecycle.cpp
@@ -109,7 +109,7 @@
   // result as soon as its machine has the image, while others may still fetch theirs: those keep
   // their places until proof.
   const bool ran = std::any_of(before.tasks.begin(), before.tasks.end(),
-                               [](const TaskRecord& task) { return task.running.ms != 0; });
+                               [](const TaskRecord& task) { return task.running != WallTime{}; });
   change.max_delay = Duration{0};
   for (TaskRecord& task : tasks) {
     if (is_done(task)) continue;
@@ -145,7 +145,7 @@
       if (unwanted) end_task(id, task, job, "never started", false);
       break;
     case TaskPresence::present:
-      if (task.running.ms == 0 && reported->status == TaskStatus::running) {
+      if (task.running == WallTime{} && reported->status == TaskStatus::running) {
         record_running(id, task, job, *worker);
       }
       break;
--- a/src/shards/task_lifecycle.hpp
+++ b/src/shards/task_lifecycle.hpp
@@ -36,7 +36,7 @@
     std::set<ZoneId> zones;  // whose tasks changed
     PromisedRoom promised;
     bool changed = false;
-    Duration max_delay;  // how long the change may wait for others of its slice
+    Duration max_delay{};  // how long the change may wait for others of its slice
   };
 
   void decide_task(SliceChange& change, std::size_t index, const JobRecord& job, bool cancelled);
--- a/src/shards/task_presence.cpp
+++ b/src/shards/task_presence.cpp
@@ -57,8 +57,8 @@
 Duration progress_after(const TaskRecord& task, const JobSpec& job, Duration ran, bool saved) {
   if (saved) return std::min(job.estimated_run, task.progress + ran);
   if (job.checkpoint_interval <= Duration{0} || ran <= Duration{0}) return task.progress;
-  const auto whole = (task.progress + ran).ms / job.checkpoint_interval.ms;
-  const Duration saved_by_itself{whole * job.checkpoint_interval.ms};
+  const auto whole = (task.progress + ran).count() / job.checkpoint_interval.count();
+  const Duration saved_by_itself{whole * job.checkpoint_interval.count()};
   return std::min(job.estimated_run, std::max(task.progress, saved_by_itself));
 }
 
@@ -76,7 +76,7 @@
 
 void apply_end(TaskRecord& task, const JobSpec& job, const std::string& cause, bool saved,
                WallTime now) {
-  const Duration ran = task.running.ms == 0 ? Duration{0} : now - task.running;
+  const Duration ran = task.running == WallTime{} ? Duration{0} : now - task.running;
   task.state = TaskState::idle;
   if (job.endless()) {
     end_replica(task, cause, ran);
--- a/src/shards/worker_registry.cpp
+++ b/src/shards/worker_registry.cpp
@@ -50,7 +50,7 @@
 }
 
 Duration WorkerRegistry::silence_limit() const {
-  return context_.settings.workers.heartbeat * kSilentHeartbeats;
+  return scaled(context_.settings.workers.heartbeat, kSilentHeartbeats);
 }
 
 bool WorkerRegistry::is_silent(const MachineId& machine_id) const {
@@ -107,13 +107,13 @@
   // Without word of the state service the shard may have another holder, to which they heartbeat.
   if (now - context_.cache.fresh_until() >= silence_limit()) return silence_limit();
   if (pause < kMinProcessPause) return Duration{0};
-  spdlog::info("holder: stood still for {} ms", pause.ms);
+  spdlog::info("holder: stood still for {} ms", pause.count());
   return pause;
 }
 
 void WorkerRegistry::discount_pause(SteadyTime now, Duration interval) {
   const Duration pause = now - last_sweep_ - interval;
-  const bool first = last_sweep_.ms < 0;
+  const bool first = last_sweep_ < SteadyTime{};
   last_sweep_ = now;
   if (first) return;
   restart_silence_of_reached_zones(now);
--- a/src/shards/worker_registry.hpp
+++ b/src/shards/worker_registry.hpp
@@ -23,7 +23,7 @@
   ZoneId zone;
   /// Its last heartbeat, or since when it could have reported here. An answer to an order is none:
   /// a machine that reaches no controller receives orders all the same, while its lease lapses.
-  SteadyTime last_heartbeat_at{-1'000'000};
+  SteadyTime last_heartbeat_at = kLongAgo;
   bool command_in_flight = false;
   bool lease_refused = false;                    // gets no answers, so that its lease lapses
   std::map<TaskAttempt, SteadyTime> kills_sent;  // when last
@@ -81,7 +81,7 @@
   const ShardContext& context_;
   const ShardOwnership& shards_;
   Workers workers_;
-  SteadyTime last_sweep_{-1'000'000};
+  SteadyTime last_sweep_ = kLongAgo;
   std::set<ZoneId> unreachable_zones_;  // at the last sweep
 };
 
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -187,7 +187,7 @@
   metrics_.count("store said 429");
   // Answers that come close together tell of the same excess.
   const SteadyTime now = clock_.steady();
-  if (now - last_refused_ < kAdaptEvery * 0.5) return;
+  if (now - last_refused_ < scaled(kAdaptEvery, 0.5)) return;
   last_refused_ = now;
   const auto less = [this](TokenBucket& bucket, double published) {
     bucket.set_rate(std::max(equal_share(published) * kMinShare, bucket.rate() * kGiveWay));
@@ -235,7 +235,7 @@
   }
   const bool hurried = rank == RequestPriority::submission || rank == RequestPriority::read;
   queue.push_back({std::move(call), writes,
-                   clock_.steady() + (hurried ? kUserQueueTime * 2.0 : kQueueTime), std::move(then),
+                   clock_.steady() + (hurried ? kUserQueueTime * 2 : kQueueTime), std::move(then),
                    rank == RequestPriority::submission ? kAgain : 0});
   pump();
 }
@@ -315,7 +315,7 @@
   std::string path = "/store?starts=" + encode_query(prefix) + "&limit=1000";
   if (!after.empty()) path += "&after=" + encode_query(after);
   enqueue(RequestPriority::leader_commit,
-          {EVHTTP_REQ_GET, path, {}, "application/json", kDeadline * 2.0}, 0,
+          {EVHTTP_REQ_GET, path, {}, "application/json", kDeadline * 2}, 0,
           [then = std::move(then)](const HttpReply& reply) {
             RangeResult result;
             json::Document doc;
@@ -391,7 +391,7 @@
   requests_.take(clock_.steady(), 1);
   watch_http_.send({EVHTTP_REQ_GET,
                     "/changes?starts=" + encode_query(prefix) + "&after=" +
-                        std::to_string(after.get()) + "&hold_ms=" + std::to_string(hold.ms),
+                        std::to_string(after.get()) + "&hold_ms=" + std::to_string(hold.count()),
                     {},
                     "application/json",
                     hold + kDeadline},
@@ -400,7 +400,7 @@
 
 void StoreClient::create_lease(Duration ttl, std::function<void(LeaseResult)> then) {
   json::Writer body;
-  body.open().put("ttl_ms", ttl.ms).close();
+  body.open().put("ttl_ms", ttl.count()).close();
   requests_.take(clock_.steady(), 1);
   lease_http_.send({EVHTTP_REQ_POST, "/leases", body.str(), "application/json", kDeadline},
                    [then = std::move(then)](const HttpReply& reply) {
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -173,7 +173,7 @@
   std::array<std::deque<Job>, kRequestPriorities> queues_;
   bool short_of_requests_ = false;  // something waited for the budget since the last look
   bool short_of_writes_ = false;
-  SteadyTime last_refused_{-1'000'000};
+  SteadyTime last_refused_ = kLongAgo;
   Timer pump_timer_;
   Timer adapt_timer_;
 };
--- a/src/store/watch_cache.hpp
+++ b/src/store/watch_cache.hpp
@@ -112,7 +112,7 @@
   std::deque<Waiting> waiting_;
   SteadyTime last_follow_{};
   Backoff backoff_;
-  Duration pace_;  // between two openings of the watch
+  Duration pace_{};  // between two openings of the watch
   Timer retry_;
   Timer follow_later_;
   Timer give_up_;
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -753,9 +753,9 @@
       std::vector<UserAnswer> answers;
       const auto take = [&](const UserAnswer& a) { answers.push_back(a); };
       ask(what, job_id, take);
-      clock_.advance(patience * 0.5);
+      clock_.advance(scaled(patience, 0.5));
       EXPECT_TRUE(answers.empty()) << "there is time left";
-      clock_.advance(patience * 0.45);
+      clock_.advance(scaled(patience, 0.45));
       ASSERT_EQ(answers.size(), 1U);
       EXPECT_EQ(answers.front().status, 503);
       EXPECT_GT(answers.front().retry_after_s, 0);
--- a/tests/cancellation_outage_test.cpp
+++ b/tests/cancellation_outage_test.cpp
@@ -14,8 +14,8 @@
 
 PeerCancellationList word(SteadyTime asked, WallTime asked_wall, WallTime began, WallTime fresh) {
   PeerCancellationList out{asked, asked_wall, {}};
-  out.list.began_ms = began.ms;
-  out.list.fresh_ms = fresh.ms;
+  out.list.began_ms = unix_milliseconds(began);
+  out.list.fresh_ms = unix_milliseconds(fresh);
   out.list.complete = true;
   return out;
 }
@@ -24,16 +24,19 @@
  protected:
   // Two peers that began long ago; our records are fresh up to 10 s, theirs up to 12 s.
   std::vector<std::optional<PeerCancellationList>> words_{
-      word(SteadyTime{14'000}, WallTime{14'000}, WallTime{1'000}, WallTime{12'000}),
-      word(SteadyTime{14'500}, WallTime{14'500}, WallTime{2'000}, WallTime{12'000})};
+      word(SteadyTime{Duration{14'000}}, WallTime{Duration{14'000}}, WallTime{Duration{1'000}},
+           WallTime{Duration{12'000}}),
+      word(SteadyTime{Duration{14'500}}, WallTime{Duration{14'500}}, WallTime{Duration{2'000}},
+           WallTime{Duration{12'000}})};
   std::optional<SteadyTime> until() {
-    return vouching_.until(SteadyTime{15'000}, WallTime{15'000}, WallTime{10'000}, words_);
+    return vouching_.until(SteadyTime{Duration{15'000}}, WallTime{Duration{15'000}},
+                           WallTime{Duration{10'000}}, words_);
   }
   Vouching vouching_{Duration{50}};
 };
 
 TEST_F(VouchingTest, CountsFromTheQuestionThatWasSentFirst) {
-  EXPECT_EQ(until(), SteadyTime{14'000});
+  EXPECT_EQ(until(), SteadyTime{Duration{14'000}});
 }
 
 TEST_F(VouchingTest, OnePeerThatIsSilentOrCutItsListIsEnoughToDenyIt) {
@@ -56,8 +59,8 @@
 TEST_F(VouchingTest, GoesOnFromRoundToRoundAsLongAsAllAnswer) {
   ASSERT_TRUE(until());
   // The second peer restarts after what all had vouched for: not known any more from then on.
-  words_[0]->asked = SteadyTime{15'000};
-  words_[1]->asked = SteadyTime{15'000};
+  words_[0]->asked = SteadyTime{Duration{15'000}};
+  words_[1]->asked = SteadyTime{Duration{15'000}};
   words_[1]->list.began_ms = 13'800;
   EXPECT_TRUE(until()) << "nothing was confirmed beyond our knowledge before it began";
   words_[1]->list.began_ms = 14'600;
@@ -66,7 +69,7 @@
 
 TEST_F(VouchingTest, AControllerWithoutPeersKnowsAllItHasConfirmed) {
   words_.clear();
-  EXPECT_EQ(until(), SteadyTime{15'000});
+  EXPECT_EQ(until(), SteadyTime{Duration{15'000}});
 }
 
 /// A worker by the protocol: its lease, its epoch, its tasks; what it does with a `kill` is up to
@@ -119,7 +122,7 @@
   std::vector<std::string> tasks_;
   std::uint64_t session_ = 1;
   std::uint64_t seen_ = 0;
-  SteadyTime answered_{10'000'000};
+  SteadyTime answered_{Duration{10'000'000}};
 };
 
 /// The holder of a shard is refused by the state service; a peer confirms the cancellation of
@@ -163,7 +166,7 @@
   /// Workers heartbeat; the state service refuses this controller; the peer answers heartbeats, if
   /// it does.
   void pass(Duration duration) {
-    for (std::int64_t at = 0; at < duration.ms; at += 1'000) {
+    for (std::int64_t at = 0; at < duration.count(); at += 1'000) {
       if (!informed_) store_.scripts.assign(50, Script::refuse);
       if (peer_) ask_peer();
       run(Duration{1'000});
@@ -184,10 +187,10 @@
   /// A peer that began long ago, whose records are fresh until now, and that lists req-1.
   [[nodiscard]] CancellationList peer_list() const {
     CancellationList list;
-    list.began_ms = time_.wall().ms - 1'000'000;
-    list.fresh_ms = time_.wall().ms;
+    list.began_ms = unix_milliseconds(time_.wall()) - 1'000'000;
+    list.fresh_ms = unix_milliseconds(time_.wall());
     list.complete = true;
-    list.items = {{"req-1", confirmed_wall_.ms}};
+    list.items = {{"req-1", unix_milliseconds(confirmed_wall_)}};
     return list;
   }
 
@@ -212,7 +215,7 @@
   peer_ = peer_list();
   pass(Duration{2'000});
   EXPECT_FALSE(first_.has_tasks());
-  pass(settings_.workers.cancel * 2.0);
+  pass(settings_.workers.cancel * 2);
   EXPECT_TRUE(second_.has_tasks()) << "all peers vouch that nothing else was cancelled";
   EXPECT_EQ(second_.epoch(), 1U);
 }
@@ -227,7 +230,7 @@
 TEST_F(CancellationOutageTest, APeerThatRestartedAfterItConfirmedDoesNotVouch) {
   both_run();
   peer_ = peer_list();
-  peer_->began_ms = time_.wall().ms + 500;
+  peer_->began_ms = unix_milliseconds(time_.wall()) + 500;
   peer_->fresh_ms = 0;
   peer_->items.clear();
   EXPECT_TRUE(gone_in_time());
@@ -399,7 +402,7 @@
 
 TEST_F(CancellationsTest, NonsenseIsLeftOut) {
   CancellationList list;
-  list.items = {{"", 1}, {"x y", 1}, {"req-7", time_.wall().ms + 1'000'000}};
+  list.items = {{"", 1}, {"x y", 1}, {"req-7", unix_milliseconds(time_.wall()) + 1'000'000}};
   cancellations_.hear(list);
   EXPECT_EQ(cancellations_.list().items.size(), 1U);
   EXPECT_EQ(cancellations_.cancelled_at(JobId("req-7")), time_.wall()) << "never in the future";
--- a/tests/failed_start_test.cpp
+++ b/tests/failed_start_test.cpp
@@ -83,7 +83,7 @@
     Plan running = start.plan;
     for (Placement& placement : running.placements) {
       text.append(1, ' ').append(profile_.machines()[placement.machine].machine_id.get());
-      placement.start = WallTime{0};
+      placement.start = WallTime{};
     }
     const Owner owner{++runs_ | (1ULL << 40)};
     // Ends drift from their estimates in both directions.
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -149,9 +149,9 @@
   t.zone = ZoneId("a");
   t.machine_id = MachineId("vm-1");
   t.epoch = WorkerEpoch(2);
-  t.since = {5};
-  t.running = {6};
-  t.progress = {7};
+  t.since = from_unix_milliseconds(5);
+  t.running = from_unix_milliseconds(6);
+  t.progress = Duration{7};
   t.faults = 1;
   t.stop = StopOrder{Duration{9}, "why"};
   const SliceRecord back = again(slice);
@@ -171,8 +171,8 @@
   job.spec = testing::gang("req-1", 3, 2, 50);
   job.spec.deadline = Duration{90'000};
   job.spec.machine_types = {"g8"};
-  job.accepted = {11};
-  job.cancelled = WallTime{12};
+  job.accepted = from_unix_milliseconds(11);
+  job.cancelled = WallTime{Duration{12}};
   const JobRecord job_back = again(job);
   EXPECT_EQ(job_back.spec.task_count, 3U);
   EXPECT_EQ(job_back.spec.deadline, job.spec.deadline);
@@ -197,7 +197,7 @@
     t.zone = ZoneId("laurentides");
     t.machine_id = t.failed_on = MachineId("vm-000231");
     t.epoch = WorkerEpoch(1000);
-    t.since = t.running = {1'800'000'000'000};
+    t.since = t.running = from_unix_milliseconds(1'800'000'000'000);
     t.progress = Duration{1'000'000};
     t.faults = 100;
     t.stop = StopOrder{Duration{100'000}, "displaced for req-000412 (guarantee)"};
@@ -214,7 +214,7 @@
     m.machine_type = "olive-node-large";
     m.zone = ZoneId("laurentides");
     m.state = MachineState::quarantined;
-    m.since = {1'800'000'000'000};
+    m.since = from_unix_milliseconds(1'800'000'000'000);
     m.reclaim_at = m.since;
     m.blamed = JobId("req-" + std::string(20, 'x'));
     for (int k = 0; k < 20; ++k) note_image(m.images, ImageId("img-" + std::to_string(k)), 6, 150);
@@ -252,7 +252,7 @@
 
 TEST(Grants, KeepTheFirstNoteAndTheLatest) {
   GuaranteeRecord guarantee_record;
-  for (int i = 0; i < 50; ++i) guarantee_record.note({i}, std::to_string(i));
+  for (int i = 0; i < 50; ++i) guarantee_record.note(from_unix_milliseconds(i), std::to_string(i));
   EXPECT_LE(guarantee_record.notes.size(), 16U);
   EXPECT_EQ(guarantee_record.notes.front().what, "0");
   EXPECT_EQ(guarantee_record.notes.back().what, "49");
--- a/tests/guest_work_test.cpp
+++ b/tests/guest_work_test.cpp
@@ -104,7 +104,7 @@
   Profile profile;
   profile.add_machine(machine("idle", 2));
   const auto busy = profile.add_machine(machine("busy", 2));
-  profile.take(busy, TeamId("crew"), {WallTime{0}, at(1000), {0, 2, 0}, Owner(1)});
+  profile.take(busy, TeamId("crew"), {WallTime{}, at(1000), {0, 2, 0}, Owner(1)});
   for (int i = 0; i < 8; ++i) {
     const JobSpec probe = low("req-" + std::to_string(i), "guest", 10);
     QueueItem asked = item(probe, 2);
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -10,7 +10,9 @@
 
 namespace marblevale::testing {
 
-inline WallTime at(double seconds) { return {static_cast<std::int64_t>(seconds * 1000)}; }
+inline WallTime at(double seconds) {
+  return from_unix_milliseconds(static_cast<std::int64_t>(seconds * 1000));
+}
 
 inline JobSpec gang(const std::string& job_id, std::uint32_t task_count, double gpus,
                     double seconds) {
--- a/tests/holder_fixture.hpp
+++ b/tests/holder_fixture.hpp
@@ -53,7 +53,7 @@
 
   /// Time passes while the state service keeps the watch informed.
   void run(Duration duration) {
-    for (std::int64_t at = 0; at < duration.ms; at += 10) {
+    for (std::int64_t at = 0; at < duration.count(); at += 10) {
       time_.advance(Duration{10});
       if (informed_) store_.tell_watch();
     }
--- a/tests/late_message_test.cpp
+++ b/tests/late_message_test.cpp
@@ -32,7 +32,7 @@
   /// vm-1 reports to nobody, but answers orders; vm-2 reports as its times have it.
   void heartbeats_lost_for(Duration duration, std::uint64_t epoch, const std::string& parts,
                            int status = 200) {
-    for (std::int64_t at = 0; at < duration.ms; at += 500) {
+    for (std::int64_t at = 0; at < duration.count(); at += 500) {
       if (at % 3000 == 0) handle_heartbeat(1, token(), "", "vm-2");
       answer_orders(status, epoch, parts);
       run(Duration{500});
@@ -279,7 +279,7 @@
   give_shard("other", 9);
   give_shard("me", 7);
   const auto heartbeats = [&](Duration duration) {
-    for (std::int64_t at = 0; at < duration.ms; at += 3000) {
+    for (std::int64_t at = 0; at < duration.count(); at += 3000) {
       handle_heartbeat(1,
                        old);  // the task has ended and its end is lost, or this is an old heartbeat
       handle_heartbeat(1, token(), "", "vm-2");
--- a/tests/leader_change_test.cpp
+++ b/tests/leader_change_test.cpp
@@ -13,7 +13,7 @@
  protected:
   /// The state service is out: commits are refused, and open watches wait.
   void outage(Duration duration) {
-    for (std::int64_t at = 0; at < duration.ms; at += 10) {
+    for (std::int64_t at = 0; at < duration.count(); at += 10) {
       store_.scripts.assign(100, Script::refuse);
       time_.advance(Duration{10});
     }
--- a/tests/leader_fixture.hpp
+++ b/tests/leader_fixture.hpp
@@ -91,7 +91,7 @@
   }
 
   void run(Duration duration) {
-    for (std::int64_t at = 0; at < duration.ms; at += 10) {
+    for (std::int64_t at = 0; at < duration.count(); at += 10) {
       time_.advance(Duration{10});
       store_.tell_watch();
     }
--- a/tests/lowered_limits_test.cpp
+++ b/tests/lowered_limits_test.cpp
@@ -38,8 +38,8 @@
     t.machine_id = MachineId("vm-0" + std::to_string(12'345 + i));
     t.failed_on = MachineId("vm-0" + std::to_string(54'321 + i));
     t.epoch = WorkerEpoch(2 + i);
-    t.since = {1'800'000'000'000 + n * 999'123};
-    t.running = {t.since.ms + 95'000};
+    t.since = from_unix_milliseconds(1'800'000'000'000 + n * 999'123);
+    t.running = t.since + Duration{95'000};
     t.progress = Duration{1'234'567};
     t.faults = 9;
     t.stop = StopOrder{Duration{12'345}, "displaced for req-" + std::to_string(i) + " (guarantee)"};
@@ -69,7 +69,7 @@
   slice.job_id = JobId("req-1");
   slice.number = 3;
   slice.tasks.resize(30);
-  slice.tasks[0].since = {1'800'000'000'000};
+  slice.tasks[0].since = from_unix_milliseconds(1'800'000'000'000);
   TaskRecord& bound = slice.tasks[1];
   bound = largest_slice().tasks[5];
   bound.machine_id = MachineId("a-machine-without-number");
@@ -79,9 +79,9 @@
   released.attempt = Attempt(1);
   released.zone = ZoneId("a");
   released.machine_id = MachineId("vm-000007");
-  released.since = {1'800'000'000'001};
+  released.since = from_unix_milliseconds(1'800'000'000'001);
   slice.tasks[3].state = TaskState::done;
-  slice.tasks[3].since = {1'799'999'999'999};
+  slice.tasks[3].since = from_unix_milliseconds(1'799'999'999'999);
   const std::string text = encode(slice, {encode(slice).size() - 1, true});
   ASSERT_NE(text, encode(slice));
   const auto back = read_back<SliceRecord>(text);
@@ -113,7 +113,7 @@
     EXPECT_TRUE(back.tasks[i].stop);
     EXPECT_LE(back.tasks[i].since, slice.tasks[i].since);
     EXPECT_GT(back.tasks[i].since + Duration{1000}, slice.tasks[i].since);
-    EXPECT_NE(back.tasks[i].running.ms, 0);
+    EXPECT_NE(back.tasks[i].running, WallTime{});
   }
   EXPECT_EQ(encode(back, kLowered), text) << "written again it changes no further";
 }
@@ -156,7 +156,7 @@
     m.machine_type = "olive-node-large";
     m.zone = ZoneId("laurentides");
     m.state = MachineState::quarantined;
-    m.since = {1'800'000'000'000 + static_cast<std::int64_t>(i) * 999'999};
+    m.since = from_unix_milliseconds(1'800'000'000'000 + static_cast<std::int64_t>(i) * 999'999);
     m.reclaim_at = m.since + Duration{15'000};
     m.spot = i % 2 == 0;
     if (blamed) m.blamed = JobId("req-" + std::string(30, 'x') + std::to_string(10 + i));
@@ -206,7 +206,8 @@
   guarantee_record.job_id = JobId("req-" + std::string(32, 'x'));
   FinalRecord ended;
   for (int i = 0; i < 16; ++i) {
-    guarantee_record.note({i}, std::to_string(i) + " " + std::string(200, 'y'));
+    guarantee_record.note(from_unix_milliseconds(i),
+                          std::to_string(i) + " " + std::string(200, 'y'));
   }
   ended.notes = guarantee_record.notes;
   const std::string text = encode(guarantee_record, kLoweredBytes);
--- a/tests/open_releases_test.cpp
+++ b/tests/open_releases_test.cpp
@@ -103,7 +103,7 @@
     answer(id, Outcome::refused);
     const SteadyTime begin = time_.steady();
     while (releases_.due(time_.steady()).empty()) time_.advance(Duration{100});
-    pauses.push_back((time_.steady() - begin).ms);
+    pauses.push_back((time_.steady() - begin).count());
   }
   EXPECT_EQ(pauses, (std::vector<std::int64_t>{400, 800, 1'600, 3'200, 3'200, 3'200}));
 }
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -367,7 +367,7 @@
   const std::size_t first = p.add_machine(lean);
   const std::size_t second = p.add_machine(broad);
   // The lean one is the fuller, which would decide between equals.
-  p.take(first, TeamId("crew"), {WallTime{0}, at(100), {6, 1, 24}, Owner{99}});
+  p.take(first, TeamId("crew"), {WallTime{}, at(100), {6, 1, 24}, Owner{99}});
   JobSpec job = batch("req-a", 1, 1, 60);
   job.need = {6, 1, 48};
   const Plan plan = p.fit_some(item(job, 1).demand, at(0));
@@ -515,7 +515,7 @@
       for (const Placement& s : start.plan.placements) {
         running_.emplace_back(
             planner.profile().machines()[s.machine].machine_id,
-            Allocation{WallTime{0}, s.end, entry->demand.job->need, Owner{++serial_}});
+            Allocation{WallTime{}, s.end, entry->demand.job->need, Owner{++serial_}});
       }
       entry->demand.tasks -= static_cast<std::uint32_t>(start.task_indices.size());
       entry->task_indices.resize(entry->demand.tasks);
@@ -527,7 +527,7 @@
     now_ += 1;
   }
   [[nodiscard]] double granted(const std::string& job_id) const {
-    return static_cast<double>(reservations_.at(JobId(job_id)).first.ms) / 1000;
+    return to_seconds(reservations_.at(JobId(job_id)).first.time_since_epoch());
   }
   [[nodiscard]] std::optional<double> began(const std::string& job_id) const {
     const auto it = began_.find(job_id);
--- a/tests/quota_under_faults_test.cpp
+++ b/tests/quota_under_faults_test.cpp
@@ -92,13 +92,13 @@
 
   void run_troubles() {
     for (Duration at{}; at < kTroubles; at = at + SimulatedCluster::kStep) {
-      if (at.ms % 200 == 0) {
+      if (at.count() % 200 == 0) {
         submit_some();
         change_conditions();
       }
       cluster_.step();
       const std::string found = violation();
-      ASSERT_EQ(found, "") << "after " << at.ms << " ms of troubles";
+      ASSERT_EQ(found, "") << "after " << at.count() << " ms of troubles";
     }
   }
 
--- a/tests/release_outcome_test.cpp
+++ b/tests/release_outcome_test.cpp
@@ -25,7 +25,7 @@
 
   /// Time passes, and the watch tells nothing.
   void run_without_watch(Duration duration) {
-    for (std::int64_t at = 0; at < duration.ms; at += 10) time_.advance(Duration{10});
+    for (std::int64_t at = 0; at < duration.count(); at += 10) time_.advance(Duration{10});
   }
 
   /// What becomes of the first commit that writes the job's slice; its repeats are refused so
--- a/tests/scripted_store.hpp
+++ b/tests/scripted_store.hpp
@@ -22,12 +22,12 @@
 /// Time that stands still until the test moves it; timers fire in their order on the way.
 class FakeTime : public Clock, public TimerQueue {
  public:
-  [[nodiscard]] SteadyTime steady() const override { return {now_}; }
-  [[nodiscard]] WallTime wall() const override { return {now_ + 1'000'000}; }
+  [[nodiscard]] SteadyTime steady() const override { return SteadyTime{Duration{now_}}; }
+  [[nodiscard]] WallTime wall() const override { return from_unix_milliseconds(now_ + 1'000'000); }
 
   void arm(Timer& timer, Duration after) override {
     disarm(timer);
-    due_.emplace(std::make_pair(now_ + after.ms, serial_++), &timer);
+    due_.emplace(std::make_pair(now_ + after.count(), serial_++), &timer);
   }
   void disarm(Timer& timer) override {
     std::erase_if(due_, [&](const auto& entry) { return entry.second == &timer; });
@@ -38,7 +38,7 @@
   }
 
   void advance(Duration by) {
-    const std::int64_t until = now_ + by.ms;
+    const std::int64_t until = now_ + by.count();
     while (!due_.empty() && due_.begin()->first.first <= until) {
       now_ = std::max(now_, due_.begin()->first.first);
       Timer* timer = due_.begin()->second;
@@ -49,7 +49,7 @@
   }
 
   /// The clocks run on, and nothing is done meanwhile: all that was due is late.
-  void stand_still(Duration duration) { now_ += duration.ms; }
+  void stand_still(Duration duration) { now_ += duration.count(); }
 
  private:
   std::int64_t now_ = 10'000'000;
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -23,10 +23,11 @@
  public:
   explicit EventQueue(const Clock& clock) : clock_(clock) {}
   void after(Duration delay, std::function<void()> action) {
-    events_.emplace(clock_.steady().ms + delay.ms, std::move(action));
+    events_.emplace(clock_.steady().time_since_epoch().count() + delay.count(), std::move(action));
   }
   void run_due() {
-    while (!events_.empty() && events_.begin()->first <= clock_.steady().ms) {
+    while (!events_.empty() &&
+           events_.begin()->first <= clock_.steady().time_since_epoch().count()) {
       const auto action = std::move(events_.begin()->second);
       events_.erase(events_.begin());
       action();
@@ -205,7 +206,7 @@
     for (auto& [id, task] : tasks_) {
       if (!task.ended && now >= task.until) task = {true, "done", now};
     }
-    if (last_answered_.ms == 0) last_answered_ = now;
+    if (last_answered_ == SteadyTime{}) last_answered_ = now;
     if (now - last_answered_ <= lease) return;
     tasks_.clear();
     ++session_;
--- a/tests/standing_jobs_test.cpp
+++ b/tests/standing_jobs_test.cpp
@@ -32,8 +32,8 @@
 TEST(Replica, IsNeverDone) {
   const JobSpec job = standing("req-1", 2, 1);
   for (const char* cause : {"done", "error", "halted", "machine gone", "lease lost"}) {
-    TaskRecord task = running_since({1'000'000});
-    apply_end(task, job, cause, true, WallTime{2'000'000});
+    TaskRecord task = running_since(from_unix_milliseconds(1'000'000));
+    apply_end(task, job, cause, true, WallTime{Duration{2'000'000}});
     EXPECT_EQ(task.state, TaskState::idle) << cause;
     EXPECT_EQ(task.progress, Duration{0}) << "it has no work that could be saved";
     EXPECT_EQ(task.machine_id, MachineId{});
@@ -44,20 +44,20 @@
   const JobSpec job = standing("req-1", 2, 1);
   TaskRecord task;
   for (std::uint32_t n = 1; n <= 4; ++n) {
-    task = running_since({1'000'000});
+    task = running_since(from_unix_milliseconds(1'000'000));
     task.faults = n - 1;
-    apply_end(task, job, n % 2 == 0 ? "error" : "done", false, WallTime{1'001'000});
+    apply_end(task, job, n % 2 == 0 ? "error" : "done", false, WallTime{Duration{1'001'000}});
     EXPECT_EQ(task.faults, n);
     EXPECT_EQ(task.failed_on, MachineId("vm-1"));
   }
   // One that had run for long failed for the first time: it runs again at once.
-  task = running_since({1'000'000});
+  task = running_since(from_unix_milliseconds(1'000'000));
   task.faults = 4;
-  apply_end(task, job, "error", false, WallTime{1'000'000} + kProvenReplicaRun);
+  apply_end(task, job, "error", false, WallTime{Duration{1'000'000}} + kProvenReplicaRun);
   EXPECT_EQ(task.faults, 1U);
-  task = running_since({1'000'000});
+  task = running_since(from_unix_milliseconds(1'000'000));
   task.faults = 4;
-  apply_end(task, job, "machine gone", false, WallTime{1'001'000});
+  apply_end(task, job, "machine gone", false, WallTime{Duration{1'001'000}});
   EXPECT_EQ(task.faults, 4U) << "the loss of a machine is not its fault";
 }
 
@@ -220,7 +220,7 @@
 // part of a lease later like others that fell silent.
 TEST_F(StandingLeaderTest, ASilentMachineWithAReplicaIsGivenUpOnceItsLeaseIsOver) {
   const Duration lease_over =
-      settings_.workers.lease - settings_.workers.heartbeat * kSilentHeartbeats;
+      settings_.workers.lease - scaled(settings_.workers.heartbeat, kSilentHeartbeats);
   machine_in_state("vm-1", MachineState::silent);
   machine_in_state("vm-2", MachineState::silent);
   begin();
@@ -243,15 +243,16 @@
   records.jobs[spec.job_id] = {JobRecord{spec, {}, std::nullopt}, ModRevision(1)};
   SliceRecord slice;
   slice.job_id = spec.job_id;
-  slice.tasks = {running_since({1'000}), TaskRecord{}};
+  slice.tasks = {running_since(from_unix_milliseconds(1'000)), TaskRecord{}};
   records.slices[{spec.job_id, 0}] = {slice, ModRevision(1)};
   records.placed[sick.machine_id][{spec.job_id, 0}] = Attempt(1);
-  EXPECT_TRUE(find_evacuations(records, WallTime{5'000}).empty());
-  records.slices[{spec.job_id, 0}].record.tasks[1] = running_since({1'000});
+  EXPECT_TRUE(find_evacuations(records, WallTime{Duration{5'000}}).empty());
+  records.slices[{spec.job_id, 0}].record.tasks[1] = running_since(from_unix_milliseconds(1'000));
   records.slices[{spec.job_id, 0}].record.tasks[1].machine_id = MachineId("vm-2");
-  EXPECT_EQ(find_evacuations(records, WallTime{5'000}).size(), 1U);
-  records.jobs[spec.job_id].record.cancelled = WallTime{4'000};
-  EXPECT_TRUE(find_evacuations(records, WallTime{5'000}).empty()) << "its stops are under way";
+  EXPECT_EQ(find_evacuations(records, WallTime{Duration{5'000}}).size(), 1U);
+  records.jobs[spec.job_id].record.cancelled = WallTime{Duration{4'000}};
+  EXPECT_TRUE(find_evacuations(records, WallTime{Duration{5'000}}).empty())
+      << "its stops are under way";
 }
 
 /// One machine of 100 CPUs of which 60 are in use for 50 s more, and are reserved whole after that.
@@ -259,7 +260,7 @@
  protected:
   StandingPlanTest() {
     profile_.add_machine(testing::machine("m", 8));
-    Plan running{{{0, WallTime{0}, testing::at(150)}}};
+    Plan running{{{0, WallTime{}, testing::at(150)}}};
     JobSpec running_job = testing::gang("req-0", 1, 8, 150);
     running_job.need.cpus = 60;
     profile_.take(running, running_job, Owner{99});
@@ -291,7 +292,7 @@
       reservations_.erase(replica_.job_id);
       profile_.release(Owner{1});
       Plan running = starts.front().plan;
-      for (Placement& place : running.placements) place.start = WallTime{0};
+      for (Placement& place : running.placements) place.start = WallTime{};
       profile_.take(running, replica_, Owner{98});
     }
     return starts;
@@ -361,7 +362,7 @@
   const JobSpec spec = standing("req-1", 3, 0);
   records.jobs[spec.job_id] = {JobRecord{spec, {}, std::nullopt}, ModRevision(1)};
   const auto none = [](const JobId&, std::uint32_t) -> const SliceRecord* { return nullptr; };
-  const auto queue = build_queue(records, settings, none, WallTime{1'000}, true);
+  const auto queue = build_queue(records, settings, none, WallTime{Duration{1'000}}, true);
   ASSERT_EQ(queue.size(), 1U);
   EXPECT_FALSE(queue[0].demand.lean);
 }
--- a/tests/worker_partition_test.cpp
+++ b/tests/worker_partition_test.cpp
@@ -51,7 +51,7 @@
   }
   /// Heartbeats as its times have it, each of which is answered.
   void heartbeat_for(Duration duration, std::uint64_t epoch, const std::string& parts = "") {
-    for (std::int64_t at = 0; at < duration.ms; at += 3000) {
+    for (std::int64_t at = 0; at < duration.count(); at += 3000) {
       handle_heartbeat(epoch, token(), parts);
       run(Duration{3000});
     }
@@ -303,7 +303,7 @@
   run(Duration{100});
   const auto last = sequence_;
   const auto others_heartbeat = [this](Duration duration) {
-    for (std::int64_t at = 0; at < duration.ms; at += 3000) {
+    for (std::int64_t at = 0; at < duration.count(); at += 3000) {
       handle_heartbeat(1, token(), "", "vm-2");
       run(Duration{3000});
     }
