--- a/src/core/time.hpp
+++ b/src/core/time.hpp
@@ -66,7 +66,9 @@
   return WallTime{round_up(time.time_since_epoch(), step)};
 }
 
+/// Deleted: the standard library would give fractions of milliseconds. Use `scaled`.
 Duration operator*(Duration, double) = delete;
+
 class Clock {
  public:
   virtual ~Clock() = default;
