--- a/src/api/feasibility.cpp
+++ b/src/api/feasibility.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Zones in which some machine type may take a task of the job.
-std::set<ZoneId> zones_that_fit(const JobSpec& job, const std::vector<MachineType>& types) {
+std::set<ZoneId> feasible_zones(const JobSpec& job, const std::vector<MachineType>& types) {
   std::set<ZoneId> zones;
   for (const MachineType& type : types) {
     PlanMachine machine;
@@ -25,7 +25,7 @@
 }
 
 /// All tasks of a gang and of a standing job run at the same time.
-bool runs_whole(const JobSpec& job) { return job.gang() || job.endless(); }
+bool runs_all_tasks_at_once(const JobSpec& job) { return job.gang() || job.endless(); }
 
 /// The record as it is once the job is cancelled: its largest form.
 std::size_t largest_record_bytes(const JobSpec& job) {
@@ -35,18 +35,18 @@
 
 }  // namespace
 
-std::optional<std::string> why_impossible(const JobSpec& job, const Settings& settings,
-                                          const std::vector<MachineType>& types,
-                                          std::size_t max_record_bytes) {
+std::optional<std::string> infeasibility_reason(const JobSpec& job, const Settings& settings,
+                                                const std::vector<MachineType>& types,
+                                                std::size_t max_record_bytes) {
   const Team* team = settings.team(job.team);
   if (team == nullptr) return "unknown team " + job.team.get();
-  const double tasks = runs_whole(job) ? job.task_count : 1;
+  const double tasks = runs_all_tasks_at_once(job) ? job.task_count : 1;
   if (!fits(job.need * tasks, team->limit())) return "needs more than the team's limit";
-  const std::set<ZoneId> zones = zones_that_fit(job, types);
+  const std::set<ZoneId> zones = feasible_zones(job, types);
   if (zones.empty()) return "a task fits no allowed machine type";
   // Tasks that run at the same time, at most half of them in one zone, need a second one. Those of
   // an array may run one half after the other.
-  const bool several = job.task_count > 1 && runs_whole(job);
+  const bool several = job.task_count > 1 && runs_all_tasks_at_once(job);
   if (several && job.spread && (job.together || zones.size() < 2)) {
     return "tasks that must be spread can be in one zone only";
   }
--- a/src/api/feasibility.hpp
+++ b/src/api/feasibility.hpp
@@ -13,8 +13,8 @@
 
 /// The reason why the job can never run; nothing when it may. `max_record_bytes`: what the state
 /// service takes of one value, for as long as the job may be there.
-std::optional<std::string> why_impossible(const JobSpec& job, const Settings& settings,
-                                          const std::vector<MachineType>& types,
-                                          std::size_t max_record_bytes);
+std::optional<std::string> infeasibility_reason(const JobSpec& job, const Settings& settings,
+                                                const std::vector<MachineType>& types,
+                                                std::size_t max_record_bytes);
 
 }  // namespace marblevale
--- a/src/api/admission.cpp
+++ b/src/api/job_api.cpp
@@ -1,4 +1,4 @@
-#include "api/admission.hpp"
+#include "api/job_api.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -7,37 +7,37 @@
 #include <utility>
 
 #include "api/feasibility.hpp"
-#include "api/why.hpp"
+#include "api/job_explanation.hpp"
 
 namespace marblevale {
 
 namespace {
 
-constexpr std::size_t kMaxBody = std::size_t{64} * 1024;
-constexpr std::size_t kMaxFinals = 2000;
-constexpr std::size_t kMaxReads = 300;
-constexpr std::size_t kMaxUnanswered = 2000;
+constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
+constexpr std::size_t kMaxCachedFinalJobs = 2000;
+constexpr std::size_t kMaxConcurrentReads = 300;
+constexpr std::size_t kMaxUnansweredJobs = 2000;
 // Questions that wait at a time. All of them are answered at one word of the watch: their number
 // bounds how long that holds up leases and reports, and leaves room for cancellations and
 // submissions, which wait for the same word.
-constexpr std::size_t kMaxOpenQuestions = 400;
-constexpr Duration kNearlyForgotten{45'000};
-constexpr int kTries = 3;
+constexpr std::size_t kMaxOpenQueries = 400;
+constexpr Duration kUnansweredWarningInterval{45'000};
+constexpr int kMaxCommitAttempts = 3;
 constexpr int kRetryAfterSeconds = 2;
-constexpr int kQuestionRetryAfterSeconds = 1;
+constexpr int kQueryRetryAfterSeconds = 1;
 // Users wait 2 s for the answer to a question and 5 s for the others: what isn't known by then is
 // said so, while they still listen.
-constexpr Duration kQuestionTime{1'700};
-constexpr Duration kRequestTime{4'500};
+constexpr Duration kQueryDeadline{1'700};
+constexpr Duration kWriteDeadline{4'500};
 
-UserAnswer error(int status, const std::string& what, int retry_after_s = 0) {
+UserAnswer error_answer(int status, const std::string& what, int retry_after_s = 0) {
   json::Writer out;
   out.open().put("error", what).close();
   return {status, out.str(), retry_after_s};
 }
 
-UserAnswer undecided() {
-  return error(503, "the state service does not answer", kRetryAfterSeconds);
+UserAnswer unavailable_answer() {
+  return error_answer(503, "the state service does not answer", kRetryAfterSeconds);
 }
 
 UserAnswer state(const JobId& job_id, const char* status) {
@@ -55,10 +55,10 @@
 }
 
 /// An answer that is given once.
-class OpenAnswer {
+class DeadlineAnswer {
  public:
-  OpenAnswer(Loop& loop, Duration limit, Answer answer)
-      : answer_(std::move(answer)), timer_(loop, [this] { give(undecided()); }) {
+  DeadlineAnswer(Loop& loop, Duration limit, AnswerHandler answer)
+      : answer_(std::move(answer)), timer_(loop, [this] { give(unavailable_answer()); }) {
     timer_.start(limit);
   }
   void give(const UserAnswer& a) {
@@ -68,32 +68,32 @@
   }
 
  private:
-  Answer answer_;
+  AnswerHandler answer_;
   Timer timer_;
 };
 
 /// One more open question, until this is dropped.
-class QuestionSlot {
+class OpenQuerySlot {
  public:
-  explicit QuestionSlot(std::shared_ptr<std::size_t> open) : open_(std::move(open)) { ++*open_; }
-  ~QuestionSlot() { --*open_; }
-  QuestionSlot(const QuestionSlot&) = delete;
-  QuestionSlot& operator=(const QuestionSlot&) = delete;
+  explicit OpenQuerySlot(std::shared_ptr<std::size_t> open) : open_(std::move(open)) { ++*open_; }
+  ~OpenQuerySlot() { --*open_; }
+  OpenQuerySlot(const OpenQuerySlot&) = delete;
+  OpenQuerySlot& operator=(const OpenQuerySlot&) = delete;
 
  private:
   std::shared_ptr<std::size_t> open_;
 };
 
 /// The answer, or a 503 when none has come within the limit; what comes later is dropped.
-Answer in_time(Loop& loop, Duration limit, Answer answer) {
-  return [open = std::make_shared<OpenAnswer>(loop, limit, std::move(answer))](
+AnswerHandler in_time(Loop& loop, Duration limit, AnswerHandler answer) {
+  return [open = std::make_shared<DeadlineAnswer>(loop, limit, std::move(answer))](
              const UserAnswer& a) { open->give(a); };
 }
 
 }  // namespace
 
-Admission::Admission(Loop& loop, const Clock& clock, const Settings& settings, Store& store,
-                     WatchCache& cache, Cancellations& cancellations)
+JobApi::JobApi(Loop& loop, const Clock& clock, const Settings& settings, Store& store,
+               WatchCache& cache, Cancellations& cancellations)
     : loop_(loop),
       clock_(clock),
       settings_(settings),
@@ -101,21 +101,21 @@
       cache_(cache),
       cancellations_(cancellations) {}
 
-void Admission::remember(const FinalRecord& job) {
+void JobApi::cache_final_job(const FinalRecord& job) {
   if (!finals_.emplace(job.job_id, job).second) return;
   finals_order_.push_back(job.job_id);
-  if (finals_order_.size() > kMaxFinals) {
+  if (finals_order_.size() > kMaxCachedFinalJobs) {
     finals_.erase(finals_order_.front());
     finals_order_.pop_front();
   }
 }
 
-const FinalRecord* Admission::remembered(const JobId& job_id) const {
+const FinalRecord* JobApi::cached_final_job(const JobId& job_id) const {
   const auto it = finals_.find(job_id);
   return it == finals_.end() ? nullptr : &it->second;
 }
 
-UserAnswer Admission::state_of(const FinalRecord& job) {
+UserAnswer JobApi::state_of(const FinalRecord& job) {
   json::Writer out;
   out.open()
       .put("uid", job.job_id.get())
@@ -126,7 +126,7 @@
   return {200, out.str(), 0};
 }
 
-UserAnswer Admission::state_of(const JobRecord& job) const {
+UserAnswer JobApi::state_of(const JobRecord& job) const {
   // The counts are for display and may lag; the state itself was just read.
   std::uint64_t done = 0;
   std::uint64_t running = 0;
@@ -150,36 +150,36 @@
   return {200, out.str(), 0};
 }
 
-void Admission::note_cancellation(const Found& f) {
+void JobApi::note_cancellation(const LookupResult& f) {
   // Of a job that is over nothing is left: there is nothing to tell the other controllers.
   if (f.job && f.job->record.cancelled) {
     cancellations_.tell(f.job->record.spec.job_id, *f.job->record.cancelled);
   }
 }
 
-void Admission::note_silence(const JobId& job_id, bool answered) {
+void JobApi::note_answerability(const JobId& job_id, bool answered) {
   if (answered) {
     unanswered_.erase(job_id);
     return;
   }
   const SteadyTime now = clock_.steady();
-  if (unanswered_.size() >= kMaxUnanswered) unanswered_.clear();  // all of them: an outage
+  if (unanswered_.size() >= kMaxUnansweredJobs) unanswered_.clear();  // all of them: an outage
   const auto since = unanswered_.try_emplace(job_id, now).first;
-  if (now - since->second < kNearlyForgotten) return;
+  if (now - since->second < kUnansweredWarningInterval) return;
   // A user who is told nothing for longer takes the job for forgotten.
   spdlog::warn("admission: no request about {} could be answered for {} s", job_id.get(),
                whole_seconds(now - since->second));
   since->second = now;
 }
 
-void Admission::look_up(const JobId& job_id, std::function<void(const Found&)> tell_on) {
+void JobApi::look_up(const JobId& job_id, std::function<void(const LookupResult&)> tell_on) {
   // All that users are told of a job passes here, so a cancellation is noted before it is told.
-  const auto then = [this, job_id, tell_on = std::move(tell_on)](const Found& f) {
+  const auto then = [this, job_id, tell_on = std::move(tell_on)](const LookupResult& f) {
     note_cancellation(f);
-    note_silence(job_id, f.ok);
+    note_answerability(job_id, f.ok);
     tell_on(f);
   };
-  if (const FinalRecord* known = remembered(job_id)) {
+  if (const FinalRecord* known = cached_final_job(job_id)) {
     then({true, std::nullopt, *known});
     return;
   }
@@ -202,7 +202,7 @@
   ask_store(job_id, then);
 }
 
-void Admission::ask_store(const JobId& job_id, std::function<void(const Found&)> then) {
+void JobApi::ask_store(const JobId& job_id, std::function<void(const LookupResult&)> then) {
   // Equal questions share a read, but never one that was sent before the question came: its answer
   // may be older than what another controller has told the user meanwhile.
   const auto it = reading_.find(job_id);
@@ -210,7 +210,7 @@
     it->second.next.push_back(std::move(then));
     return;
   }
-  if (reading_.size() >= kMaxReads) {
+  if (reading_.size() >= kMaxConcurrentReads) {
     then({});
     return;
   }
@@ -218,7 +218,7 @@
   read(job_id);
 }
 
-void Admission::read(const JobId& job_id) {
+void JobApi::read(const JobId& job_id) {
   store_.read(keys::job(job_id), [this, job_id](const ReadResult& r) {
     if (!r.ok) {
       found(job_id, {});
@@ -230,7 +230,7 @@
       look_up_final(job_id);
       return;
     }
-    Found result;
+    LookupResult result;
     if (auto record = decode_entry<JobRecord>(*r.entry)) {
       result.ok = true;
       result.job = Versioned<JobRecord>{std::move(*record), r.entry->mod_revision};
@@ -239,20 +239,20 @@
   });
 }
 
-void Admission::look_up_final(const JobId& job_id) {
+void JobApi::look_up_final(const JobId& job_id) {
   store_.read(keys::final_job(job_id), [this, job_id](const ReadResult& r) {
-    Found result;
+    LookupResult result;
     result.ok = r.ok;
     if (r.ok && r.entry) {
       result.final_job = decode_entry<FinalRecord>(*r.entry);
       result.ok = result.final_job.has_value();
-      if (result.final_job) remember(*result.final_job);
+      if (result.final_job) cache_final_job(*result.final_job);
     }
     found(job_id, result);
   });
 }
 
-void Admission::found(const JobId& job_id, const Found& result) {
+void JobApi::found(const JobId& job_id, const LookupResult& result) {
   const auto it = reading_.find(job_id);
   if (it == reading_.end()) return;
   const auto answered = std::move(it->second.current);
@@ -266,9 +266,10 @@
   for (const auto& then : answered) then(result);
 }
 
-void Admission::tell(const Found& f, const UserAnswer& if_unknown, const Answer& answer) const {
+void JobApi::answer_with_status(const LookupResult& f, const UserAnswer& if_unknown,
+                                const AnswerHandler& answer) const {
   if (!f.ok) {
-    answer(undecided());
+    answer(unavailable_answer());
   } else if (f.job) {
     answer(state_of(f.job->record));
   } else {
@@ -276,20 +277,20 @@
   }
 }
 
-void Admission::submit(const std::string& body, Answer on_answer) {
-  const Answer answer = in_time(loop_, kRequestTime, std::move(on_answer));
+void JobApi::submit(const std::string& body, AnswerHandler on_answer) {
+  const AnswerHandler answer = in_time(loop_, kWriteDeadline, std::move(on_answer));
   json::Document doc;
-  if (body.size() > kMaxBody) {
-    answer(error(400, "the body is over 64 KiB"));
+  if (body.size() > kMaxBodyBytes) {
+    answer(error_answer(400, "the body is over 64 KiB"));
     return;
   }
   if (!json::parse(doc, body)) {
-    answer(error(400, "not a JSON object"));
+    answer(error_answer(400, "not a JSON object"));
     return;
   }
   const auto job_id = json::text(doc, "uid");
   if (!job_id || !valid_job_id(*job_id)) {
-    answer(error(400, "uid: missing or invalid"));
+    answer(error_answer(400, "uid: missing or invalid"));
     return;
   }
   const auto& records = cache_.records();
@@ -297,34 +298,36 @@
   auto job = parse_job(doc, why);
   std::optional<UserAnswer> refusal;
   if (!job) {
-    refusal = error(400, why + ": missing or invalid");
+    refusal = error_answer(400, why + ": missing or invalid");
   } else if (!cache_.ready() || !records.types || records.types->record.empty()) {
-    refusal = error(503, "the machine types are not known yet", 1);
-  } else if (const auto reason = why_impossible(*job, settings_, records.types->record,
-                                                cache_.lasting_value_bytes())) {
-    refusal = error(422, *reason);
+    refusal = error_answer(503, "the machine types are not known yet", 1);
+  } else if (const auto reason = infeasibility_reason(*job, settings_, records.types->record,
+                                                      cache_.lasting_value_bytes())) {
+    refusal = error_answer(422, *reason);
   } else if (records.jobs.size() >= settings_.tuning.max_open_jobs) {
-    refusal = error(503, "too many unfinished jobs", kRetryAfterSeconds * 5);
-  } else if (remembered(job->job_id) != nullptr || records.jobs.contains(job->job_id)) {
-    refusal = undecided();  // it is known: a commit would be in vain
+    refusal = error_answer(503, "too many unfinished jobs", kRetryAfterSeconds * 5);
+  } else if (cached_final_job(job->job_id) != nullptr || records.jobs.contains(job->job_id)) {
+    refusal = unavailable_answer();  // it is known: a commit would be in vain
   }
   if (refusal) {
     // A job that was accepted gets 200 whatever the repetition looks like, and whatever keeps a new
     // one out.
-    look_up(JobId(*job_id), [this, refusal, answer](const Found& f) { tell(f, *refusal, answer); });
+    look_up(JobId(*job_id), [this, refusal, answer](const LookupResult& f) {
+      answer_with_status(f, *refusal, answer);
+    });
     return;
   }
-  create(std::make_shared<JobSpec>(std::move(*job)), kTries, answer);
+  create(std::make_shared<JobSpec>(std::move(*job)), kMaxCommitAttempts, answer);
 }
 
-void Admission::create(std::shared_ptr<JobSpec> job, int tries, Answer answer) {
+void JobApi::create(std::shared_ptr<JobSpec> job, int attempts_left, AnswerHandler answer) {
   JobRecord record{*job, clock_.wall(), std::nullopt};
   Txn txn;
   txn.guard(keys::job(job->job_id), ModRevision{})
       .guard(keys::final_job(job->job_id), ModRevision{});
   txn.put(keys::job(job->job_id), encode(record));
   cache_.commit(RequestPriority::submission, std::move(txn),
-                [this, job, tries, answer](const CommitResult& r) {
+                [this, job, attempts_left, answer](const CommitResult& r) {
                   switch (r.outcome) {
                     case Outcome::done: {
                       spdlog::debug("admission: {} accepted: {} of {}, {} tasks", job->job_id.get(),
@@ -335,58 +338,60 @@
                       return;
                     }
                     case Outcome::conflict:
-                      look_up(job->job_id,
-                              [this, answer](const Found& f) { tell(f, undecided(), answer); });
+                      look_up(job->job_id, [this, answer](const LookupResult& f) {
+                        answer_with_status(f, unavailable_answer(), answer);
+                      });
                       return;
                     case Outcome::unknown:
                       // The same commit again settles it: it passes, or finds that the first one
                       // did.
-                      if (tries > 1) {
-                        create(job, tries - 1, answer);
+                      if (attempts_left > 1) {
+                        create(job, attempts_left - 1, answer);
                         return;
                       }
-                      answer(undecided());
+                      answer(unavailable_answer());
                       return;
                     case Outcome::refused:
                     case Outcome::lease_expired:
-                      answer(undecided());
+                      answer(unavailable_answer());
                       return;
                   }
                 });
 }
 
-Answer Admission::open_question(Answer on_answer) {
-  auto slot = std::make_shared<QuestionSlot>(open_questions_);
-  return in_time(loop_, kQuestionTime,
+AnswerHandler JobApi::open_query(AnswerHandler on_answer) {
+  auto slot = std::make_shared<OpenQuerySlot>(open_queries_);
+  return in_time(loop_, kQueryDeadline,
                  [slot = std::move(slot), on_answer = std::move(on_answer)](const UserAnswer& a) {
                    on_answer(a);
                  });
 }
 
-void Admission::query(const std::string& job_id, Answer on_answer) {
-  if (*open_questions_ >= kMaxOpenQuestions) {
-    on_answer(error(503, "too many questions at a time", kQuestionRetryAfterSeconds));
+void JobApi::status(const std::string& job_id, AnswerHandler on_answer) {
+  if (*open_queries_ >= kMaxOpenQueries) {
+    on_answer(error_answer(503, "too many questions at a time", kQueryRetryAfterSeconds));
     return;
   }
-  const Answer answer = open_question(std::move(on_answer));
+  const AnswerHandler answer = open_query(std::move(on_answer));
   if (!valid_job_id(job_id)) {
-    answer(error(404, "no such job"));
+    answer(error_answer(404, "no such job"));
     return;
   }
-  look_up(JobId(job_id),
-          [this, answer](const Found& f) { tell(f, error(404, "no such job"), answer); });
+  look_up(JobId(job_id), [this, answer](const LookupResult& f) {
+    answer_with_status(f, error_answer(404, "no such job"), answer);
+  });
 }
 
-void Admission::abort(const std::string& job_id, Answer on_answer) {
-  const Answer answer = in_time(loop_, kRequestTime, std::move(on_answer));
+void JobApi::cancel(const std::string& job_id, AnswerHandler on_answer) {
+  const AnswerHandler answer = in_time(loop_, kWriteDeadline, std::move(on_answer));
   if (!valid_job_id(job_id)) {
-    answer(error(404, "no such job"));
+    answer(error_answer(404, "no such job"));
     return;
   }
-  cancel(JobId(job_id), kTries, answer);
+  try_cancel(JobId(job_id), kMaxCommitAttempts, answer);
 }
 
-JobRecord Admission::cancelled_record(JobRecord record) const {
+JobRecord JobApi::cancelled_record(JobRecord record) const {
   record.cancelled = clock_.wall();
   // Accepted when the state service took larger values, it may be too large to be written again.
   // Nothing of a cancelled job starts any more: on which types it could no longer matters.
@@ -394,10 +399,10 @@
   return record;
 }
 
-void Admission::cancel(const JobId& job_id, int tries, Answer answer) {
-  look_up(job_id, [this, job_id, tries, answer](const Found& f) {
+void JobApi::try_cancel(const JobId& job_id, int attempts_left, AnswerHandler answer) {
+  look_up(job_id, [this, job_id, attempts_left, answer](const LookupResult& f) {
     if (!f.ok) {
-      answer(undecided());
+      answer(unavailable_answer());
       return;
     }
     if (f.final_job) {
@@ -405,47 +410,49 @@
       return;
     }
     if (!f.job) {
-      answer(error(404, "no such job"));
+      answer(error_answer(404, "no such job"));
       return;
     }
     if (f.job->record.cancelled) {
       answer(state(job_id, "cancelled"));
       return;
     }
-    if (tries == 0) {
-      answer(undecided());
+    if (attempts_left == 0) {
+      answer(unavailable_answer());
       return;
     }
     const JobRecord record = cancelled_record(f.job->record);
     Txn txn;
     txn.guard(keys::job(job_id), f.job->mod_revision).put(keys::job(job_id), encode(record));
-    cache_.commit(RequestPriority::binding, std::move(txn),
-                  [this, job_id, tries, answer, at = *record.cancelled](const CommitResult& r) {
-                    if (r.outcome == Outcome::done) {
-                      cancellations_.tell(job_id, at);  // before the user: a peer may ask meanwhile
-                      answer(state(job_id, "cancelled"));
-                    } else if (r.outcome == Outcome::refused) {
-                      answer(undecided());
-                    } else {
-                      cancel(job_id, tries - 1, answer);  // read back what became of it
-                    }
-                  });
+    cache_.commit(
+        RequestPriority::binding, std::move(txn),
+        [this, job_id, attempts_left, answer, at = *record.cancelled](const CommitResult& r) {
+          if (r.outcome == Outcome::done) {
+            cancellations_.tell(job_id, at);  // before the user: a peer may ask meanwhile
+            answer(state(job_id, "cancelled"));
+          } else if (r.outcome == Outcome::refused) {
+            answer(unavailable_answer());
+          } else {
+            try_cancel(job_id, attempts_left - 1, answer);  // read back what became of it
+          }
+        });
   });
 }
 
-void Admission::why(const std::string& job_id, Answer on_answer) {
-  const Answer answer = in_time(loop_, kQuestionTime, std::move(on_answer));
+void JobApi::explain(const std::string& job_id, AnswerHandler on_answer) {
+  const AnswerHandler answer = in_time(loop_, kQueryDeadline, std::move(on_answer));
   if (!valid_job_id(job_id)) {
-    answer(error(404, "no such job"));
+    answer(error_answer(404, "no such job"));
     return;
   }
-  look_up(JobId(job_id), [this, answer](const Found& f) {
+  look_up(JobId(job_id), [this, answer](const LookupResult& f) {
     if (!f.ok) {
-      answer(undecided());
+      answer(unavailable_answer());
     } else if (f.job) {
-      answer({200, explain(cache_.records(), settings_, f.job->record, clock_.wall()), 0});
+      answer({200, explain_job(cache_.records(), settings_, f.job->record, clock_.wall()), 0});
     } else {
-      answer(f.final_job ? UserAnswer{200, explain(*f.final_job), 0} : error(404, "no such job"));
+      answer(f.final_job ? UserAnswer{200, explain_job(*f.final_job), 0}
+                         : error_answer(404, "no such job"));
     }
   });
 }
--- a/src/api/admission.hpp
+++ b/src/api/job_api.hpp
@@ -21,42 +21,43 @@
   int retry_after_s = 0;
 };
 
-using Answer = std::function<void(const UserAnswer&)>;
+using AnswerHandler = std::function<void(const UserAnswer&)>;
 
-class Admission {
+class JobApi {
  public:
-  Admission(Loop& loop, const Clock& clock, const Settings& settings, Store& store,
-            WatchCache& cache, Cancellations& cancellations);
+  JobApi(Loop& loop, const Clock& clock, const Settings& settings, Store& store, WatchCache& cache,
+         Cancellations& cancellations);
 
-  void submit(const std::string& body, Answer answer);
-  void query(const std::string& job_id, Answer answer);
-  void abort(const std::string& job_id, Answer answer);
-  void why(const std::string& job_id, Answer answer);
+  void submit(const std::string& body, AnswerHandler answer);
+  void status(const std::string& job_id, AnswerHandler answer);
+  void cancel(const std::string& job_id, AnswerHandler answer);
+  void explain(const std::string& job_id, AnswerHandler answer);
 
  private:
   /// What is known of a job after a successful read.
-  struct Found {
+  struct LookupResult {
     bool ok = false;  // false: the state service did not tell
     std::optional<Versioned<JobRecord>> job;
     std::optional<FinalRecord> final_job;
   };
 
   /// `on_answer`, given within a question's time and counted as open until then.
-  Answer open_question(Answer on_answer);
-  void look_up(const JobId& job_id, std::function<void(const Found&)> tell_on);
-  void note_cancellation(const Found& f);
-  void note_silence(const JobId& job_id, bool answered);
-  void ask_store(const JobId& job_id, std::function<void(const Found&)> then);
+  AnswerHandler open_query(AnswerHandler on_answer);
+  void look_up(const JobId& job_id, std::function<void(const LookupResult&)> tell_on);
+  void note_cancellation(const LookupResult& f);
+  void note_answerability(const JobId& job_id, bool answered);
+  void ask_store(const JobId& job_id, std::function<void(const LookupResult&)> then);
   void read(const JobId& job_id);
   void look_up_final(const JobId& job_id);
-  void found(const JobId& job_id, const Found& result);
-  void create(std::shared_ptr<JobSpec> job, int tries, Answer answer);
+  void found(const JobId& job_id, const LookupResult& result);
+  void create(std::shared_ptr<JobSpec> job, int attempts_left, AnswerHandler answer);
   [[nodiscard]] JobRecord cancelled_record(JobRecord record) const;
-  void cancel(const JobId& job_id, int tries, Answer answer);
+  void try_cancel(const JobId& job_id, int attempts_left, AnswerHandler answer);
   /// The job's state, or `if_unknown` when it was never accepted.
-  void tell(const Found& f, const UserAnswer& if_unknown, const Answer& answer) const;
-  void remember(const FinalRecord& job);
-  [[nodiscard]] const FinalRecord* remembered(const JobId& job_id) const;
+  void answer_with_status(const LookupResult& f, const UserAnswer& if_unknown,
+                          const AnswerHandler& answer) const;
+  void cache_final_job(const FinalRecord& job);
+  [[nodiscard]] const FinalRecord* cached_final_job(const JobId& job_id) const;
   [[nodiscard]] UserAnswer state_of(const JobRecord& job) const;
   [[nodiscard]] static UserAnswer state_of(const FinalRecord& job);
 
@@ -69,12 +70,12 @@
   /// Questions about one job: those that the read on its way answers, and those that came after it
   /// was sent, which need another.
   struct Reading {
-    std::vector<std::function<void(const Found&)>> current;
-    std::vector<std::function<void(const Found&)>> next;
+    std::vector<std::function<void(const LookupResult&)>> current;
+    std::vector<std::function<void(const LookupResult&)>> next;
   };
   std::unordered_map<JobId, Reading> reading_;
   /// Questions that wait for their answer. Shared with each of them, since one may outlive this.
-  std::shared_ptr<std::size_t> open_questions_ = std::make_shared<std::size_t>(0);
+  std::shared_ptr<std::size_t> open_queries_ = std::make_shared<std::size_t>(0);
   std::unordered_map<JobId, SteadyTime>
       unanswered_;  // since when, or since it was last logged; bounded
   std::unordered_map<JobId, FinalRecord> finals_;  // never change; bounded
--- a/src/api/why.cpp
+++ b/src/api/job_explanation.cpp
@@ -1,4 +1,4 @@
-#include "api/why.hpp"
+#include "api/job_explanation.hpp"
 
 #include <algorithm>
 #include <iomanip>
@@ -89,8 +89,8 @@
 
 }  // namespace
 
-std::string explain(const Records& records, const Settings& settings, const JobRecord& job,
-                    WallTime now) {
+std::string explain_job(const Records& records, const Settings& settings, const JobRecord& job,
+                        WallTime now) {
   const JobSpec& spec = job.spec;
   std::uint64_t done = 0;
   std::uint64_t bound = 0;
@@ -133,7 +133,7 @@
   return out.str();
 }
 
-std::string explain(const FinalRecord& job) {
+std::string explain_job(const FinalRecord& job) {
   json::Writer out;
   out.open()
       .put("uid", job.job_id.get())
@@ -145,7 +145,7 @@
   return out.str();
 }
 
-std::string in_words(const std::string& answer) {
+std::string format_explanation(const std::string& answer) {
   json::Document doc;
   if (!json::parse(doc, answer)) return "the answer can't be read\n";
   std::ostringstream out;
--- a/src/api/why.hpp
+++ b/src/api/job_explanation.hpp
@@ -9,11 +9,11 @@
 namespace marblevale {
 
 /// The answer for an unfinished job, from the records.
-std::string explain(const Records& records, const Settings& settings, const JobRecord& job,
-                    WallTime now);
+std::string explain_job(const Records& records, const Settings& settings, const JobRecord& job,
+                        WallTime now);
 /// The answer for a job that is over.
-std::string explain(const FinalRecord& job);
+std::string explain_job(const FinalRecord& job);
 /// The answer as a member reads it, from its JSON; the client verb prints this.
-std::string in_words(const std::string& answer);
+std::string format_explanation(const std::string& answer);
 
 }  // namespace marblevale
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -8,7 +8,7 @@
 #include <iostream>
 #include <random>
 
-#include "api/why.hpp"
+#include "api/job_explanation.hpp"
 #include "app/service.hpp"
 
 namespace {
@@ -60,7 +60,7 @@
       {EVHTTP_REQ_GET, "/api/jobs/" + job_id + "/why", {}, "application/json", Duration{5000}},
       [&](const HttpReply& reply) {
         if (reply.status == 200) {
-          std::cout << in_words(reply.body);
+          std::cout << format_explanation(reply.body);
           status = 0;
         } else if (reply.status == 404) {
           std::cerr << "no job " << job_id << "\n";
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -5,10 +5,10 @@
 namespace marblevale {
 
 namespace {
-constexpr Duration kStateSilence{2'500};  // without an answer: what peers are told
-constexpr Duration kAloneSilence{
+constexpr Duration kStoreOutageReportedAfter{2'500};  // without an answer: what peers are told
+constexpr Duration kUnreadyAfterStoreOutage{
     6'000};  // and when users are sent elsewhere, if a peer has answers
-constexpr Duration kSummaryEvery{30'000};
+constexpr Duration kSummaryInterval{30'000};
 constexpr std::string_view kJobs = "/api/jobs";
 }  // namespace
 
@@ -26,49 +26,52 @@
       cloud_(loop, clock, settings.cloud, settings.cloud_rps),
       autoscaler_(loop, clock, settings, cache_, election_, cloud_),
       leader_loop_(loop, clock, settings, cache_, election_, autoscaler_),
-      grants_(loop, clock, settings, cache_, election_),
+      shard_assigner_(loop, clock, settings, cache_, election_),
       order_sender_(loop, order_connections(settings)),
-      holder_(loop, clock, settings, cache_, election_, order_sender_, cancellations_),
+      shard_holder_(loop, clock, settings, cache_, election_, order_sender_, cancellations_),
       offers_(loop, settings,
-              [this](const ReleaseOffer& offer) { return holder_.accept_offer(offer); }),
-      admission_(loop, clock, settings, store_, cache_, cancellations_),
-      heartbeats_(
-          loop, clock, settings, [this] { return compose(); },
-          [this](const PeerHeartbeat& heartbeat, bool newer) { received(heartbeat, newer); }),
-      peers_(loop, settings.peers_at,
-             [this](const HttpRequest& request, const ResponderPtr& responder) {
-               if (request.path == PeerHeartbeatExchange::kPath) {
-                 heartbeats_.serve(request, responder);
-               } else if (request.path == Offers::kPath) {
-                 offers_.serve(request, responder);
-               } else {
-                 responder->reply(404, "{}");
-               }
-             }),
-      users_(loop, settings.users,
-             [this](const HttpRequest& request, ResponderPtr responder) {
-               serve(request, std::move(responder));
-             }),
+              [this](const ReleaseOffer& offer) { return shard_holder_.accept_offer(offer); }),
+      job_api_(loop, clock, settings, store_, cache_, cancellations_),
+      peer_heartbeats_(
+          loop, clock, settings, [this] { return compose_peer_heartbeat(); },
+          [this](const PeerHeartbeat& heartbeat, bool newer) {
+            on_peer_heartbeat(heartbeat, newer);
+          }),
+      peer_server_(loop, settings.peers_at,
+                   [this](const HttpRequest& request, const ResponderPtr& responder) {
+                     if (request.path == PeerHeartbeatExchange::kPath) {
+                       peer_heartbeats_.serve(request, responder);
+                     } else if (request.path == Offers::kPath) {
+                       offers_.serve(request, responder);
+                     } else {
+                       responder->reply(404, "{}");
+                     }
+                   }),
+      user_server_(loop, settings.users,
+                   [this](const HttpRequest& request, ResponderPtr responder) {
+                     serve(request, std::move(responder));
+                   }),
       summary_timer_(loop, [this] { summarize(); }) {}
 
 void Service::begin() {
   leader_loop_.release_through(offers_);
-  autoscaler_.delete_overdue([this] { return holder_.overdue(); });
-  cancellations_.on_confirmed([this] { heartbeats_.send_soon(); });
-  cancellations_.on_peer_cancellation([this](const JobId& job_id) { holder_.cancelled(job_id); });
+  autoscaler_.delete_overdue([this] { return shard_holder_.overdue(); });
+  cancellations_.on_confirmed([this] { peer_heartbeats_.send_soon(); });
+  cancellations_.on_peer_cancellation(
+      [this](const JobId& job_id) { shard_holder_.cancelled(job_id); });
   cache_.begin();
   election_.begin();
   autoscaler_.begin();
   leader_loop_.begin();
-  grants_.begin();
-  holder_.begin();
-  heartbeats_.begin();
-  summary_timer_.start(kSummaryEvery);
+  shard_assigner_.begin();
+  shard_holder_.begin();
+  peer_heartbeats_.begin();
+  summary_timer_.start(kSummaryInterval);
   spdlog::info("service: at most {} connections to workers", order_connections(settings_));
 }
 
 void Service::summarize() {
-  summary_timer_.start(kSummaryEvery);
+  summary_timer_.start(kSummaryInterval);
   const Records& records = cache_.records();
   spdlog::info(
       "summary: {}; holds {} jobs, {} slices, {} machines; {} of {} connections to workers",
@@ -76,40 +79,40 @@
       order_sender_.connections(), order_connections(settings_));
 }
 
-bool Service::state_answers(Duration within) const {
+bool Service::store_answered_within(Duration within) const {
   return cache_.ready() && clock_.steady() - cache_.fresh_until() < within;
 }
 
-bool Service::healthy() {
-  const bool now =
-      takes_users(cache_.ready(), state_answers(kAloneSilence), heartbeats_.peer_state_evidence());
-  if (now != healthy_) spdlog::info("service: {}", now ? "takes users" : "sends users elsewhere");
-  healthy_ = now;
+bool Service::update_readiness() {
+  const bool now = takes_users(cache_.ready(), store_answered_within(kUnreadyAfterStoreOutage),
+                               peer_heartbeats_.peer_state_evidence());
+  if (now != ready_) spdlog::info("service: {}", now ? "takes users" : "sends users elsewhere");
+  ready_ = now;
   return now;
 }
 
-PeerHeartbeat Service::compose() {
+PeerHeartbeat Service::compose_peer_heartbeat() {
   PeerHeartbeat heartbeat;
   heartbeat.node = settings_.node.get();
   heartbeat.incarnation = election_.incarnation().get();
-  heartbeat.state_ok = state_answers(kStateSilence);
+  heartbeat.state_ok = store_answered_within(kStoreOutageReportedAfter);
   heartbeat.cancellations = cancellations_.list();
-  for (const ZoneId& zone : holder_.misrouted_zones()) {
+  for (const ZoneId& zone : shard_holder_.misrouted_zones()) {
     heartbeat.misrouted_zones.push_back(zone.get());
-    grants_.note_misrouted_heartbeat(zone, settings_.node);
+    shard_assigner_.note_misrouted_heartbeat(zone, settings_.node);
   }
-  const auto unreachable_zones = holder_.unreachable_zones();
+  const auto unreachable_zones = shard_holder_.unreachable_zones();
   for (const ZoneId& zone : unreachable_zones) heartbeat.unreachable_zones.push_back(zone.get());
   leader_loop_.note_unreachable_zones(settings_.node, unreachable_zones);
   if (cache_.ready() && cancellations_.kept_all()) {
     const auto until = vouching_.until(clock_.steady(), clock_.wall(), cache_.fresh_until_wall(),
-                                       heartbeats_.peer_cancellation_lists());
-    if (until) holder_.extend_freshness(*until);
+                                       peer_heartbeats_.peer_cancellation_lists());
+    if (until) shard_holder_.extend_freshness(*until);
   }
   return heartbeat;
 }
 
-void Service::received(const PeerHeartbeat& heartbeat, bool newer) {
+void Service::on_peer_heartbeat(const PeerHeartbeat& heartbeat, bool newer) {
   cancellations_.hear(heartbeat.cancellations);
   if (!newer) return;
   // A late copy from an earlier life must not move a shard.
@@ -119,7 +122,7 @@
   for (const auto& zone : heartbeat.unreachable_zones) unreachable_zones.emplace(zone);
   leader_loop_.note_unreachable_zones(NodeId(heartbeat.node), unreachable_zones);
   for (const auto& zone : heartbeat.misrouted_zones)
-    grants_.note_misrouted_heartbeat(ZoneId(zone), NodeId(heartbeat.node));
+    shard_assigner_.note_misrouted_heartbeat(ZoneId(zone), NodeId(heartbeat.node));
 }
 
 // One branch for each path of the users' interface.
@@ -135,15 +138,15 @@
   const auto refuse_method = [&] { responder->reply(405, R"({"error":"method not allowed"})"); };
   if (path == "/hello") {
     if (!post) return refuse_method();
-    const HeartbeatReply handle_heartbeat = holder_.handle_heartbeat(request.body);
+    const HeartbeatReply handle_heartbeat = shard_holder_.handle_heartbeat(request.body);
     responder->reply(handle_heartbeat.status, handle_heartbeat.body);
   } else if (path == "/up") {
     if (!get) return refuse_method();
-    responder->reply(healthy() ? 200 : 503, "{}");
+    responder->reply(update_readiness() ? 200 : 503, "{}");
   } else if (path == kJobs) {
     const auto timed = metrics_.time(Duty::users);
     if (!post) return refuse_method();
-    admission_.submit(request.body, answer);
+    job_api_.submit(request.body, answer);
   } else if (path.compare(0, kJobs.size(), kJobs) == 0 && path.size() > kJobs.size() + 1 &&
              path[kJobs.size()] == '/') {
     const auto timed = metrics_.time(Duty::users);
@@ -153,13 +156,13 @@
     const std::string verb = slash == std::string::npos ? "" : rest.substr(slash + 1);
     if (verb.empty() && slash == std::string::npos) {
       if (!get) return refuse_method();
-      admission_.query(job_id, answer);
+      job_api_.status(job_id, answer);
     } else if (verb == "abort") {
       if (!post) return refuse_method();
-      admission_.abort(job_id, answer);
+      job_api_.cancel(job_id, answer);
     } else if (verb == "why") {
       if (!get) return refuse_method();
-      admission_.why(job_id, answer);
+      job_api_.explain(job_id, answer);
     } else {
       responder->reply(404, R"({"error":"no such path"})");
     }
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -1,7 +1,7 @@
 // The assembly of one controller.
 #pragma once
 
-#include "api/admission.hpp"
+#include "api/job_api.hpp"
 #include "app/startup_times.hpp"
 #include "autoscaler/autoscaler.hpp"
 #include "cancellations/cancellations.hpp"
@@ -22,10 +22,10 @@
 
  private:
   void serve(const HttpRequest& request, ResponderPtr responder);
-  bool healthy();
-  [[nodiscard]] bool state_answers(Duration within) const;
-  PeerHeartbeat compose();
-  void received(const PeerHeartbeat& heartbeat, bool newer);
+  bool update_readiness();
+  [[nodiscard]] bool store_answered_within(Duration within) const;
+  PeerHeartbeat compose_peer_heartbeat();
+  void on_peer_heartbeat(const PeerHeartbeat& heartbeat, bool newer);
 
   void summarize();
 
@@ -41,15 +41,15 @@
   CloudClient cloud_;
   Autoscaler autoscaler_;
   LeaderLoop leader_loop_;
-  ShardAssigner grants_;
+  ShardAssigner shard_assigner_;
   HttpOrderSender order_sender_;
-  ShardHolder holder_;
+  ShardHolder shard_holder_;
   Offers offers_;
-  Admission admission_;
-  PeerHeartbeatExchange heartbeats_;
-  HttpServer peers_;
-  bool healthy_ = false;
-  HttpServer users_;
+  JobApi job_api_;
+  PeerHeartbeatExchange peer_heartbeats_;
+  HttpServer peer_server_;
+  bool ready_ = false;
+  HttpServer user_server_;
   Timer summary_timer_;
 };
 
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,10 +1,9 @@
 // The users' interface against a scripted state service.
-#include "api/admission.hpp"
-
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
-#include "api/why.hpp"
+#include "api/job_api.hpp"
+#include "api/job_explanation.hpp"
 #include "helpers.hpp"
 #include "scripted_store.hpp"
 
@@ -42,8 +41,7 @@
     type.zones = {ZoneId("a")};
     store_.put(keys::kTypes, encode(std::vector<MachineType>{type}));
     cache_.begin();
-    admission_ =
-        std::make_unique<Admission>(loop_, clock_, settings_, store_, cache_, cancellations_);
+    admission_ = std::make_unique<JobApi>(loop_, clock_, settings_, store_, cache_, cancellations_);
   }
 
   UserAnswer submit(const std::string& body) {
@@ -56,14 +54,14 @@
   UserAnswer query(const std::string& job_id) {
     UserAnswer out;
     out.status = 0;
-    admission_->query(job_id, [&out](const UserAnswer& a) { out = a; });
+    admission_->status(job_id, [&out](const UserAnswer& a) { out = a; });
     settle(out);
     return out;
   }
   UserAnswer abort(const std::string& job_id) {
     UserAnswer out;
     out.status = 0;
-    admission_->abort(job_id, [&out](const UserAnswer& a) { out = a; });
+    admission_->cancel(job_id, [&out](const UserAnswer& a) { out = a; });
     settle(out);
     return out;
   }
@@ -76,24 +74,24 @@
   }
   /// The answer to one of the users' requests.
   enum class Ask { question, submission, cancellation, why };
-  void ask(Ask what, const std::string& job_id, Answer then, Admission* of = nullptr) {
-    Admission& admission = of == nullptr ? *admission_ : *of;
+  void ask(Ask what, const std::string& job_id, AnswerHandler then, JobApi* of = nullptr) {
+    JobApi& admission = of == nullptr ? *admission_ : *of;
     switch (what) {
       case Ask::question:
-        admission.query(job_id, std::move(then));
+        admission.status(job_id, std::move(then));
         return;
       case Ask::submission:
         admission.submit(changed("req-000412", job_id), std::move(then));
         return;
       case Ask::cancellation:
-        admission.abort(job_id, std::move(then));
+        admission.cancel(job_id, std::move(then));
         return;
       case Ask::why:
-        admission.why(job_id, std::move(then));
+        admission.explain(job_id, std::move(then));
         return;
     }
   }
-  UserAnswer ask(Ask what, const std::string& job_id, Admission* of = nullptr) {
+  UserAnswer ask(Ask what, const std::string& job_id, JobApi* of = nullptr) {
     UserAnswer out;
     out.status = 0;
     ask(
@@ -171,7 +169,7 @@
   ScriptedStore store_;
   WatchCache cache_;
   Cancellations cancellations_;
-  std::unique_ptr<Admission> admission_;
+  std::unique_ptr<JobApi> admission_;
 };
 
 TEST_F(AdmissionTest, AnswersOnlyAfterTheCommit) {
@@ -386,10 +384,10 @@
   store_.hold = true;
   std::string first;
   std::string second;
-  admission_->query("req-000412", [&](const UserAnswer& a) { first = a.body; });
+  admission_->status("req-000412", [&](const UserAnswer& a) { first = a.body; });
   store_.hold = false;
   finish(FinalState::done);
-  admission_->query("req-000412", [&](const UserAnswer& a) { second = a.body; });
+  admission_->status("req-000412", [&](const UserAnswer& a) { second = a.body; });
   EXPECT_EQ(second, "");
   store_.deliver_all();
   EXPECT_NE(first.find("queued"), std::string::npos);
@@ -401,7 +399,7 @@
   clock_.advance(Duration{10});
   UserAnswer out;
   out.status = 0;
-  admission_->query("req-000412", [&](const UserAnswer& a) { out = a; });
+  admission_->status("req-000412", [&](const UserAnswer& a) { out = a; });
   store_.tell_watch();  // opened before the question: what it does not tell may have happened since
   EXPECT_EQ(out.status, 0);
   finish(FinalState::done);
@@ -411,7 +409,7 @@
   UserAnswer late;
   late.status = 0;
   EXPECT_EQ(submit(changed("req-000412", "req-000413")).status, 201);
-  admission_->query("req-000413", [&](const UserAnswer& a) { late = a; });
+  admission_->status("req-000413", [&](const UserAnswer& a) { late = a; });
   clock_.advance(Duration{2000});
   EXPECT_EQ(late.status, 503);
   EXPECT_GT(late.retry_after_s, 0);
@@ -454,11 +452,11 @@
   json::Document doc;
   ASSERT_TRUE(json::parse(doc, failing.body));
   EXPECT_NEAR(json::number(doc, "retry_in_s").value_or(0), 4.0, 0.5) << "after the second failure";
-  EXPECT_NE(in_words(failing.body)
+  EXPECT_NE(format_explanation(failing.body)
                 .find("failed 4 times, on at least 2 machines, and none has "
                       "worked: probably a mistake in the job; tried again in"),
             std::string::npos)
-      << in_words(failing.body);
+      << format_explanation(failing.body);
   // One failure, or one among tasks that work, names no mistake.
   slice.tasks[0].progress = Duration{10'000};
   store_.put(keys::slice(slice.job_id, 0), encode(slice));
@@ -483,7 +481,7 @@
   }
   void ask_many(int questions) {
     for (int i = 0; i < questions; ++i) {
-      admission_->query(job_name(i % kJobs), [this](const UserAnswer& a) {
+      admission_->status(job_name(i % kJobs), [this](const UserAnswer& a) {
         if (a.status == 200) ++tally_.answered;
         if (a.status == 503 && a.retry_after_s > 0) ++tally_.refused;
       });
@@ -528,8 +526,8 @@
   store_.reads = 0;
   int answered = 0;
   for (int i = 0; i < 5'000; ++i) {
-    admission_->query("req-000412",
-                      [&](const UserAnswer& a) { answered += a.status == 200 ? 1 : 0; });
+    admission_->status("req-000412",
+                       [&](const UserAnswer& a) { answered += a.status == 200 ? 1 : 0; });
   }
   EXPECT_EQ(answered, 5'000);
   EXPECT_LE(store_.reads, 2) << "the job, then its end";
@@ -563,12 +561,12 @@
   store_.tell_watch();
   UserAnswer out;
   out.status = 0;
-  admission_->why("req-000412", [&](const UserAnswer& a) { out = a; });
+  admission_->explain("req-000412", [&](const UserAnswer& a) { out = a; });
   settle(out);
   EXPECT_EQ(out.status, 200);
   EXPECT_NE(out.body.find("\"granted_start_s\":5.0"), std::string::npos) << out.body;
   EXPECT_NE(out.body.find("displaced for req-7"), std::string::npos);
-  admission_->why("req-2", [&](const UserAnswer& a) { out = a; });
+  admission_->explain("req-2", [&](const UserAnswer& a) { out = a; });
   EXPECT_EQ(out.status, 404);
 }
 
@@ -598,7 +596,7 @@
   store_.hold = true;
   std::vector<int> status(std::size_t{2} * kJobs, 0);
   const auto ask = [&](int i) {
-    admission_->query("req-" + std::to_string(i), [&status, i](const UserAnswer& a) {
+    admission_->status("req-" + std::to_string(i), [&status, i](const UserAnswer& a) {
       status[static_cast<std::size_t>(i)] = a.status;
     });
   };
@@ -627,7 +625,7 @@
   // Another controller, which must read all that it tells.
   WatchCache stale(loop_, clock_, store_, 2);
   Cancellations others(clock_, stale);
-  Admission other(loop_, clock_, settings_, store_, stale, others);
+  JobApi other(loop_, clock_, settings_, store_, stale, others);
   int number = 0;
   for (const Ask what : {Ask::question, Ask::submission, Ask::cancellation, Ask::why}) {
     for (const bool known : {true, false}) {
@@ -663,7 +661,7 @@
           EXPECT_EQ(final, "done");
           EXPECT_TRUE(status_in(out) == "done" || status_in(out) == "queued") << out.body;
         }
-        for (Admission* of : {admission_.get(), &other}) {
+        for (JobApi* of : {admission_.get(), &other}) {
           for (const Ask again : {Ask::question, Ask::submission, Ask::cancellation, Ask::why}) {
             EXPECT_EQ(status_in(ask(again, job_id, of)), final);
           }
@@ -685,7 +683,7 @@
   const std::size_t commits = store_.commits.size();
   UserAnswer out;
   out.status = 0;
-  admission_->abort("req-000412", [&out](const UserAnswer& a) { out = a; });
+  admission_->cancel("req-000412", [&out](const UserAnswer& a) { out = a; });
   step();  // the watch that was open when it came, which it can't go by
   GuaranteeRecord guarantee_record;
   guarantee_record.job_id = JobId("req-000412");
@@ -706,7 +704,7 @@
   store_.hold = true;
   UserAnswer out;
   out.status = 0;
-  admission_->query("req-000412", [&out](const UserAnswer& a) { out = a; });
+  admission_->status("req-000412", [&out](const UserAnswer& a) { out = a; });
   end_job("req-000412", mod_revision);
   store_.hold = false;
   store_.deliver_all();
@@ -714,7 +712,7 @@
   // And one that is accepted and ends between them.
   store_.hold = true;
   out.status = 0;
-  admission_->query("req-000413", [&out](const UserAnswer& a) { out = a; });
+  admission_->status("req-000413", [&out](const UserAnswer& a) { out = a; });
   end_job("req-000413", accept_elsewhere("req-000413"));
   store_.hold = false;
   store_.deliver_all();
@@ -773,11 +771,11 @@
   end_job("req-000412", accept_elsewhere("req-000412"));
   store_.hold = true;
   int status = 0;
-  admission_->query("req-000412", [&status](const UserAnswer& a) { status = a.status; });
+  admission_->status("req-000412", [&status](const UserAnswer& a) { status = a.status; });
   clock_.advance(Duration{2000});
   EXPECT_EQ(status, 503);
   store_.deliver_all();
-  admission_->query("req-000412", [&status](const UserAnswer& a) { status = a.status; });
+  admission_->status("req-000412", [&status](const UserAnswer& a) { status = a.status; });
   EXPECT_EQ(status, 200);
 }
 
@@ -815,7 +813,7 @@
       store_.scripts = c.scripts;
       UserAnswer out;
       out.status = 0;
-      admission_->abort(job_id, [&](const UserAnswer& a) {
+      admission_->cancel(job_id, [&](const UserAnswer& a) {
         out = a;
         EXPECT_EQ(a.status == 200, cancelled()) << "told before it was so, or not told";
       });
