--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -133,7 +133,7 @@
   const SteadyTime now = clock_.steady();
   if (types_asked_ || (cache_.records().types && now - types_at_ < kTypesEvery)) return;
   types_asked_ = true;
-  cloud_.types([this](std::optional<std::vector<MachineType>> types) {
+  cloud_.list_machine_types([this](std::optional<std::vector<MachineType>> types) {
     types_asked_ = false;
     if (!types || !election_.is_established_leader()) return;
     types_at_ = clock_.steady();
@@ -156,7 +156,7 @@
   if (listing_ || now - list_at_ < every) return;
   listing_ = true;
   list_at_ = now;
-  cloud_.list({}, [this, now](std::optional<MachineList> page) {
+  cloud_.list_machines(std::nullopt, [this, now](std::optional<MachineList> page) {
     if (!page) {
       listing_ = false;
       return;
@@ -172,14 +172,14 @@
     seen.insert(m.machine_id);
   }
   if (page.has_next && !page.machines.empty()) {
-    cloud_.list(page.machines.back().machine_id,
-                [this, sent, seen = std::move(seen), pages](std::optional<MachineList> next) {
-                  if (!next) {
-                    listing_ = false;
-                    return;
-                  }
-                  take_list(*next, sent, seen, pages + 1);
-                });
+    cloud_.list_machines(page.machines.back().machine_id, [this, sent, seen = std::move(seen),
+                                                           pages](std::optional<MachineList> next) {
+      if (!next) {
+        listing_ = false;
+        return;
+      }
+      take_list(*next, sent, seen, pages + 1);
+    });
     return;
   }
   listing_ = false;
@@ -204,14 +204,12 @@
 
 void Autoscaler::ask(const ProvisioningRequest& provisioning_request, ModRevision mod_revision) {
   asking_.insert(provisioning_request.name);
-  cloud_.provisioning_request(
-      provisioning_request.name, provisioning_request.machine_type, provisioning_request.zone,
-      provisioning_request.spot, provisioning_request.how_many,
-      [this, provisioning_request, mod_revision](ProvisioningOutcome outcome,
-                                                 std::vector<MachineId> machine_ids) {
+  cloud_.provision(
+      provisioning_request, [this, provisioning_request, mod_revision](ProvisioningResult result) {
+        std::vector<MachineId>& machine_ids = result.machine_ids;
         const MachineOffering offer{provisioning_request.machine_type, provisioning_request.zone,
                                     provisioning_request.spot};
-        if (outcome == ProvisioningOutcome::trouble) {
+        if (result.outcome == ProvisioningOutcome::unknown) {
           // Unknown: the same name is asked again at a later tick.
           asking_.erase(provisioning_request.name);
           return;
@@ -496,9 +494,9 @@
   }
   if (machine_ids.empty()) return;
   deleting_ = true;
-  cloud_.remove(machine_ids, [this, machine_ids](bool removed) {
+  cloud_.delete_machines(machine_ids, [this, machine_ids](DeletionOutcome outcome) {
     deleting_ = false;
-    if (!removed || !election_.is_established_leader()) return;
+    if (outcome != DeletionOutcome::deleted || !election_.is_established_leader()) return;
     // The answer is the proof that the machines and all their tasks are gone.
     const WallTime now = clock_.wall();
     for (const MachineId& machine_id : machine_ids) {
@@ -534,9 +532,10 @@
   }
   if (machine_ids.empty()) return;
   deleting_unrecorded_ = true;
-  cloud_.remove(machine_ids, [this, machine_ids](bool removed) {
+  cloud_.delete_machines(machine_ids, [this, machine_ids](DeletionOutcome outcome) {
     deleting_unrecorded_ = false;
-    if (removed) deleted_unrecorded_.insert(machine_ids.begin(), machine_ids.end());
+    if (outcome == DeletionOutcome::deleted)
+      deleted_unrecorded_.insert(machine_ids.begin(), machine_ids.end());
   });
 }
 
--- a/tests/leader_fixture.hpp
+++ b/tests/leader_fixture.hpp
@@ -9,30 +9,33 @@
 
 class ScriptedCloud : public Cloud {
  public:
-  void types(std::function<void(std::optional<std::vector<MachineType>>)> then) override {
+  void list_machine_types(
+      std::function<void(std::optional<std::vector<MachineType>>)> then) override {
     then(machine_types);
   }
-  void list(const MachineId&, std::function<void(std::optional<MachineList>)> then) override {
+  void list_machines(const std::optional<MachineId>&,
+                     std::function<void(std::optional<MachineList>)> then) override {
     then(listing);
   }
-  void provisioning_request(
-      const std::string& name, const std::string&, const ZoneId& zone, bool, std::uint32_t how_many,
-      std::function<void(ProvisioningOutcome, std::vector<MachineId>)> then) override {
-    provisioning_requests.push_back(name);
-    provisioned_in.push_back(zone);
-    std::vector<MachineId>& machine_ids = provisioned[name];
-    while (scales_out && machine_ids.size() < how_many) {
-      machine_ids.emplace_back("vm-" + name + "-" + std::to_string(machine_ids.size()));
+  void provision(const ProvisioningRequest& request,
+                 std::function<void(ProvisioningResult)> then) override {
+    provisioning_requests.push_back(request.name);
+    provisioned_in.push_back(request.zone);
+    std::vector<MachineId>& machine_ids = provisioned[request.name];
+    while (scales_out && machine_ids.size() < request.how_many) {
+      machine_ids.emplace_back("vm-" + request.name + "-" + std::to_string(machine_ids.size()));
     }
     const ProvisioningOutcome outcome =
         machine_ids.empty() ? ProvisioningOutcome::no_capacity : ProvisioningOutcome::provisioned;
-    held_provisioning.emplace_back(
-        [then = std::move(then), outcome, machine_ids] { then(outcome, machine_ids); });
+    held_provisioning.emplace_back([then = std::move(then), outcome, machine_ids] {
+      then({outcome, machine_ids});
+    });
     if (!hold_provisioning) answer_provisioning();
   }
-  void remove(const std::vector<MachineId>& machine_ids, std::function<void(bool)> then) override {
+  void delete_machines(const std::vector<MachineId>& machine_ids,
+                       std::function<void(DeletionOutcome)> then) override {
     removed.insert(removed.end(), machine_ids.begin(), machine_ids.end());
-    then(removes);
+    then(removes ? DeletionOutcome::deleted : DeletionOutcome::unknown);
   }
   void answer_provisioning() {
     while (!held_provisioning.empty()) {
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -257,7 +257,8 @@
 class SimulatedCloud : public ScriptedCloud {
  public:
   explicit SimulatedCloud(SimulatedCluster& cluster) : cluster_(cluster) {}
-  void remove(const std::vector<MachineId>& machine_ids, std::function<void(bool)> then) override;
+  void delete_machines(const std::vector<MachineId>& machine_ids,
+                       std::function<void(DeletionOutcome)> then) override;
 
  private:
   SimulatedCluster& cluster_;
@@ -470,10 +471,10 @@
   holder.begin();
 }
 
-inline void SimulatedCloud::remove(const std::vector<MachineId>& machine_ids,
-                                   std::function<void(bool)> then) {
+inline void SimulatedCloud::delete_machines(const std::vector<MachineId>& machine_ids,
+                                            std::function<void(DeletionOutcome)> then) {
   for (const MachineId& machine_id : machine_ids) cluster_.replace_machine(machine_id.get());
-  then(true);
+  then(DeletionOutcome::deleted);
 }
 
 inline void ControllerNetwork::offer(const NodeId& holder, const ReleaseOffer& offer,
