--- a/src/api/feasibility.cpp
+++ b/src/api/feasibility.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Zones in which some machine type may take a task of the job.
+/// Zones in which a machine of some type can hold a task of the job.
 std::set<ZoneId> feasible_zones(const JobSpec& job, const std::vector<MachineType>& types) {
   std::set<ZoneId> zones;
   for (const MachineType& type : types) {
@@ -24,10 +24,10 @@
   return zones;
 }
 
-/// All tasks of a gang and of a standing job run at the same time.
+/// True for a gang and for a service job, whose tasks all run at the same time.
 bool runs_all_tasks_at_once(const JobSpec& job) { return job.gang() || job.endless(); }
 
-/// The record as it is once the job is cancelled: its largest form.
+/// The size of the job's record once the job is cancelled: its largest form.
 std::size_t largest_record_bytes(const JobSpec& job) {
   constexpr WallTime kAnyTime = from_unix_milliseconds(1'800'000'000'000);
   return encode(JobRecord{job, kAnyTime, kAnyTime}).size();
@@ -40,14 +40,14 @@
                                                 std::size_t max_record_bytes) {
   const Team* team = settings.team(job.team);
   if (team == nullptr) return "unknown team " + job.team.get();
-  const double tasks = runs_all_tasks_at_once(job) ? job.task_count : 1;
-  if (!fits(job.need * tasks, team->limit())) return "needs more than the team's limit";
+  const double concurrent_tasks = runs_all_tasks_at_once(job) ? job.task_count : 1;
+  if (!fits(job.need * concurrent_tasks, team->limit())) return "needs more than the team's limit";
   const std::set<ZoneId> zones = feasible_zones(job, types);
   if (zones.empty()) return "a task fits no allowed machine type";
   // Tasks that run at the same time, at most half of them in one zone, need a second one. Those of
   // an array may run one half after the other.
-  const bool several = job.task_count > 1 && runs_all_tasks_at_once(job);
-  if (several && job.spread && (job.together || zones.size() < 2)) {
+  const bool needs_second_zone = job.spread && job.task_count > 1 && runs_all_tasks_at_once(job);
+  if (needs_second_zone && (job.together || zones.size() < 2)) {
     return "tasks that must be spread can be in one zone only";
   }
   if (largest_record_bytes(job) > max_record_bytes) {
--- a/src/api/feasibility.hpp
+++ b/src/api/feasibility.hpp
@@ -11,10 +11,12 @@
 
 namespace marblevale {
 
-/// The reason why the job can never run; nothing when it may. `max_record_bytes`: what the state
-/// service takes of one value, for as long as the job may be there.
-std::optional<std::string> infeasibility_reason(const JobSpec& job, const Settings& settings,
-                                                const std::vector<MachineType>& types,
-                                                std::size_t max_record_bytes);
+/// Why the job can never run, in the words that its user is told; absent when it may run.
+/// `max_record_bytes`: the largest value that the state service takes for as long as the job may
+/// exist.
+[[nodiscard]] std::optional<std::string> infeasibility_reason(const JobSpec& job,
+                                                              const Settings& settings,
+                                                              const std::vector<MachineType>& types,
+                                                              std::size_t max_record_bytes);
 
 }  // namespace marblevale
--- a/src/api/job_explanation.hpp
+++ b/src/api/job_explanation.hpp
@@ -8,12 +8,13 @@
 
 namespace marblevale {
 
-/// The answer for an unfinished job, from the records.
-std::string explain_job(const Records& records, const Settings& settings, const JobRecord& job,
-                        WallTime now);
-/// The answer for a job that is over.
-std::string explain_job(const FinalRecord& job);
-/// The answer as a member reads it, from its JSON; the client verb prints this.
-std::string format_explanation(const std::string& answer);
+/// Of an unfinished job: its tasks by state, their failures, its guarantee and what happened to its
+/// plan. JSON.
+[[nodiscard]] std::string explain_job(const Records& records, const Settings& settings,
+                                      const JobRecord& job, WallTime now);
+/// Of an ended job. JSON.
+[[nodiscard]] std::string explain_job(const FinalRecord& job);
+/// Formats an explanation's JSON as text for a terminal.
+[[nodiscard]] std::string format_explanation(const std::string& explanation);
 
 }  // namespace marblevale
--- /dev/null
+++ b/src/api/job_lookup.cpp
@@ -0,0 +1,141 @@
+#include "api/job_lookup.hpp"
+
+#include <utility>
+
+namespace marblevale {
+
+namespace {
+
+constexpr std::size_t kMaxConcurrentReads = 300;
+
+template <typename Record>
+std::optional<Record> decode_entry(const Entry& entry) {
+  json::Document doc;
+  Record record;
+  if (!json::parse(doc, entry.value) || !decode(doc, record)) return std::nullopt;
+  return record;
+}
+
+}  // namespace
+
+JobLookup::JobLookup(const Clock& clock, Store& store, WatchCache& cache,
+                     Cancellations& cancellations)
+    : store_(store), cache_(cache), cancellations_(cancellations), unanswered_jobs_(clock) {}
+
+bool JobLookup::is_known(const JobId& job_id) const {
+  return final_jobs_.find(job_id) != nullptr || cache_.records().jobs.contains(job_id);
+}
+
+void JobLookup::publish_cancellation(const LookupResult& result) {
+  // Nothing is left of an ended job: the other controllers need no notice of its cancellation.
+  const auto* job = std::get_if<Versioned<JobRecord>>(&result);
+  if (job == nullptr || !job->record.cancelled) return;
+  cancellations_.tell(job->record.spec.job_id, *job->record.cancelled);
+}
+
+void JobLookup::look_up(const JobId& job_id, LookupHandler handler) {
+  const auto then = [this, job_id, handler = std::move(handler)](const LookupResult& result) {
+    publish_cancellation(result);
+    if (std::holds_alternative<LookupFailed>(result)) {
+      unanswered_jobs_.note_unanswered(job_id);
+    } else {
+      unanswered_jobs_.note_answered(job_id);
+    }
+    handler(result);
+  };
+  if (const FinalRecord* final_job = final_jobs_.find(job_id)) {
+    then(*final_job);
+  } else if (cache_.records().jobs.contains(job_id)) {
+    look_up_unfinished(job_id, then);
+  } else {
+    read_from_store(job_id, then);
+  }
+}
+
+void JobLookup::look_up_unfinished(const JobId& job_id, LookupHandler handler) {
+  // All such requests share the watch, whose next progress notification is newer than they are.
+  cache_.when_fresh([this, job_id, handler = std::move(handler)](bool fresh) {
+    const auto& jobs = cache_.records().jobs;
+    const auto job = jobs.find(job_id);
+    if (!fresh) {
+      handler(LookupFailed{});
+    } else if (job != jobs.end()) {
+      handler(job->second);
+    } else {
+      read_from_store(job_id, handler);  // the job has ended, or its record can't be read
+    }
+  });
+}
+
+void JobLookup::read_from_store(const JobId& job_id, LookupHandler handler) {
+  // Never shares a read that was sent before the request came: its result may be older than what
+  // another controller has told the user meanwhile.
+  const auto it = reads_.find(job_id);
+  if (it != reads_.end()) {
+    it->second.next.push_back(std::move(handler));
+    return;
+  }
+  if (reads_.size() >= kMaxConcurrentReads) {
+    handler(LookupFailed{});
+    return;
+  }
+  reads_[job_id].current.push_back(std::move(handler));
+  read_job_record(job_id);
+}
+
+void JobLookup::read_job_record(const JobId& job_id) {
+  store_.read(keys::job(job_id), [this, job_id](const ReadResult& reply) {
+    if (!reply.ok) {
+      complete_read(job_id, LookupFailed{});
+      return;
+    }
+    if (!reply.entry) {
+      // Jobs move to their final record in one commit, never back: what is in neither was not
+      // accepted before the first read.
+      read_final_record(job_id);
+      return;
+    }
+    auto record = decode_entry<JobRecord>(*reply.entry);
+    if (!record) {
+      complete_read(job_id, LookupFailed{});
+      return;
+    }
+    complete_read(job_id, Versioned<JobRecord>{std::move(*record), reply.entry->mod_revision});
+  });
+}
+
+void JobLookup::read_final_record(const JobId& job_id) {
+  store_.read(keys::final_job(job_id), [this, job_id](const ReadResult& reply) {
+    if (!reply.ok) {
+      complete_read(job_id, LookupFailed{});
+      return;
+    }
+    if (!reply.entry) {
+      complete_read(job_id, JobUnknown{});
+      return;
+    }
+    const auto record = decode_entry<FinalRecord>(*reply.entry);
+    if (!record) {
+      complete_read(job_id, LookupFailed{});
+      return;
+    }
+    final_jobs_.insert(*record);
+    complete_read(job_id, *record);
+  });
+}
+
+void JobLookup::complete_read(const JobId& job_id, const LookupResult& result) {
+  const auto it = reads_.find(job_id);
+  if (it == reads_.end()) return;
+  const auto answered = std::move(it->second.current);
+  if (it->second.next.empty()) {
+    reads_.erase(it);
+  } else {
+    it->second.current = std::move(it->second.next);
+    it->second.next.clear();
+    read_job_record(job_id);
+  }
+  for (const auto& handler : answered) handler(result);
+}
+
+}  // namespace marblevale
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -133,7 +133,8 @@
   const bool post = request.method == EVHTTP_REQ_POST;
   const auto answer = [this, responder](const UserAnswer& a) {
     startup_times_.user_answered(a.status);
-    responder->reply(a.status, a.body, a.retry_after_s);
+    responder->reply(a.status, a.body,
+                     static_cast<int>(a.retry_after.value_or(std::chrono::seconds{0}).count()));
   };
   const auto refuse_method = [&] { responder->reply(405, R"({"error":"method not allowed"})"); };
   if (path == "/hello") {
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -186,7 +186,7 @@
   store_.scripts = {Script::refuse};
   const auto answer = submit(kJob);
   EXPECT_EQ(answer.status, 503);
-  EXPECT_GT(answer.retry_after_s, 0);
+  EXPECT_GT(answer.retry_after, std::chrono::seconds{0});
   EXPECT_FALSE(store_.get(keys::job(JobId("req-000412"))));
 }
 
@@ -412,7 +412,7 @@
   admission_->status("req-000413", [&](const UserAnswer& a) { late = a; });
   clock_.advance(Duration{2000});
   EXPECT_EQ(late.status, 503);
-  EXPECT_GT(late.retry_after_s, 0);
+  EXPECT_GT(late.retry_after, std::chrono::seconds{0});
 }
 
 TEST_F(AdmissionTest, CancelIsToldOnlyOnceCommittedAndStays) {
@@ -483,7 +483,7 @@
     for (int i = 0; i < questions; ++i) {
       admission_->status(job_name(i % kJobs), [this](const UserAnswer& a) {
         if (a.status == 200) ++tally_.answered;
-        if (a.status == 503 && a.retry_after_s > 0) ++tally_.refused;
+        if (a.status == 503 && a.retry_after > std::chrono::seconds{0}) ++tally_.refused;
       });
     }
   }
@@ -756,7 +756,7 @@
       clock_.advance(scaled(patience, 0.45));
       ASSERT_EQ(answers.size(), 1U);
       EXPECT_EQ(answers.front().status, 503);
-      EXPECT_GT(answers.front().retry_after_s, 0);
+      EXPECT_GT(answers.front().retry_after, std::chrono::seconds{0});
       store_.hold = false;
       store_.deliver_all();
       EXPECT_EQ(answers.size(), 1U);
