--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -5,11 +5,14 @@
 namespace marblevale {
 
 namespace {
-constexpr Duration kStoreOutageReportedAfter{2'500};  // without an answer: what peers are told
-constexpr Duration kUnreadyAfterStoreOutage{
-    6'000};  // and when users are sent elsewhere, if a peer has answers
+
+/// Without an answer for this long, the state service counts as unavailable in the heartbeats to
+/// the peers.
+constexpr Duration kStoreOutageReportedAfter{2'500};
+/// Without an answer for this long, the readiness probe fails if a peer has answers.
+constexpr Duration kUnreadyAfterStoreOutage{6'000};
 constexpr Duration kSummaryInterval{30'000};
-constexpr std::string_view kJobs = "/api/jobs";
+
 }  // namespace
 
 Service::Service(Loop& loop, const Clock& clock, const Settings& settings,
@@ -39,19 +42,15 @@
           }),
       peer_server_(loop, settings.peers_at,
                    [this](const HttpRequest& request, const ResponderPtr& responder) {
-                     if (request.path == PeerHeartbeatExchange::kPath) {
-                       peer_heartbeats_.serve(request, responder);
-                     } else if (request.path == Offers::kPath) {
-                       offers_.serve(request, responder);
-                     } else {
-                       responder->reply(404, "{}");
-                     }
+                     serve_peer(request, responder);
                    }),
+      user_router_(loop.metrics(), job_api_, shard_holder_, startup_times_,
+                   [this] { return update_readiness(); }),
       user_server_(loop, settings.users,
-                   [this](const HttpRequest& request, ResponderPtr responder) {
-                     serve(request, std::move(responder));
+                   [this](const HttpRequest& request, const ResponderPtr& responder) {
+                     user_router_.serve(request, responder);
                    }),
-      summary_timer_(loop, [this] { summarize(); }) {}
+      summary_timer_(loop, [this] { log_summary(); }) {}
 
 void Service::begin() {
   leader_loop_.release_through(offers_);
@@ -67,10 +66,20 @@
   shard_holder_.begin();
   peer_heartbeats_.begin();
   summary_timer_.start(kSummaryInterval);
-  spdlog::info("service: at most {} connections to workers", order_connections(settings_));
+  spdlog::info("service: started max_worker_connections={}", order_connections(settings_));
+}
+
+void Service::serve_peer(const HttpRequest& request, const ResponderPtr& responder) {
+  if (request.path == PeerHeartbeatExchange::kPath) {
+    peer_heartbeats_.serve(request, responder);
+  } else if (request.path == Offers::kPath) {
+    offers_.serve(request, responder);
+  } else {
+    responder->reply(404, "{}");
+  }
 }
 
-void Service::summarize() {
+void Service::log_summary() {
   summary_timer_.start(kSummaryInterval);
   const Records& records = cache_.records();
   spdlog::info(
@@ -79,16 +88,16 @@
       order_sender_.connections(), order_connections(settings_));
 }
 
-bool Service::store_answered_within(Duration within) const {
-  return cache_.ready() && clock_.steady() - cache_.fresh_until() < within;
+bool Service::store_answered_within(Duration duration) const {
+  return cache_.ready() && clock_.steady() - cache_.fresh_until() < duration;
 }
 
 bool Service::update_readiness() {
-  const bool now = takes_users(cache_.ready(), store_answered_within(kUnreadyAfterStoreOutage),
-                               peer_heartbeats_.peer_state_evidence());
-  if (now != ready_) spdlog::info("service: {}", now ? "takes users" : "sends users elsewhere");
-  ready_ = now;
-  return now;
+  const bool ready = takes_users(cache_.ready(), store_answered_within(kUnreadyAfterStoreOutage),
+                                 peer_heartbeats_.peer_state_evidence());
+  if (ready != ready_) spdlog::info("service: readiness changed ready={}", ready);
+  ready_ = ready;
+  return ready;
 }
 
 PeerHeartbeat Service::compose_peer_heartbeat() {
@@ -104,14 +113,17 @@
   const auto unreachable_zones = shard_holder_.unreachable_zones();
   for (const ZoneId& zone : unreachable_zones) heartbeat.unreachable_zones.push_back(zone.get());
   leader_loop_.note_unreachable_zones(settings_.node, unreachable_zones);
-  if (cache_.ready() && cancellations_.kept_all()) {
-    const auto until = vouching_.until(clock_.steady(), clock_.wall(), cache_.fresh_until_wall(),
-                                       peer_heartbeats_.peer_cancellation_lists());
-    if (until) shard_holder_.extend_freshness(*until);
-  }
+  extend_record_freshness();
   return heartbeat;
 }
 
+void Service::extend_record_freshness() {
+  if (!cache_.ready() || !cancellations_.kept_all()) return;
+  const auto until = vouching_.until(clock_.steady(), clock_.wall(), cache_.fresh_until_wall(),
+                                     peer_heartbeats_.peer_cancellation_lists());
+  if (until) shard_holder_.extend_freshness(*until);
+}
+
 void Service::on_peer_heartbeat(const PeerHeartbeat& heartbeat, bool newer) {
   cancellations_.hear(heartbeat.cancellations);
   if (!newer) return;
@@ -125,51 +137,4 @@
     shard_assigner_.note_misrouted_heartbeat(ZoneId(zone), NodeId(heartbeat.node));
 }
 
-// One branch for each path of the users' interface.
-// NOLINTNEXTLINE(readability-function-cognitive-complexity)
-void Service::serve(const HttpRequest& request, ResponderPtr responder) {
-  const std::string& path = request.path;
-  const bool get = request.method == EVHTTP_REQ_GET;
-  const bool post = request.method == EVHTTP_REQ_POST;
-  const auto answer = [this, responder](const UserAnswer& a) {
-    startup_times_.user_answered(a.status);
-    responder->reply(a.status, a.body,
-                     static_cast<int>(a.retry_after.value_or(std::chrono::seconds{0}).count()));
-  };
-  const auto refuse_method = [&] { responder->reply(405, R"({"error":"method not allowed"})"); };
-  if (path == "/hello") {
-    if (!post) return refuse_method();
-    const HeartbeatReply handle_heartbeat = shard_holder_.handle_heartbeat(request.body);
-    responder->reply(handle_heartbeat.status, handle_heartbeat.body);
-  } else if (path == "/up") {
-    if (!get) return refuse_method();
-    responder->reply(update_readiness() ? 200 : 503, "{}");
-  } else if (path == kJobs) {
-    const auto timed = metrics_.time(Duty::users);
-    if (!post) return refuse_method();
-    job_api_.submit(request.body, answer);
-  } else if (path.compare(0, kJobs.size(), kJobs) == 0 && path.size() > kJobs.size() + 1 &&
-             path[kJobs.size()] == '/') {
-    const auto timed = metrics_.time(Duty::users);
-    const std::string rest = path.substr(kJobs.size() + 1);
-    const auto slash = rest.find('/');
-    const std::string job_id = rest.substr(0, slash);
-    const std::string verb = slash == std::string::npos ? "" : rest.substr(slash + 1);
-    if (verb.empty() && slash == std::string::npos) {
-      if (!get) return refuse_method();
-      job_api_.status(job_id, answer);
-    } else if (verb == "abort") {
-      if (!post) return refuse_method();
-      job_api_.cancel(job_id, answer);
-    } else if (verb == "why") {
-      if (!get) return refuse_method();
-      job_api_.explain(job_id, answer);
-    } else {
-      responder->reply(404, R"({"error":"no such path"})");
-    }
-  } else {
-    responder->reply(404, R"({"error":"no such path"})");
-  }
-}
-
 }  // namespace marblevale
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -3,6 +3,7 @@
 
 #include "api/job_api.hpp"
 #include "app/startup_times.hpp"
+#include "app/user_router.hpp"
 #include "autoscaler/autoscaler.hpp"
 #include "cancellations/cancellations.hpp"
 #include "config/settings.hpp"
@@ -15,19 +16,24 @@
 
 namespace marblevale {
 
+/// Constructs the components of a controller, connects them, and starts them. The order of the
+/// members is the order of construction: each refers only to those before it.
 class Service {
  public:
   Service(Loop& loop, const Clock& clock, const Settings& settings, ProcessIncarnation incarnation);
   void begin();
 
  private:
-  void serve(const HttpRequest& request, ResponderPtr responder);
+  void serve_peer(const HttpRequest& request, const ResponderPtr& responder);
+  /// The result of the readiness probe; logs when it changes.
   bool update_readiness();
-  [[nodiscard]] bool store_answered_within(Duration within) const;
+  [[nodiscard]] bool store_answered_within(Duration duration) const;
   PeerHeartbeat compose_peer_heartbeat();
+  /// Lets the shard holder act on its records for longer while the peers' lists prove that no
+  /// confirmed cancellation is missing from them.
+  void extend_record_freshness();
   void on_peer_heartbeat(const PeerHeartbeat& heartbeat, bool newer);
-
-  void summarize();
+  void log_summary();
 
   Metrics& metrics_;
   const Clock& clock_;
@@ -49,6 +55,7 @@
   PeerHeartbeatExchange peer_heartbeats_;
   HttpServer peer_server_;
   bool ready_ = false;
+  UserRouter user_router_;
   HttpServer user_server_;
   Timer summary_timer_;
 };
--- a/src/app/startup_times.cpp
+++ b/src/app/startup_times.cpp
@@ -10,6 +10,18 @@
 
 constexpr int kFirstServerError = 500;
 
+const char* name_of(StartupMilestone milestone) {
+  switch (milestone) {
+    case StartupMilestone::user_answered:
+      return "first user answered";
+    case StartupMilestone::task_bound:
+      return "first task bound";
+    case StartupMilestone::last_shard_held:
+      return "last shard held";
+  }
+  return "";
+}
+
 }  // namespace
 
 StartupTimes::StartupTimes(const Clock& clock, const Settings& settings, WatchCache& cache,
@@ -18,11 +30,11 @@
       settings_(settings),
       cache_(cache),
       incarnation_(incarnation),
-      began_(clock.steady()),
-      began_wall_(clock.wall()) {
+      started_(clock.steady()),
+      started_wall_(clock.wall()) {
   cache_.listen([this](RecordKind kind, const std::string& key) {
-    if (kind == RecordKind::slice) slice_changed(key);
-    if (kind == RecordKind::shard) shard_changed(ZoneId(key));
+    if (kind == RecordKind::slice) on_slice_changed(key);
+    if (kind == RecordKind::shard) on_shard_changed(ZoneId(key));
   });
 }
 
@@ -30,16 +42,16 @@
   return reached_.at(static_cast<std::size_t>(milestone));
 }
 
-void StartupTimes::reach(StartupMilestone milestone, const std::string& what) {
+void StartupTimes::reach(StartupMilestone milestone, const std::string& details) {
   auto& reached = reached_.at(static_cast<std::size_t>(milestone));
   if (reached) return;
-  reached = clock_.steady() - began_;
-  spdlog::info("startup: {} after {} ms", what, reached->count());
+  reached = clock_.steady() - started_;
+  spdlog::info("startup: {} after_ms={}{}", name_of(milestone), reached->count(), details);
 }
 
 void StartupTimes::user_answered(int status) {
   if (status >= kFirstServerError) return;
-  reach(StartupMilestone::user_answered, "first answer to a user");
+  reach(StartupMilestone::user_answered);
 }
 
 bool StartupTimes::held_here(const ZoneId& zone) const {
@@ -48,18 +60,18 @@
          shard->second.record.incarnation == incarnation_;
 }
 
-void StartupTimes::slice_changed(const std::string& key) {
+void StartupTimes::on_slice_changed(const std::string& key) {
   if (after(StartupMilestone::task_bound)) return;
   const auto slash = key.find('/');
   const auto number = static_cast<std::uint32_t>(std::stoul(key.substr(slash + 1)));
   const auto* slice = cache_.records().slice(JobId(key.substr(0, slash)), number);
   if (slice == nullptr) return;
   const auto& tasks = slice->record.tasks;
-  // Bindings from before the start are read with the other records.
+  // The first load of the records also reports bindings from before the start.
   const bool bound = std::any_of(tasks.begin(), tasks.end(), [this](const TaskRecord& task) {
-    return task.state == TaskState::bound && task.since >= began_wall_ && held_here(task.zone);
+    return task.state == TaskState::bound && task.since >= started_wall_ && held_here(task.zone);
   });
-  if (bound) reach(StartupMilestone::task_bound, "first task bound here");
+  if (bound) reach(StartupMilestone::task_bound);
 }
 
 bool StartupTimes::all_shards_held() const {
@@ -71,9 +83,9 @@
   });
 }
 
-void StartupTimes::shard_changed(const ZoneId& zone) {
+void StartupTimes::on_shard_changed(const ZoneId& zone) {
   if (!held_here(zone) || !all_shards_held()) return;
-  reach(StartupMilestone::last_shard_held, "the last block, " + zone.get() + ", is held here");
+  reach(StartupMilestone::last_shard_held, " zone=" + zone.get());
 }
 
 }  // namespace marblevale
--- a/src/app/startup_times.hpp
+++ b/src/app/startup_times.hpp
@@ -1,8 +1,9 @@
-// How long after this process began it first served a user, bound a task, and completed the set of
-// leased shards: what a silence of all controllers costs, readable from the log.
+// How long after the start of this process it first served a user, bound a task, and completed the
+// set of held shards: what an outage of all controllers costs, readable from the log.
 #pragma once
 
 #include <array>
+#include <cstddef>
 #include <optional>
 #include <string>
 
@@ -11,23 +12,27 @@
 
 namespace marblevale {
 
-/// What is timed, once in a process.
+/// Reached once in a process, or never.
 enum class StartupMilestone { user_answered, task_bound, last_shard_held };
+inline constexpr std::size_t kStartupMilestones = 3;
 
+/// Logs each milestone when it is reached. It learns of bindings and of shards from the watched
+/// records, of answers from whoever gives them.
 class StartupTimes {
  public:
   StartupTimes(const Clock& clock, const Settings& settings, WatchCache& cache,
                ProcessIncarnation incarnation);
 
-  /// A user was told something else than to come back.
+  /// An answer was given to a user; one with a server error reaches nothing.
   void user_answered(int status);
-  /// Time from the start of this process; nothing before it is reached.
+  /// Time from the start of this process; absent until the milestone is reached.
   [[nodiscard]] std::optional<Duration> after(StartupMilestone milestone) const;
 
  private:
-  void reach(StartupMilestone milestone, const std::string& what);
-  void slice_changed(const std::string& key);
-  void shard_changed(const ZoneId& zone);
+  /// Logs the milestone, with `details`, unless it was reached before.
+  void reach(StartupMilestone milestone, const std::string& details = "");
+  void on_slice_changed(const std::string& key);
+  void on_shard_changed(const ZoneId& zone);
   [[nodiscard]] bool held_here(const ZoneId& zone) const;
   [[nodiscard]] bool all_shards_held() const;
 
@@ -35,9 +40,9 @@
   const Settings& settings_;
   WatchCache& cache_;
   const ProcessIncarnation incarnation_;
-  const SteadyTime began_;
-  const WallTime began_wall_;
-  std::array<std::optional<Duration>, 3> reached_;
+  const SteadyTime started_;
+  const WallTime started_wall_;
+  std::array<std::optional<Duration>, kStartupMilestones> reached_;
 };
 
 }  // namespace marblevale
