--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -53,7 +53,7 @@
       summary_timer_(loop, [this] { log_summary(); }) {}
 
 void Service::begin() {
-  leader_loop_.release_through(offers_);
+  leader_loop_.offer_releases_through(offers_);
   autoscaler_.delete_overdue([this] { return shard_holder_.overdue(); });
   cancellations_.on_confirmed([this] { peer_heartbeats_.send_soon(); });
   cancellations_.on_peer_cancellation(
--- a/src/leader/leader_loop.hpp
+++ b/src/leader/leader_loop.hpp
@@ -1,22 +1,30 @@
-// The leader's granting: builds the profile from the records, runs the planner's rounds, commits
-// guarantees and releases, and stops tasks for a recorded reason.
+/// The leader's reconciliation loop: plans the waiting jobs in rounds and commits what follows.
+///
+/// A round brings the planning state up to the records, runs the planner, and hands its results to
+/// the modules that commit them: starts to `Releaser`, guarantees and notes to `GuaranteeWriter`,
+/// unmet demand to `ScaleOutPlanner`. Only an established leader with a fresh lease runs rounds;
+/// whatever a round commits is guarded by the leader's term, so that a leader that lost its
+/// leadership without knowing it changes nothing.
 #pragma once
 
-#include <map>
-#include <memory>
 #include <set>
-#include <unordered_map>
+#include <string>
 #include <unordered_set>
+#include <vector>
 
 #include "autoscaler/autoscaler.hpp"
 #include "config/settings.hpp"
 #include "election/election.hpp"
 #include "leader/guarantee_writer.hpp"
 #include "leader/job_cleanup.hpp"
+#include "leader/machine_evacuator.hpp"
+#include "leader/planning_state.hpp"
+#include "leader/preemptor.hpp"
+#include "leader/quota_waits.hpp"
 #include "leader/releaser.hpp"
 #include "leader/scale_out_planner.hpp"
 #include "leader/starvation_check.hpp"
-#include "scheduling/occupancy.hpp"
+#include "leader/unreachable_zones.hpp"
 #include "scheduling/planner.hpp"
 #include "store/watch_cache.hpp"
 
@@ -27,76 +35,68 @@
   LeaderLoop(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
              Election& election, Autoscaler& autoscaler);
 
+  /// Starts the timer of the rounds. Rounds do nothing while this controller does not lead.
   void begin();
-  /// Releases go to holders by this as well; without it they are committed first.
-  void release_through(OfferChannel& channel) { releaser_.release_through(channel); }
-  /// What a controller says of the zones that it holds: in these it reaches no machine.
+  /// Has releases offered to shard holders by this channel; without it they are committed by the
+  /// leader.
+  void offer_releases_through(OfferChannel& channel) { releaser_.offer_through(channel); }
+  /// A controller reports the zones in which it reaches no machine; see `UnreachableZones`.
   void note_unreachable_zones(const NodeId& holder, std::set<ZoneId> zones);
 
  private:
   enum class State { idle, leading };
 
   void transition(State next);
+  void arm_timer(Duration delay);
+  /// Runs a round soon, because something has changed that it may use.
   void schedule_round();
-  void round();
-  [[nodiscard]] std::vector<QueueItem> current_queue(WallTime now);
-  /// The steps of a round, each timed by itself.
-  void restore(Planner& planner, SteadyTime begin);
-  bool admit(Planner& planner);
-  std::vector<Start> compress(Planner& planner);
+  void on_record_changed(RecordKind kind, const std::string& key);
+  void mark_slice_dirty(const SliceKey& key);
   void begin_term();
-  /// The profile is made anew from the records at the next round.
-  void reset_occupancy();
-  void on_record_changed(RecordKind topic, const std::string& key);
-  void touch_slice(const SliceKey& key);
-  [[nodiscard]] std::set<ZoneId> unreachable_zones() const;
-  /// Stops tasks on machines that are about to go.
-  void evacuate();
-  void preempt(const Planner& planner);
-  /// Stops tasks so that the job can start; the machines on which that made room.
-  std::vector<MachineId> preempt_for(const QueueItem& item,
-                                     const std::unordered_set<JobId>& guaranteed,
-                                     const Profile& profile, const std::set<MachineId>& others);
-  void summarize(const Planner& planner);
-  void check_starvation(const Planner& planner);
-  /// Notes for whom an unsettled release is the reason for waiting.
-  void note_limit_waits(const Planner& planner);
-  /// The profile disagrees with the records: it is made anew, at most once a minute.
   void rebuild_profile();
 
+  void run_round();
+  /// Settles what the records decide and commits what does not depend on the plan.
+  void reconcile();
+  [[nodiscard]] Planner make_planner(SteadyTime round_begin);
+  [[nodiscard]] std::vector<QueueItem> build_current_queue(WallTime now);
+  /// Drops what is remembered of jobs that wait no longer.
+  void retain_only(const std::unordered_set<JobId>& queued);
+  /// Runs the planner within the round's budget, releases the starts, and preempts where nothing
+  /// more could start. False: the budget ended before the queue did.
+  bool plan_and_release(Planner& planner, SteadyTime round_begin);
+  /// The planner's steps, each timed by itself.
+  void restore_reservations(Planner& planner, SteadyTime round_begin);
+  bool admit_arrivals(Planner& planner);
+  std::vector<Start> compress(Planner& planner);
+  /// The parts of a round that have intervals of their own.
+  void run_periodic_steps(const Planner& planner);
+  void check_starvation(const Planner& planner);
+
   Metrics& metrics_;
   const Clock& clock_;
   const Settings& settings_;
   WatchCache& cache_;
   Election& election_;
   Autoscaler& autoscaler_;
-  GuaranteeWriter grants_;
+  GuaranteeWriter guarantee_writer_;
   JobCleanup cleanup_;
-  ScaleOutPlanner provisioning_requests_;
+  ScaleOutPlanner scale_out_planner_;
   Releaser releaser_;
+  MachineEvacuator evacuator_;
+  Preemptor preemptor_;
+  QuotaWaitNotes quota_wait_notes_;
   StarvationCheck starvation_;
+  UnreachableZones unreachable_zones_;
+  PlanningState planning_;
   State state_ = State::idle;
   ModRevision term_;
-  Reservations reservations_;
-  FailedStarts failed_starts_;
-  std::size_t cursor_ = 0;
-  std::map<NodeId, std::pair<std::set<ZoneId>, SteadyTime>>
-      unreachable_reports_;  // and when that was said
-  struct PreemptedRoom {
-    SteadyTime at;
-    std::vector<MachineId> machine_ids;
-  };
-  std::unordered_map<JobId, PreemptedRoom> preempted_room_;
-  Occupancy occupancy_;
-  Duration preempt_took_{};
-  SteadyTime last_preempted_ = kLongAgo;
+  /// Where the planner's compression goes on in the next round; 0: at the queue's front.
+  std::size_t compression_cursor_ = 0;
   SteadyTime timer_due_{};
-  SteadyTime round_over_{};
-  Duration round_took_{};
+  SteadyTime last_round_end_{};
+  Duration last_round_took_{};
   SteadyTime last_summary_ = kLongAgo;
-  SteadyTime last_profile_rebuild_ = kLongAgo;
-  SteadyTime last_limit_check_{};
-  std::unordered_set<JobId> limit_noted_;  // jobs that wait and have the note already
   Timer timer_;
 };
 
--- /dev/null
+++ b/src/leader/preemptor.hpp
@@ -0,0 +1,67 @@
+/// Preemption: stops running tasks so that a job of higher priority can start.
+///
+/// `select_victims` decides which tasks lose least. The preemptor decides for which jobs and how
+/// often that is tried, commits the stops, and keeps the machines that were freed for the job that
+/// they were freed for.
+#pragma once
+
+#include <set>
+#include <unordered_map>
+#include <unordered_set>
+#include <vector>
+
+#include "config/settings.hpp"
+#include "core/metrics.hpp"
+#include "leader/guarantee_writer.hpp"
+#include "leader/releaser.hpp"
+#include "scheduling/planner.hpp"
+#include "store/watch_cache.hpp"
+
+namespace marblevale {
+
+class Preemptor {
+ public:
+  Preemptor(Metrics& metrics, const Clock& clock, const Settings& settings, const WatchCache& cache,
+            Releaser& releaser, GuaranteeWriter& guarantee_writer);
+
+  /// Forgets which machines an earlier term has freed.
+  void begin_term() { freed_.clear(); }
+  /// True when preemption has not been tried for so long that it must not wait for a quiet round.
+  [[nodiscard]] bool overdue(SteadyTime now) const;
+  /// Tries the queue's jobs by priority, within a budget of jobs and time. Does nothing when the
+  /// last run was a short while ago.
+  void run(const Planner& planner, const Reservations& reservations);
+  /// The machines that were freed recently, by the job that they were freed for.
+  [[nodiscard]] Pins pins(SteadyTime now) const;
+
+ private:
+  /// Machines on which tasks were stopped for a job.
+  struct FreedMachines {
+    SteadyTime freed_at;
+    std::vector<MachineId> machine_ids;
+  };
+
+  [[nodiscard]] bool may_preempt(const QueueItem& item, const Reservations& reservations,
+                                 SteadyTime now, WallTime wall) const;
+  [[nodiscard]] bool freed_recently(const JobId& job_id, SteadyTime now) const;
+  /// Machines that were freed recently for jobs that still wait.
+  [[nodiscard]] std::set<MachineId> claimed_machines(const std::vector<QueueItem>& queue,
+                                                     SteadyTime now) const;
+  /// Stops tasks so that the job can start. Returns the machines on which that makes room; none
+  /// when there is nothing to stop.
+  std::vector<MachineId> preempt_for(const QueueItem& item,
+                                     const std::unordered_set<JobId>& guaranteed,
+                                     const Profile& profile, const std::set<MachineId>& claimed);
+
+  Metrics& metrics_;
+  const Clock& clock_;
+  const Settings& settings_;
+  const WatchCache& cache_;
+  Releaser& releaser_;
+  GuaranteeWriter& guarantee_writer_;
+  std::unordered_map<JobId, FreedMachines> freed_;
+  SteadyTime last_run_ = kLongAgo;
+  Duration last_run_took_{};
+};
+
+}  // namespace marblevale
--- /dev/null
+++ b/src/leader/quota_waits.cpp
@@ -0,0 +1,87 @@
+#include "leader/quota_waits.hpp"
+
+#include <map>
+
+namespace marblevale {
+
+namespace {
+
+constexpr Duration kCheckInterval{2'000};
+/// How long a release has to be without a definite answer before it is given as a reason.
+constexpr Duration kMinUnsettledTime{5'000};
+/// Notes of one check.
+constexpr std::size_t kMaxNotes = 8;
+
+struct UnsettledUse {
+  JobId first_job_id;
+  Resources resources;
+};
+
+std::map<TeamId, UnsettledUse> unsettled_use_by_team(const Records& records, const TeamUsage& usage,
+                                                     const std::vector<SliceKey>& unsettled) {
+  std::map<TeamId, UnsettledUse> by_team;
+  for (const SliceKey& key : unsettled) {
+    const JobRecord* job = records.job(key.job_id);
+    if (job == nullptr) continue;
+    UnsettledUse& use =
+        by_team.try_emplace(job->spec.team, UnsettledUse{key.job_id, {}}).first->second;
+    use.resources += usage.used_by(key);
+  }
+  return by_team;
+}
+
+}  // namespace
+
+std::vector<QuotaWait> find_quota_waits(const std::vector<QueueItem>& queue,
+                                        const Settings& settings, const Records& records,
+                                        const TeamUsage& usage,
+                                        const std::vector<SliceKey>& unsettled,
+                                        std::size_t max_waits) {
+  std::vector<QuotaWait> waits;
+  if (unsettled.empty()) return waits;
+  const auto by_team = unsettled_use_by_team(records, usage, unsettled);
+  for (const QueueItem& item : queue) {
+    if (waits.size() >= max_waits) break;
+    const JobSpec& job = *item.demand.job;
+    const Team* team = settings.team(job.team);
+    const auto use = by_team.find(job.team);
+    if (team == nullptr || use == by_team.end() || item.demand.tasks == 0) continue;
+    const Resources wanted = job.need * (job.gang() ? static_cast<double>(item.demand.tasks) : 1.0);
+    const Resources total = usage.used_by(job.team) + wanted;
+    if (fits(total, team->limit())) continue;
+    if (fits(total - use->second.resources, team->limit())) {
+      waits.push_back({item.job_id, use->second.first_job_id});
+    }
+  }
+  return waits;
+}
+
+QuotaWaitNotes::QuotaWaitNotes(const Clock& clock, const Settings& settings,
+                               const WatchCache& cache, Releaser& releaser,
+                               GuaranteeWriter& guarantee_writer)
+    : clock_(clock),
+      settings_(settings),
+      cache_(cache),
+      releaser_(releaser),
+      guarantee_writer_(guarantee_writer) {}
+
+void QuotaWaitNotes::retain_only(const std::unordered_set<JobId>& queued) {
+  std::erase_if(noted_, [&](const JobId& job_id) { return !queued.contains(job_id); });
+}
+
+bool QuotaWaitNotes::due() const { return clock_.steady() - last_run_ >= kCheckInterval; }
+
+void QuotaWaitNotes::run(const std::vector<QueueItem>& queue) {
+  last_run_ = clock_.steady();
+  const auto unsettled = releaser_.open().unsettled_for(kMinUnsettledTime, last_run_);
+  const auto waits =
+      find_quota_waits(queue, settings_, cache_.records(), releaser_.usage(), unsettled, kMaxNotes);
+  for (const QuotaWait& wait : waits) {
+    if (!noted_.insert(wait.job_id).second) continue;
+    guarantee_writer_.note(wait.job_id, "waits for its team's limit: a release of " +
+                                            wait.unsettled_job_id.get() +
+                                            " has no answer yet, and counts until it is settled");
+  }
+}
+
+}  // namespace marblevale
--- a/src/leader/releaser.cpp
+++ b/src/leader/releaser.cpp
@@ -10,14 +10,18 @@
 
 namespace {
 
-constexpr double kShortSlack = 0.3;     // of the budget for writes
-constexpr std::size_t kSmallPiece = 8;  // tasks
-constexpr Duration kPieceEvery{3'000};  // between small pieces of one array
+/// Share of the budget for writes below which it is short.
+constexpr double kShortWriteSlack = 0.3;
+/// Tasks of an array below which its part of a start is small.
+constexpr std::size_t kSmallStartTasks = 8;
+/// Between two releases of small parts of one array.
+constexpr Duration kSmallStartInterval{3'000};
 /// Offers that wait for one holder's binding. A holder that lacks the budget for more writes would
-/// let them lapse, and each would then cost a second write: the release by the leader.
-constexpr std::size_t kMaxUnsettledOffers = 10;
-constexpr std::size_t kManyUnsettledOffers = 12;  // of all holders: writes are short
-constexpr Duration kLimitLogInterval{10'000};
+/// let them time out, and each would then cost a second write: the release by the leader.
+constexpr std::size_t kMaxOffersToHolder = 10;
+/// Offers that wait for any holder's binding, from which on writes are taken to be short.
+constexpr std::size_t kManyOpenOffers = 12;
+constexpr Duration kQuotaLogInterval{10'000};
 
 }  // namespace
 
@@ -46,51 +50,55 @@
   return usage_;
 }
 
-void Releaser::pursue() {
+void Releaser::settle_and_retry_due() {
   const SteadyTime now = clock_.steady();
-  for (const SliceKey& key : open_.settle(cache_, now)) usage_.touch(key);
+  for (const SliceKey& key : open_.settle(cache_, now)) usage_.mark_dirty(key);
   for (const ReleaseId id : open_.due(now)) {
-    const bool lapsed = open_.state(id) == OpenReleases::State::offered;
-    metrics_.count(lapsed ? "offers without an answer" : "releases sent again");
+    const bool offer_timed_out = open_.state(id) == OpenReleases::State::offered;
+    metrics_.count(offer_timed_out ? "offers without an answer" : "releases sent again");
     send(id);
   }
 }
 
-void Releaser::keep_only(const std::unordered_set<JobId>& queued) {
+void Releaser::retain_only(const std::unordered_set<JobId>& queued) {
   std::erase_if(last_release_, [&](const auto& entry) { return !queued.contains(entry.first); });
 }
 
 bool Releaser::short_of_writes() const {
-  return cache_.write_slack() <= kShortSlack || open_.offers() >= kManyUnsettledOffers;
+  return cache_.write_slack() <= kShortWriteSlack || open_.offers() >= kManyOpenOffers;
 }
 
-void Releaser::touch_slices(const SliceChangeRequest& request) {
-  for (const SliceRecord& slice : request.slices) usage_.touch({slice.job_id, slice.number});
+void Releaser::mark_slices_dirty(const SliceChangeRequest& request) {
+  for (const SliceRecord& slice : request.slices) usage_.mark_dirty({slice.job_id, slice.number});
 }
 
 void Releaser::send(ReleaseId id) {
   cache_.commit(binding_priority(cache_.records(), open_.job_of(id)),
-                open_.mark_sent(id, cache_.record_size()), [this, id](const CommitResult& r) {
-                  open_.on_commit_answer(id, r, clock_.steady());
-                  events_.answered();
+                open_.mark_sent(id, cache_.record_size()), [this, id](const CommitResult& result) {
+                  open_.on_commit_answer(id, result, clock_.steady());
+                  events_.change_answered();
                 });
 }
 
 void Releaser::commit(const SliceChangeRequest& request) {
   const ReleaseId id = open_.add(request, cache_.records());
-  touch_slices(request);
+  mark_slices_dirty(request);
   send(id);
 }
 
-bool Releaser::stop_tasks(const SliceKey& key, const StopDecision& stop) {
+bool Releaser::stop_tasks(const SliceKey& key, const std::set<std::size_t>& indices,
+                          const StopOrder& order) {
   if (open_.contains(key)) return false;
   const auto* stored = cache_.records().slice(key.job_id, key.number);
   if (stored == nullptr) return false;
   SliceRecord slice = stored->record;
   bool changed = false;
-  for (std::size_t i = 0; i < slice.tasks.size(); ++i) {
-    TaskRecord& task = slice.tasks[i];
-    if (task.placed() && !task.stop && stop(i, task)) changed = true;
+  for (const std::size_t index : indices) {
+    if (index >= slice.tasks.size()) break;
+    TaskRecord& task = slice.tasks[index];
+    if (!task.placed() || task.stop) continue;
+    task.stop = order;
+    changed = true;
   }
   if (!changed) return false;
   SliceChangeRequest request{SliceChangeRequest::Kind::stop, {}, {slice}, false};
@@ -106,10 +114,10 @@
   // array have become larger ones.
   for (const Start& start : starts) {
     if (!worth_releasing(start)) continue;
-    const Start selected = short_of_writes() ? of_one_zone(start, planner) : start;
-    for (const Start& piece : by_slice(selected)) {
-      const auto holder = one_holder(piece, planner);
-      if (holder && open_.offers_to(*holder) >= kMaxUnsettledOffers) continue;
+    const Start selected = short_of_writes() ? restrict_to_largest_zone(start, planner) : start;
+    for (const Start& piece : split_by_slice(selected)) {
+      const auto holder = common_holder(piece, planner);
+      if (holder && open_.offers_to(*holder) >= kMaxOffersToHolder) continue;
       release(piece, planner);
     }
   }
@@ -125,19 +133,21 @@
   const SteadyTime now = clock_.steady();
   const auto last = last_release_.try_emplace(start.job_id, kLongAgo).first;
   const bool small =
-      start.task_indices.size() < std::min<std::size_t>(kSmallPiece, spec.task_count);
-  if (small && now - last->second < kPieceEvery) return false;
+      start.task_indices.size() < std::min<std::size_t>(kSmallStartTasks, spec.task_count);
+  if (small && now - last->second < kSmallStartInterval) return false;
   last->second = now;
   return true;
 }
 
-Start Releaser::of_one_zone(const Start& start, const Planner& planner) const {
+Start Releaser::restrict_to_largest_zone(const Start& start, const Planner& planner) const {
   // The part of an array's start that one holder can bind; the rest has its turn in the next round.
   const JobRecord* job = cache_.records().job(start.job_id);
   if (job == nullptr || job->spec.shape != JobShape::array) return start;
   const auto& machines = planner.profile().machines();
   std::map<ZoneId, std::size_t> counts;
-  for (const Placement& s : start.plan.placements) ++counts[machines[s.machine].zone];
+  for (const Placement& placement : start.plan.placements) {
+    ++counts[machines[placement.machine].zone];
+  }
   const auto most =
       std::max_element(counts.begin(), counts.end(),
                        [](const auto& a, const auto& b) { return a.second < b.second; });
@@ -150,7 +160,7 @@
   return selected;
 }
 
-std::vector<Start> Releaser::by_slice(const Start& start) const {
+std::vector<Start> Releaser::split_by_slice(const Start& start) const {
   // An array's tasks start separately, so each slice is released by itself: it can be offered to
   // its holder, and one that has to wait for its last commit does not hold up the others.
   const JobRecord* job = cache_.records().job(start.job_id);
@@ -164,6 +174,7 @@
     piece.task_indices.push_back(start.task_indices[i]);
   }
   std::vector<Start> out;
+  out.reserve(pieces.size());
   for (auto& [number, piece] : pieces) out.push_back(std::move(piece));
   return out;
 }
@@ -178,8 +189,8 @@
   return last;
 }
 
-SliceRecord Releaser::released_slice(const JobSpec& job, std::uint32_t number, const Start& start,
-                                     const Planner& planner) const {
+SliceRecord Releaser::make_released_slice(const JobSpec& job, std::uint32_t number,
+                                          const Start& start, const Planner& planner) const {
   SliceRecord slice;
   if (const auto* stored = cache_.records().slice(job.job_id, number)) {
     slice = stored->record;
@@ -215,33 +226,34 @@
   for (const std::uint32_t number : numbers) {
     const auto* stored = cache_.records().slice(job.job_id, number);
     const std::string key = keys::slice(job.job_id, number);
-    request.slices.push_back(released_slice(job, number, start, planner));
+    request.slices.push_back(make_released_slice(job, number, start, planner));
     request.txn.guard(key, stored == nullptr ? ModRevision{} : stored->mod_revision);
     request.txn.put(key, encode(request.slices.back(), cache_.record_size()));
   }
   return request;
 }
 
-bool Releaser::within_limit(const JobSpec& job, std::size_t tasks) {
+bool Releaser::within_team_quota(const JobSpec& job, std::size_t tasks) {
   const Team* team = settings_.team(job.team);
   if (team == nullptr) return true;
   const Resources wanted = job.need * static_cast<double>(tasks);
-  const bool known = !usage().incomplete();
-  if (known && fits(usage_.of(job.team) + wanted, team->limit())) return true;
+  const bool usage_known = !usage().incomplete();
+  const Resources used = usage_.used_by(job.team);
+  if (usage_known && fits(used + wanted, team->limit())) return true;
+  report_quota_exceeded(job, used, usage_known);
+  return false;
+}
+
+void Releaser::report_quota_exceeded(const JobSpec& job, const Resources& used, bool usage_known) {
   metrics_.count("releases over a team's limit");
   const SteadyTime now = clock_.steady();
-  if (now - last_limit_log_ >= kLimitLogInterval) {
-    last_limit_log_ = now;
-    const Resources used = usage_.of(job.team);
+  if (now - last_quota_log_ >= kQuotaLogInterval) {
+    last_quota_log_ = now;
     spdlog::error(
-        "releases: {} is not released: by the records and the open releases its team {} has {} "
-        "GPUs "
-        "and {} CPUs in use, and would exceed its limit{}",
-        job.job_id.get(), job.team.get(), used.gpus, used.cpus,
-        known ? "" : "; tasks of a job that can't be read may be of any team");
+        "releases: quota_exceeded job={} team={} gpus_in_use={} cpus_in_use={} usage_known={}",
+        job.job_id.get(), job.team.get(), used.gpus, used.cpus, usage_known);
   }
-  events_.limit_exceeded();
-  return false;
+  events_.quota_exceeded();
 }
 
 void Releaser::release(const Start& start, const Planner& planner) {
@@ -252,12 +264,12 @@
   for (const std::uint32_t index : start.task_indices) {
     if (open_.contains({start.job_id, index / kSliceTasks})) return;
   }
-  if (!within_limit(spec, start.task_indices.size())) return;
+  if (!within_team_quota(spec, start.task_indices.size())) return;
   const SliceChangeRequest request = make_request(spec, job->second.mod_revision, start, planner);
-  spdlog::debug("releases: {} of {} tasks of {}, the first to {}", start.task_indices.size(),
-                spec.task_count, start.job_id.get(),
+  spdlog::debug("releases: release job={} tasks={} job_tasks={} first_machine={}",
+                start.job_id.get(), start.task_indices.size(), spec.task_count,
                 planner.profile().machines()[start.plan.placements[0].machine].machine_id.get());
-  const auto holder = one_holder(start, planner);
+  const auto holder = common_holder(start, planner);
   if (holder && request.slices.size() == 1) {
     offer(*holder, request, start);
     return;
@@ -265,12 +277,12 @@
   for (const auto& step : split_request(request, cache_.max_operations())) commit(step);
 }
 
-std::optional<NodeId> Releaser::one_holder(const Start& start, const Planner& planner) const {
+std::optional<NodeId> Releaser::common_holder(const Start& start, const Planner& planner) const {
   if (channel_ == nullptr) return std::nullopt;
   const auto& records = cache_.records();
   std::optional<NodeId> holder;
-  for (const Placement& spot : start.plan.placements) {
-    const auto shard = records.shards.find(planner.profile().machines()[spot.machine].zone);
+  for (const Placement& placement : start.plan.placements) {
+    const auto shard = records.shards.find(planner.profile().machines()[placement.machine].zone);
     if (shard == records.shards.end()) return std::nullopt;
     const ShardRecord& held = shard->second.record;
     if (!records.alive(held.holder, held.incarnation) || (holder && *holder != held.holder)) {
@@ -285,7 +297,7 @@
   const SliceRecord& slice = request.slices.front();
   const auto* stored = cache_.records().slice(slice.job_id, slice.number);
   const ReleaseId id = open_.add_offer(request, cache_.records(), holder, clock_.steady());
-  touch_slices(request);
+  mark_slices_dirty(request);
   ReleaseOffer message;
   message.term = election_.term().get();
   message.job_id = slice.job_id.get();
--- a/src/leader/team_usage.cpp
+++ b/src/leader/team_usage.cpp
@@ -25,15 +25,15 @@
 }  // namespace
 
 void TeamUsage::sync(const Records& records, const OpenReleases& open) {
-  if (std::exchange(all_touched_, false)) {
+  if (std::exchange(all_dirty_, false)) {
     by_slice_.clear();
     by_team_.clear();
     of_unreadable_jobs_.clear();
-    for (const auto& [key, slice] : records.slices) touched_.insert(key);
-    for (const auto& [key, slice] : open.slices()) touched_.insert(key);
+    for (const auto& [key, slice] : records.slices) dirty_.insert(key);
+    for (const auto& [key, slice] : open.slices()) dirty_.insert(key);
   }
-  for (const SliceKey& key : touched_) count(key, records, open);
-  touched_.clear();
+  for (const SliceKey& key : dirty_) count(key, records, open);
+  dirty_.clear();
 }
 
 void TeamUsage::count(const SliceKey& key, const Records& records, const OpenReleases& open) {
@@ -62,12 +62,12 @@
   by_team_[job->spec.team] += resources;
 }
 
-Resources TeamUsage::of(const TeamId& team) const {
+Resources TeamUsage::used_by(const TeamId& team) const {
   const auto it = by_team_.find(team);
   return it == by_team_.end() ? Resources{} : it->second;
 }
 
-Resources TeamUsage::of(const SliceKey& key) const {
+Resources TeamUsage::used_by(const SliceKey& key) const {
   const auto it = by_slice_.find(key);
   return it == by_slice_.end() ? Resources{} : it->second.resources;
 }
--- a/tests/open_releases_test.cpp
+++ b/tests/open_releases_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "helpers.hpp"
-#include "leader/limit_waits.hpp"
+#include "leader/quota_waits.hpp"
 #include "leader/team_usage.hpp"
 #include "scripted_store.hpp"
 
@@ -191,7 +191,7 @@
  protected:
   double gpus() {
     usage_.sync(cache_.records(), releases_);
-    return usage_.of(TeamId("crew")).gpus;
+    return usage_.used_by(TeamId("crew")).gpus;
   }
   /// Replaces the slice in the records; its tasks are placed or idle.
   void store_slice(std::vector<bool> placed) {
@@ -201,7 +201,7 @@
     }
     store_.put(keys::slice(kJob, 0), encode(slice));
     tell();
-    usage_.touch(kKey);
+    usage_.mark_dirty(kKey);
   }
 
   TeamUsage usage_;
@@ -210,12 +210,12 @@
 TEST_F(TeamUsageTest, CountsRecordsAndOpenReleases) {
   EXPECT_EQ(gpus(), 0);
   answer(sent(), Outcome::unknown);
-  usage_.touch(kKey);
+  usage_.mark_dirty(kKey);
   EXPECT_EQ(gpus(), 2);
   store_slice({true, false});
   EXPECT_EQ(gpus(), 2) << "until it is settled a task counts if any version has it placed";
   releases_.settle(cache_, time_.steady());
-  usage_.touch(kKey);
+  usage_.mark_dirty(kKey);
   EXPECT_EQ(gpus(), 1);
   store_slice({false, false});
   EXPECT_EQ(gpus(), 0);
@@ -224,7 +224,7 @@
 TEST_F(TeamUsageTest, ASliceThatCannotBeReadCountsInFull) {
   store_.put(keys::slice(kJob, 0), R"({"v":99})");
   tell();
-  usage_.touch(kKey);
+  usage_.mark_dirty(kKey);
   EXPECT_EQ(gpus(), 2);
 }
 
@@ -232,14 +232,14 @@
   store_slice({true, true});
   store_.put(keys::job(kJob), R"({"v":99})");
   tell();
-  usage_.touch(kKey);
+  usage_.mark_dirty(kKey);
   gpus();
   EXPECT_TRUE(usage_.incomplete());
   Txn over;
   over.remove(keys::job(kJob));
   store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
   tell();
-  usage_.touch(kKey);
+  usage_.mark_dirty(kKey);
   EXPECT_EQ(gpus(), 0);
   EXPECT_FALSE(usage_.incomplete()) << "it is over";
 }
@@ -254,15 +254,15 @@
   const JobSpec too_large = testing::gang("req-3", 1, 3, 60);
   const std::vector<QueueItem> queue{testing::item(fits_without, 2), testing::item(too_large, 3)};
   answer(sent(), Outcome::unknown);
-  usage_.touch(kKey);
+  usage_.mark_dirty(kKey);
   gpus();
   time_.advance(Duration{5'000});
   const auto unsettled = releases_.unsettled_for(Duration{5'000}, time_.steady());
-  const auto waits = find_limit_waits(queue, settings, cache_.records(), usage_, unsettled, 10);
+  const auto waits = find_quota_waits(queue, settings, cache_.records(), usage_, unsettled, 10);
   ASSERT_EQ(waits.size(), 1U);
   EXPECT_EQ(waits[0].job_id, JobId("req-2"));
-  EXPECT_EQ(waits[0].unsettled, kJob);
-  EXPECT_TRUE(find_limit_waits(queue, settings, cache_.records(), usage_, {}, 10).empty());
+  EXPECT_EQ(waits[0].unsettled_job_id, kJob);
+  EXPECT_TRUE(find_quota_waits(queue, settings, cache_.records(), usage_, {}, 10).empty());
 }
 
 }  // namespace
--- a/tests/release_offer_test.cpp
+++ b/tests/release_offer_test.cpp
@@ -34,7 +34,7 @@
                encode(NodeRecord{NodeId("other"), ProcessIncarnation(5), LeaseId(9)}));
     store_.put(keys::shard(ZoneId("a")),
                encode(ShardRecord{ZoneId("a"), NodeId("other"), ProcessIncarnation(5), 1}));
-    leader_loop_.release_through(channel_);
+    leader_loop_.offer_releases_through(channel_);
     begin();
   }
   void submit_urgent(const std::string& job_id, double gpus) {
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -462,7 +462,7 @@
       leader_loop(loop, cluster.time, settings, cache, election, autoscaler),
       guarantee_records(loop, cluster.time, settings, cache, election),
       holder(loop, cluster.time, settings, cache, election, network, cancellations) {
-  if (cluster.offers_releases) leader_loop.release_through(network);
+  if (cluster.offers_releases) leader_loop.offer_releases_through(network);
   cache.begin();
   election.begin();
   autoscaler.begin();
