--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -54,7 +54,7 @@
 
 void Service::begin() {
   leader_loop_.offer_releases_through(offers_);
-  autoscaler_.delete_overdue([this] { return shard_holder_.overdue(); });
+  autoscaler_.set_overdue_machines([this] { return shard_holder_.overdue(); });
   cancellations_.on_confirmed([this] { peer_heartbeats_.send_soon(); });
   cancellations_.on_peer_cancellation(
       [this](const JobId& job_id) { shard_holder_.cancelled(job_id); });
--- a/src/autoscaler/suspect_machines.cpp
+++ b/src/autoscaler/failure_attribution.cpp
@@ -1,11 +1,11 @@
-#include "autoscaler/suspect_machines.hpp"
+#include "autoscaler/failure_attribution.hpp"
 
 namespace marblevale {
 
 namespace {
 
-constexpr Duration kProvenRun{4'000};   // a task that ran this long elsewhere is not at fault
-constexpr Duration kSuspicion{45'000};  // after it a verdict is given on what is known
+constexpr Duration kHealthyRunTime{4'000};       // a task that ran this long elsewhere is no cause
+constexpr Duration kAttributionTimeout{45'000};  // decided by what is known after it
 
 enum class FailureCause { unknown, machine, job };
 
@@ -16,10 +16,10 @@
        it != records.slices.end() && it->first.job_id == job_id; ++it) {
     for (const TaskRecord& task : it->second.record.tasks) {
       if (task.faults == 0) continue;
-      const bool lasted = task.running > machine.since && now - task.running > kProvenRun;
-      const bool runs_elsewhere = task.machine_id != machine.machine_id && lasted;
+      const bool ran_long = task.running > machine.since && now - task.running > kHealthyRunTime;
+      const bool runs_elsewhere = task.machine_id != machine.machine_id && ran_long;
       if (runs_elsewhere || task.state == TaskState::done) return FailureCause::machine;
-      // Failing again on this machine, or beside it, says nothing for the machine.
+      // A further failure on this machine does not clear it.
       failed_elsewhere = failed_elsewhere || task.failed_on != machine.machine_id;
     }
   }
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-std::map<MachineId, std::set<JobId>> failed_jobs_of_suspects(const Records& records) {
+std::map<MachineId, std::set<JobId>> failed_jobs_by_suspect(const Records& records) {
   std::map<MachineId, std::set<JobId>> failed_jobs;
   for (const auto& [machine_id, stored] : records.machines) {
     const MachineRecord& machine = stored.record;
@@ -45,21 +45,20 @@
   return failed_jobs;
 }
 
-std::optional<MachineState> verdict_on_suspect(const MachineRecord& machine,
-                                               const std::set<JobId>& failed_jobs,
-                                               const Records& records, WallTime now) {
-  bool proven_faulty = false;
-  std::size_t unexplained = 0;
+std::optional<MachineState> resolve_suspect_state(const MachineRecord& machine,
+                                                  const std::set<JobId>& failed_jobs,
+                                                  const Records& records, WallTime now) {
+  bool caused_by_machine = false;
+  std::size_t unattributed = 0;
   for (const JobId& job_id : failed_jobs) {
     const FailureCause cause = failure_cause(job_id, machine, records, now);
-    proven_faulty = proven_faulty || cause == FailureCause::machine;
-    unexplained += cause == FailureCause::unknown ? 1 : 0;
+    caused_by_machine = caused_by_machine || cause == FailureCause::machine;
+    unattributed += cause == FailureCause::unknown ? 1 : 0;
   }
-  // Where two jobs failed of which nothing is heard from elsewhere, the machine is the likelier
-  // cause.
-  const bool overdue = now - machine.since > kSuspicion;
-  if (proven_faulty || (overdue && unexplained > 1)) return MachineState::quarantined;
-  if (unexplained == 0 || overdue) return MachineState::up;
+  // Where two jobs failed that have run on no other machine, the machine is the likelier cause.
+  const bool timed_out = now - machine.since > kAttributionTimeout;
+  if (caused_by_machine || (timed_out && unattributed > 1)) return MachineState::quarantined;
+  if (unattributed == 0 || timed_out) return MachineState::up;
   return std::nullopt;
 }
 
--- /dev/null
+++ b/src/autoscaler/machine_type_catalog.cpp
@@ -0,0 +1,50 @@
+#include "autoscaler/machine_type_catalog.hpp"
+
+namespace marblevale {
+
+namespace {
+
+constexpr Duration kRefreshInterval{60'000};
+constexpr Duration kDefaultBootTime{60'000};
+constexpr double kBootTimeoutFactor = 3.0;  // boot times
+
+}  // namespace
+
+MachineTypeCatalog::MachineTypeCatalog(const Clock& clock, WatchCache& cache, Election& election,
+                                       Cloud& cloud)
+    : clock_(clock), cache_(cache), election_(election), cloud_(cloud) {}
+
+Duration MachineTypeCatalog::boot_time(const std::string& machine_type) const {
+  const MachineType* type = cache_.records().type(machine_type);
+  return type == nullptr ? kDefaultBootTime : type->boot;
+}
+
+Duration MachineTypeCatalog::boot_timeout(const std::string& machine_type) const {
+  return scaled(boot_time(machine_type), kBootTimeoutFactor);
+}
+
+void MachineTypeCatalog::refresh_if_due() {
+  const SteadyTime now = clock_.steady();
+  const bool fresh = cache_.records().types && now - refreshed_at_ < kRefreshInterval;
+  if (request_in_flight_ || fresh) return;
+  request_in_flight_ = true;
+  cloud_.list_machine_types([this](const std::optional<std::vector<MachineType>>& types) {
+    request_in_flight_ = false;
+    if (!types || !election_.is_established_leader()) return;
+    refreshed_at_ = clock_.steady();
+    store(*types);
+  });
+}
+
+void MachineTypeCatalog::store(const std::vector<MachineType>& types) {
+  const auto& known = cache_.records().types;
+  const std::string value = encode(types);
+  if (known && encode(known->record) == value) return;
+  Txn txn;
+  election_.guard(txn);
+  // Guarded by the record's own revision as well: a late commit must not restore earlier prices.
+  txn.guard(keys::kTypes, known ? known->mod_revision : ModRevision{}).put(keys::kTypes, value);
+  cache_.commit(RequestPriority::leader_commit, std::move(txn), [](const CommitResult&) {});
+}
+
+}  // namespace marblevale
--- a/src/leader/job_cleanup.cpp
+++ b/src/leader/job_cleanup.cpp
@@ -103,7 +103,7 @@
        ++it) {
     for (const TaskRecord& task : it->second.record.tasks) {
       if (task.state != TaskState::bound) continue;
-      autoscaler_.request_deletion(task.machine_id, "holds a cancelled task");
+      autoscaler_.request_deletion(task.machine_id, DeletionReason::holds_cancelled_task);
     }
   }
 }
@@ -119,7 +119,7 @@
   for (const MachineId& machine_id : unrecorded) {
     const WallTime since = unrecorded_since_.try_emplace(machine_id, now).first->second;
     if (now - since <= kUnrecordedMachineTimeout) continue;
-    autoscaler_.request_deletion(machine_id, "has tasks, but no record");
+    autoscaler_.request_deletion(machine_id, DeletionReason::has_tasks_but_no_record);
   }
   std::erase_if(unrecorded_since_,
                 [&](const auto& entry) { return !unrecorded.contains(entry.first); });
--- a/src/leader/scale_out_planner.cpp
+++ b/src/leader/scale_out_planner.cpp
@@ -35,7 +35,8 @@
     if (!worth_scaling_out_for(*item)) continue;
     if (const auto demand = unmet(*item, plan, profile, coming, now)) demands.push_back(*demand);
   }
-  autoscaler_.plan(std::move(demands), team_resources(profile), machines_in_use(reservations, now));
+  autoscaler_.update_demand(std::move(demands), team_resources(profile),
+                            machines_in_use(reservations, now));
   took_ = clock_.steady() - last_;
 }
 
--- a/tests/granting_test.cpp
+++ b/tests/granting_test.cpp
@@ -300,7 +300,7 @@
   cloud_.removes = false;
   begin();
   run(Duration{100});
-  autoscaler_.request_deletion(MachineId("vm-1"), "test");
+  autoscaler_.request_deletion(MachineId("vm-1"), DeletionReason::idle);
   run(Duration{3000});
   EXPECT_EQ(cache_.records().machines.at(MachineId("vm-1")).record.state, MachineState::deleting);
   cloud_.removes = true;
--- a/tests/leader_change_test.cpp
+++ b/tests/leader_change_test.cpp
@@ -73,7 +73,7 @@
   submit(testing::gang("req-2", 1, 1, 600));
   set_task("req-2", bound("vm-2"));
   std::vector<MachineId> overdue;
-  autoscaler_.delete_overdue([&overdue] { return overdue; });
+  autoscaler_.set_overdue_machines([&overdue] { return overdue; });
   begin();
   store_.put(keys::job(cancelled.job_id), encode(JobRecord{cancelled, time_.wall(), time_.wall()}));
   run(Duration{1'000});
@@ -147,7 +147,7 @@
   machine("vm-1");
   begin();
   run(Duration{1'100});
-  autoscaler_.request_deletion(MachineId("vm-1"), "idle");
+  autoscaler_.request_deletion(MachineId("vm-1"), DeletionReason::idle);
   store_.hold = true;
   store_.scripts.assign(50, Script::refuse);
   run(Duration{1'000});
@@ -314,7 +314,7 @@
   machine("vm-1");
   begin();
   run(Duration{1'100});
-  autoscaler_.request_deletion(MachineId("vm-1"), "idle");
+  autoscaler_.request_deletion(MachineId("vm-1"), DeletionReason::idle);
   stand_still();
   without_word(Duration{1'500});
   EXPECT_EQ(commits_since(), 0U);
@@ -328,7 +328,7 @@
   begin();
   run(Duration{1'100});
   cloud_.removes = false;  // the cloud is out
-  autoscaler_.request_deletion(MachineId("vm-1"), "silent");
+  autoscaler_.request_deletion(MachineId("vm-1"), DeletionReason::silent);
   run(Duration{1'100});
   ASSERT_EQ(state_of("vm-1"), MachineState::deleting);
   cloud_.removed.clear();
