--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -18,7 +18,7 @@
 constexpr Duration kExplanationDeadline{5'000};
 
 Settings load_given_settings(const std::string& path) {
-  if (path.empty()) throw SettingsError("--config: missing");
+  if (path.empty()) throw SettingsError("--config", "missing");
   return load_settings(path);
 }
 
--- /dev/null
+++ b/src/config/settings_error.hpp
@@ -0,0 +1,25 @@
+// The error for settings that can't be used.
+#pragma once
+
+#include <optional>
+#include <stdexcept>
+#include <string>
+
+namespace marblevale {
+
+/// A setting that is missing or invalid, or a settings file that can't be read.
+class SettingsError : public std::runtime_error {
+ public:
+  /// The whole file is at fault.
+  explicit SettingsError(const std::string& problem) : std::runtime_error(problem) {}
+  /// `key`: the key's path in the settings file, or the flag. The message begins with it.
+  SettingsError(const std::string& key, const std::string& problem)
+      : std::runtime_error(key + ": " + problem), key_(key) {}
+
+  [[nodiscard]] const std::optional<std::string>& key() const { return key_; }
+
+ private:
+  std::optional<std::string> key_;
+};
+
+}  // namespace marblevale
