--- a/src/core/address.hpp
+++ b/src/core/address.hpp
@@ -1,4 +1,4 @@
-// Where a server of the deployment listens.
+// The network address of a server.
 #pragma once
 
 #include <compare>
@@ -7,6 +7,7 @@
 
 namespace marblevale {
 
+/// A host, by name or IP address, and a TCP port.
 struct Address {
   std::string host;
   std::uint16_t port = 0;
--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -5,47 +5,45 @@
 namespace marblevale {
 
 namespace {
-constexpr std::array<const char*, kDutyCount> kDuties{
-    "round",   "profile", "queue",  "restore", "arrivals", "compress", "displace",
-    "rentals", "holder",  "report", "watch",   "users",    "fleet"};
+
+/// By the order of `Duty`.
+constexpr std::array<const char*, kDutyCount> kDutyNames{
+    "round",     "profile_sync",          "queue",  "restore",   "arrivals", "compress",
+    "preempt",   "provisioning_requests", "holder", "heartbeat", "watch",    "users",
+    "autoscaler"};
+
+std::string whole_milliseconds(std::chrono::microseconds time) {
+  return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(time).count());
 }
 
-void Metrics::spent(Duty duty, std::int64_t us) {
-  Spent& s = spent_.at(static_cast<std::size_t>(duty));
-  ++s.times;
-  s.us += us;
-  s.longest_us = std::max(s.longest_us, us);
+void append_item(std::string& line, const std::string& item) {
+  if (!line.empty()) line += "; ";
+  line += item;
 }
 
-void Metrics::waited(const std::string& what, Duration duration) {
-  Waits& w = waits_[what];
-  ++w.times;
-  w.total += duration;
-  w.longest = std::max(w.longest, duration);
+}  // namespace
+
+void Metrics::add_time(Duty duty, std::chrono::microseconds time) {
+  DutyTime& spent = duties_.at(static_cast<std::size_t>(duty));
+  ++spent.times;
+  spent.total += time;
+  spent.longest = std::max(spent.longest, time);
 }
 
 std::string Metrics::summary() {
-  std::string out;
-  const auto add = [&out](const std::string& text) {
-    if (!out.empty()) out += "; ";
-    out += text;
-  };
-  for (std::size_t i = 0; i < spent_.size(); ++i) {
-    Spent& s = spent_.at(i);
-    if (s.times == 0) continue;
-    add(std::string(kDuties.at(i)) + " " + std::to_string(s.us / 1000) + " ms in " +
-        std::to_string(s.times) + ", longest " + std::to_string(s.longest_us / 1000));
-    s = {};
-  }
-  for (auto& [name, w] : waits_) {
-    add(name + " " + std::to_string(w.total.count() / static_cast<std::int64_t>(w.times)) +
-        " ms on average of " + std::to_string(w.times) + ", longest " +
-        std::to_string(w.longest.count()));
+  std::string line;
+  for (std::size_t i = 0; i < duties_.size(); ++i) {
+    const DutyTime& spent = duties_.at(i);
+    if (spent.times == 0) continue;
+    append_item(line, std::string(kDutyNames.at(i)) +
+                          " total_ms=" + whole_milliseconds(spent.total) +
+                          " times=" + std::to_string(spent.times) +
+                          " longest_ms=" + whole_milliseconds(spent.longest));
   }
-  waits_.clear();
-  for (const auto& [name, n] : counts_) add(name + " " + std::to_string(n));
-  counts_.clear();
-  return out;
+  for (const auto& [event, count] : events_) append_item(line, event + "=" + std::to_string(count));
+  duties_ = {};
+  events_.clear();
+  return line;
 }
 
 }  // namespace marblevale
--- a/src/core/metrics.hpp
+++ b/src/core/metrics.hpp
@@ -1,18 +1,18 @@
-// What an operator can read about where the time and the writes go: time by duty, events by name,
-// and distributions of spans in powers of two. One thread, no locks.
+// Counters that operators read in the log: where the controller's time goes, by duty, and how often
+// named events happen. Used by one thread, without locks.
 #pragma once
 
 #include <array>
 #include <chrono>
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <string>
 
-#include "core/time.hpp"
-
 namespace marblevale {
 
-/// `round` is the whole of a leader's round; those up to `provisioning requests` are parts of it.
+/// What the controller's thread spends time on. `round` is the whole of one round of the leader's
+/// decisions; the duties up to `provisioning_requests` are its steps.
 enum class Duty {
   round,
   profile_sync,
@@ -30,50 +30,46 @@
 };
 inline constexpr std::size_t kDutyCount = 13;
 
+/// Accumulates between two calls of `summary`.
 class Metrics {
  public:
-  /// Measures from its making to its end.
-  class Timed {
+  /// Adds the time from its construction to its destruction to a duty.
+  class ScopedTimer {
    public:
-    Timed(Metrics& metrics, Duty duty)
-        : metrics_(metrics), duty_(duty), begin_(std::chrono::steady_clock::now()) {}
-    ~Timed() {
-      metrics_.spent(duty_, std::chrono::duration_cast<std::chrono::microseconds>(
-                                std::chrono::steady_clock::now() - begin_)
-                                .count());
+    ScopedTimer(Metrics& metrics, Duty duty)
+        : metrics_(metrics), duty_(duty), start_(std::chrono::steady_clock::now()) {}
+    ~ScopedTimer() {
+      metrics_.add_time(duty_, std::chrono::duration_cast<std::chrono::microseconds>(
+                                   std::chrono::steady_clock::now() - start_));
     }
-    Timed(const Timed&) = delete;
-    Timed& operator=(const Timed&) = delete;
+    ScopedTimer(const ScopedTimer&) = delete;
+    ScopedTimer& operator=(const ScopedTimer&) = delete;
+    ScopedTimer(ScopedTimer&&) = delete;
+    ScopedTimer& operator=(ScopedTimer&&) = delete;
 
    private:
     Metrics& metrics_;
     Duty duty_;
-    std::chrono::steady_clock::time_point begin_;
+    std::chrono::steady_clock::time_point start_;
   };
 
-  [[nodiscard]] Timed time(Duty duty) { return {*this, duty}; }
-  void spent(Duty duty, std::int64_t us);
-  void count(const std::string& what, std::uint64_t by = 1) { counts_[what] += by; }
-  /// A wait of this length, by its name.
-  void waited(const std::string& what, Duration duration);
+  [[nodiscard]] ScopedTimer time(Duty duty) { return {*this, duty}; }
+  /// Counts events by name; names appear in the log as they are.
+  void count(const std::string& event, std::uint64_t increment = 1) { events_[event] += increment; }
 
-  /// In one line: what came since the last call.
+  /// One line about what was added since the last call, and starts anew.
   [[nodiscard]] std::string summary();
 
  private:
-  struct Spent {
-    std::uint64_t times = 0;
-    std::int64_t us = 0;
-    std::int64_t longest_us = 0;
-  };
-  struct Waits {
+  struct DutyTime {
     std::uint64_t times = 0;
-    Duration total{};
-    Duration longest{};
+    std::chrono::microseconds total{};
+    std::chrono::microseconds longest{};
   };
-  std::array<Spent, kDutyCount> spent_;
-  std::map<std::string, std::uint64_t> counts_;
-  std::map<std::string, Waits> waits_;
+  void add_time(Duty duty, std::chrono::microseconds time);
+
+  std::array<DutyTime, kDutyCount> duties_;
+  std::map<std::string, std::uint64_t> events_;
 };
 
 }  // namespace marblevale
--- a/src/core/resources.hpp
+++ b/src/core/resources.hpp
@@ -1,35 +1,36 @@
-// What tasks take and machines have.
+// Amounts of the resources that tasks use and machines have.
 #pragma once
 
 #include <algorithm>
 
 namespace marblevale {
 
+/// One amount of each resource.
 struct Resources {
   double cpus = 0;
   double gpus = 0;
   double memory_gb = 0;
 
-  Resources& operator+=(const Resources& o) {
-    cpus += o.cpus;
-    gpus += o.gpus;
-    memory_gb += o.memory_gb;
+  Resources& operator+=(const Resources& other) {
+    cpus += other.cpus;
+    gpus += other.gpus;
+    memory_gb += other.memory_gb;
     return *this;
   }
-  Resources& operator-=(const Resources& o) {
-    cpus -= o.cpus;
-    gpus -= o.gpus;
-    memory_gb -= o.memory_gb;
+  Resources& operator-=(const Resources& other) {
+    cpus -= other.cpus;
+    gpus -= other.gpus;
+    memory_gb -= other.memory_gb;
     return *this;
   }
   friend Resources operator+(Resources a, const Resources& b) { return a += b; }
   friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
-  friend Resources operator*(Resources a, double f) {
-    return {a.cpus * f, a.gpus * f, a.memory_gb * f};
+  friend Resources operator*(const Resources& amount, double factor) {
+    return {amount.cpus * factor, amount.gpus * factor, amount.memory_gb * factor};
   }
 };
 
-/// What sums of decimals may be off by.
+/// The rounding error that sums of decimal amounts may have.
 inline constexpr double kResourceTolerance = 1e-6;
 
 /// True when `need` fits into `have`, up to the tolerance.
@@ -39,7 +40,7 @@
          need.memory_gb <= have.memory_gb + kResourceTolerance;
 }
 
-/// The smaller of the two in each amount.
+/// The smaller of the two amounts of each resource.
 inline Resources least(const Resources& a, const Resources& b) {
   return {std::min(a.cpus, b.cpus), std::min(a.gpus, b.gpus), std::min(a.memory_gb, b.memory_gb)};
 }
--- a/src/core/time.hpp
+++ b/src/core/time.hpp
@@ -1,5 +1,5 @@
-// Spans and points of time. Local waits use the steady clock; what crosses machines uses the time
-// of day. The clock is an interface, so that tests run on a fake one.
+// Durations and points in time. Local waits use the steady clock; times that cross machines use the
+// wall clock. The clock is an interface, so that tests run on a fake one.
 #pragma once
 
 #include <chrono>
@@ -9,7 +9,9 @@
 
 using Duration = std::chrono::milliseconds;
 
-/// Tags the points of this process's steady clock; they mean nothing to another process.
+// NOLINTBEGIN(readability-identifier-naming): the names that the standard asks of a clock.
+
+/// The clock of `SteadyTime`: monotonic, and meaningless to another process.
 struct SteadyClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -18,7 +20,7 @@
   static constexpr bool is_steady = true;
 };
 
-/// Tags the points of the time of day, which differs between machines by the settings'
+/// The clock of `WallTime`: the time of day, which differs between machines by the settings'
 /// `clock_error` at most.
 struct WallClock {
   using duration = Duration;
@@ -28,12 +30,15 @@
   static constexpr bool is_steady = false;
 };
 
+// NOLINTEND(readability-identifier-naming)
+
 using SteadyTime = SteadyClock::time_point;
 using WallTime = WallClock::time_point;
 
-/// Earlier than every moment of this process: what was "last done" then is due.
+/// Earlier than any reading of the steady clock: what was last done then is due.
 inline constexpr SteadyTime kLongAgo{Duration{-1'000'000}};
 
+/// Cut to whole milliseconds.
 constexpr Duration from_seconds(double seconds) {
   return Duration{static_cast<std::int64_t>(seconds * 1000.0)};
 }
@@ -42,6 +47,7 @@
   return static_cast<double>(duration.count()) / 1000.0;
 }
 
+/// Cut to whole seconds.
 constexpr std::int64_t whole_seconds(Duration duration) { return duration.count() / 1000; }
 
 /// A multiple of a duration, cut to whole milliseconds.
@@ -49,7 +55,7 @@
   return Duration{static_cast<std::int64_t>(static_cast<double>(duration.count()) * factor)};
 }
 
-/// The form in which times of day are stored and sent.
+/// The form in which wall-clock times are stored and sent.
 constexpr std::int64_t unix_milliseconds(WallTime time) { return time.time_since_epoch().count(); }
 
 constexpr WallTime from_unix_milliseconds(std::int64_t milliseconds) {
@@ -61,7 +67,7 @@
   return (duration + step - Duration{1}) / step * step;
 }
 
-/// The first multiple of `step`, counted from time 0, that is no earlier.
+/// The first multiple of `step`, counted from the Unix epoch, that is no earlier.
 constexpr WallTime round_up(WallTime time, Duration step) {
   return WallTime{round_up(time.time_since_epoch(), step)};
 }
@@ -69,6 +75,7 @@
 /// Deleted: the standard library would give fractions of milliseconds. Use `scaled`.
 Duration operator*(Duration, double) = delete;
 
+/// A source of both times.
 class Clock {
  public:
   virtual ~Clock() = default;
--- a/src/leader/open_releases.hpp
+++ b/src/leader/open_releases.hpp
@@ -21,7 +21,7 @@
 
 /// One change of slices that the leader decided. It is never used again, not by another term
 /// either.
-using ReleaseId = Strong<struct ReleaseIdTag, std::uint64_t>;
+using ReleaseId = StrongType<struct ReleaseIdTag, std::uint64_t>;
 
 /// Why a change is no longer open.
 enum class SettledBy {
--- a/src/scheduling/image_set.hpp
+++ b/src/scheduling/image_set.hpp
@@ -11,7 +11,7 @@
 namespace marblevale {
 
 /// An image's hash. Two images with one key would only distort an estimate of a fetch.
-using ImageKey = Strong<struct ImageKeyTag, std::uint64_t>;
+using ImageKey = StrongType<struct ImageKeyTag, std::uint64_t>;
 
 inline ImageKey key_of(const ImageId& image) { return ImageKey(std::hash<ImageId>{}(image)); }
 
--- a/src/scheduling/profile.hpp
+++ b/src/scheduling/profile.hpp
@@ -58,7 +58,7 @@
 
 class Profile {
  public:
-  using Version = Strong<struct ProfileVersionTag, std::uint64_t>;
+  using Version = StrongType<struct ProfileVersionTag, std::uint64_t>;
 
   std::size_t add_machine(PlanMachine machine);
   /// Its timeline and all that was taken there; its index may be used again.
--- a/src/scheduling/resource_timeline.hpp
+++ b/src/scheduling/resource_timeline.hpp
@@ -11,7 +11,7 @@
 
 namespace marblevale {
 
-using Owner = Strong<struct OwnerTag, std::uint64_t>;
+using Owner = StrongType<struct OwnerTag, std::uint64_t>;
 
 /// Room that is taken for a while. What runs now has begun at time 0.
 struct Allocation {
