--- a/src/api/job_cancellation.cpp
+++ b/src/api/job_cancellation.cpp
@@ -44,7 +44,7 @@
 void JobCancellation::commit_cancellation(const JobId& job_id, const Versioned<JobRecord>& job,
                                           int attempts_left, const AnswerHandler& answer) {
   const JobRecord record = cancelled_record(job.record);
-  Txn txn;
+  Transaction txn;
   txn.guard(keys::job(job_id), job.mod_revision).put(keys::job(job_id), encode(record));
   cache_.commit(RequestPriority::binding, std::move(txn),
                 [this, job_id, attempts_left, answer,
--- a/src/api/job_lookup.cpp
+++ b/src/api/job_lookup.cpp
@@ -85,7 +85,7 @@
 
 void JobLookup::read_job_record(const JobId& job_id) {
   store_.read(keys::job(job_id), [this, job_id](const ReadResult& reply) {
-    if (!reply.ok) {
+    if (reply.kind == ReadResult::Kind::failed) {
       complete_read(job_id, LookupFailed{});
       return;
     }
@@ -106,7 +106,7 @@
 
 void JobLookup::read_final_record(const JobId& job_id) {
   store_.read(keys::final_job(job_id), [this, job_id](const ReadResult& reply) {
-    if (!reply.ok) {
+    if (reply.kind == ReadResult::Kind::failed) {
       complete_read(job_id, LookupFailed{});
       return;
     }
--- a/src/api/job_submission.cpp
+++ b/src/api/job_submission.cpp
@@ -71,7 +71,7 @@
 void JobSubmission::create(const std::shared_ptr<const JobSpec>& job, int attempts_left,
                            const AnswerHandler& answer) {
   const JobRecord record{*job, clock_.wall(), std::nullopt};
-  Txn txn;
+  Transaction txn;
   txn.guard(keys::job(job->job_id), ModRevision{})
       .guard(keys::final_job(job->job_id), ModRevision{});
   txn.put(keys::job(job->job_id), encode(record));
--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -37,7 +37,7 @@
   }
   if (reply.status == 404) {
     std::cerr << "no job " << command.job_id << "\n";
-  } else if (reply.status == 0) {
+  } else if (!reply.answered()) {
     std::cerr << "no answer from " << command.controller_address << "\n";
   } else {
     std::cerr << command.controller_address << " can't tell now (" << reply.status
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -15,7 +15,7 @@
       cache_(cache),
       election_(election),
       machine_writer_(cache, RequestPriority::leader_commit,
-                      [this](Txn& txn, const ZoneId&) {
+                      [this](Transaction& txn, const ZoneId&) {
                         if (!election_.holds_fresh_lease()) return false;
                         election_.guard(txn);
                         return true;
--- a/src/autoscaler/cloud_client.cpp
+++ b/src/autoscaler/cloud_client.cpp
@@ -35,7 +35,7 @@
 
 void CloudClient::enqueue(HttpCall call, HttpHandler handler) {
   if (queue_.size() >= kQueuedCallsLimit) {
-    handler({0, true, {}});
+    handler(HttpReply::never_sent());
     return;
   }
   queue_.push_back({std::move(call), std::move(handler)});
--- a/src/autoscaler/machine_type_catalog.cpp
+++ b/src/autoscaler/machine_type_catalog.cpp
@@ -40,7 +40,7 @@
   const auto& known = cache_.records().types;
   const std::string value = encode(types);
   if (known && encode(known->record) == value) return;
-  Txn txn;
+  Transaction txn;
   election_.guard(txn);
   // Guarded by the record's own revision as well: a late commit must not restore earlier prices.
   txn.guard(keys::kTypes, known ? known->mod_revision : ModRevision{}).put(keys::kTypes, value);
--- a/src/autoscaler/provisioner.cpp
+++ b/src/autoscaler/provisioner.cpp
@@ -137,7 +137,7 @@
 
 void Provisioner::commit_request(const ProvisioningRequest& request) {
   const std::string key = keys::provisioning_request(request.name);
-  Txn txn;
+  Transaction txn;
   election_.guard(txn);
   txn.guard(key, ModRevision{}).put(key, encode(request));
   in_flight_.insert(request.name);
@@ -192,7 +192,7 @@
 void Provisioner::commit_answer(const ProvisioningRequest& request, ModRevision mod_revision,
                                 std::vector<MachineId> machine_ids) {
   const std::string key = keys::provisioning_request(request.name);
-  Txn txn;
+  Transaction txn;
   election_.guard(txn);
   txn.guard(key, mod_revision);
   if (machine_ids.empty()) {
@@ -211,7 +211,7 @@
   const Records& records = cache_.records();
   const WallTime now = clock_.wall();
   const std::size_t max_operations = cache_.max_operations();
-  Txn txn;
+  Transaction txn;
   election_.guard(txn);
   for (const auto& [name, stored] : records.provisioning_requests) {
     const ProvisioningRequest& request = stored.record;
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -7,7 +7,7 @@
 namespace marblevale {
 
 namespace {
-constexpr std::array<const char*, 4> kNames{"joining", "follower", "standing", "leading"};
+constexpr std::array<const char*, 4> kNames{"joining", "follower", "candidate", "leader"};
 constexpr Duration kStandJitter{150};
 constexpr Duration kDefer{500};
 }  // namespace
@@ -46,11 +46,11 @@
   spdlog::info("election: {} -> {} ({})", kNames.at(static_cast<std::size_t>(state_)),
                kNames.at(static_cast<std::size_t>(next)), why);
   state_ = next;
-  if (next != State::leading) term_ = ModRevision{};
+  if (next != State::leader) term_ = ModRevision{};
 }
 
 bool Election::is_established_leader() const {
-  return state_ == State::leading && cache_.revision().get() >= term_.get();
+  return state_ == State::leader && cache_.revision().get() >= term_.get();
 }
 
 bool Election::holds_fresh_lease() {
@@ -124,7 +124,7 @@
                     mine->second.record.shard_lease_id == shard_lease_id_;
   if (told) return;
   announcing_ = true;
-  Txn txn;
+  Transaction txn;
   // Guarded by what is there, so that a late copy from an earlier life can't replace it.
   txn.guard(keys::node(settings_.node),
             mine == nodes.end() ? ModRevision{} : mine->second.mod_revision);
@@ -147,10 +147,10 @@
   if (leader && leader->record.node == settings_.node &&
       leader->record.incarnation == incarnation_) {
     term_ = leader->mod_revision;
-    transition(State::leading, "the leader record is ours");
+    transition(State::leader, "the leader record is ours");
     return;
   }
-  if (state_ == State::standing) return;
+  if (state_ == State::candidate) return;
   transition(State::follower, leader ? "another leads" : "nobody leads");
   if (leader && leader->record.node == settings_.node) {
     campaign(
@@ -176,12 +176,12 @@
 }
 
 void Election::campaign(ModRevision over) {
-  transition(State::standing, "the place is free");
-  Txn txn;
+  transition(State::candidate, "the place is free");
+  Transaction txn;
   txn.guard(keys::kLeader, over);
   txn.put(keys::kLeader, encode(LeaderRecord{settings_.node, incarnation_}), session_);
   cache_.commit(RequestPriority::lease, std::move(txn), [this](const CommitResult& r) {
-    if (state_ != State::standing) return;
+    if (state_ != State::candidate) return;
     if (r.outcome == Outcome::done) {
       check_leadership();
       return;
--- a/src/election/election.hpp
+++ b/src/election/election.hpp
@@ -12,7 +12,7 @@
 
 class Election {
  public:
-  enum class State { joining, follower, standing, leading };
+  enum class State { joining, follower, candidate, leader };
 
   Election(Loop& loop, const Clock& clock, const Settings& settings, Store& store,
            WatchCache& cache, ProcessIncarnation incarnation);
@@ -33,7 +33,7 @@
 
   /// Puts the leader's guard on a transaction. One that does not lead has no term, and the revision
   /// of none would pass while nobody leads: its transaction must fail.
-  void guard(Txn& txn) const {
+  void guard(Transaction& txn) const {
     txn.guard(keys::kLeader, term_ == ModRevision{}
                                  ? ModRevision(std::numeric_limits<std::uint64_t>::max())
                                  : term_);
--- a/src/leader/guarantee_writer.cpp
+++ b/src/leader/guarantee_writer.cpp
@@ -48,7 +48,7 @@
 void GuaranteeWriter::flush(Reservations& reservations) {
   if (writing_) return;
   const auto& records = cache_.records();
-  Txn txn;
+  Transaction txn;
   election_.guard(txn);
   const std::size_t most = std::max<std::size_t>(1, cache_.max_operations() / 2);
   std::unordered_map<JobId, std::vector<Note>> going;
--- a/src/leader/job_cleanup.cpp
+++ b/src/leader/job_cleanup.cpp
@@ -86,7 +86,7 @@
       guarantee_record != guarantee_records.end()) {
     record.notes = guarantee_record->second.record.notes;
   }
-  Txn txn;
+  Transaction txn;
   election_.guard(txn);
   txn.guard(keys::job(job_id), job.mod_revision);
   // Its slices and its grant are swept up afterwards.
@@ -135,7 +135,7 @@
   const auto over = [&records](const JobId& job_id) {
     return !records.jobs.contains(job_id) && !records.unreadable.contains(keys::job(job_id));
   };
-  Txn txn;
+  Transaction txn;
   election_.guard(txn);
   for (const auto& [key, slice] : records.slices) {
     if (txn.deletes.size() >= cache_.max_operations()) break;
--- a/src/leader/open_releases.cpp
+++ b/src/leader/open_releases.cpp
@@ -81,8 +81,8 @@
     bytes += put.value.size();
     SliceChangeRequest& step = steps.back();
     const auto guard = std::find_if(request.txn.guards.begin(), request.txn.guards.end(),
-                                    [&](const auto& g) { return g.first == put.key; });
-    if (guard != request.txn.guards.end()) step.txn.guard(guard->first, guard->second);
+                                    [&](const auto& g) { return g.key == put.key; });
+    if (guard != request.txn.guards.end()) step.txn.guard(guard->key, guard->mod_revision);
     step.txn.put(put.key, put.value);
     step.slices.push_back(request.slices[i]);
   }
@@ -148,12 +148,12 @@
   release.state = next;
 }
 
-Txn OpenReleases::mark_sent(ReleaseId id, const RecordSize& size) {
+Transaction OpenReleases::mark_sent(ReleaseId id, const RecordSize& size) {
   Release& release = open_.at(id);
   const bool repeated = release.commit_open || release.offer_open;
   if (repeated) ++release.repeats;
   transition(id, release, State::sent, repeated ? "sent again" : "sent");
-  Txn txn = release.txn;
+  Transaction txn = release.txn;
   for (const GuardedSlice& slice : release.slices) {
     const std::string key = keys::slice(slice.key.job_id, slice.key.number);
     for (Put& put : txn.puts) {
--- a/src/leader/open_releases.hpp
+++ b/src/leader/open_releases.hpp
@@ -37,7 +37,7 @@
 struct SliceChangeRequest {
   enum class Kind { release, stop };
   Kind kind = Kind::release;
-  Txn txn;                          // guarded by the leader's term and by each slice's revision
+  Transaction txn;                  // guarded by the leader's term and by each slice's revision
   std::vector<SliceRecord> slices;  // as the transaction leaves them
   /// One of several steps: tasks of the other steps wait for these, so a refusal doesn't end it.
   bool is_step = false;
@@ -70,7 +70,7 @@
 
   /// The commit is about to be sent; what is to be sent. Its slices are written anew each time: the
   /// state service may take less than when the change was decided, and would refuse it for ever.
-  Txn mark_sent(ReleaseId id, const RecordSize& size);
+  Transaction mark_sent(ReleaseId id, const RecordSize& size);
   /// The answer to a commit of this change; of one that is settled it says nothing new.
   void on_commit_answer(ReleaseId id, const CommitResult& result, SteadyTime now);
   /// The holder declined this offer, and remembers that: no copy of it will be bound.
@@ -111,7 +111,7 @@
   struct Release {
     SliceChangeRequest::Kind kind = SliceChangeRequest::Kind::release;
     State state = State::sent;
-    Txn txn;
+    Transaction txn;
     std::vector<GuardedSlice> slices;
     std::optional<ModRevision> job_guard;
     NodeId holder;                      // to whom it was offered
--- a/src/leader/shard_assigner.cpp
+++ b/src/leader/shard_assigner.cpp
@@ -137,7 +137,7 @@
     if (held != nullptr && held->holder == *wanted && held->incarnation == holder.incarnation)
       continue;
     spdlog::info("blocks: {} goes to {}", zone.get(), wanted->get());
-    Txn txn;
+    Transaction txn;
     election_.guard(txn);
     txn.guard(keys::shard(zone),
               it == records.shards.end() ? ModRevision{} : it->second.mod_revision);
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -14,8 +14,9 @@
   HttpHandler handler;
 
   explicit Connection(HttpClient& client)
-      : owner(client),
-        deadline(client.loop_, [this] { owner.finish(*this, {}, Ending::timed_out); }) {}
+      : owner(client), deadline(client.loop_, [this] {
+          owner.finish(*this, HttpReply::no_answer(), Ending::timed_out);
+        }) {}
   ~Connection() { close(); }
   void close() {
     if (connection != nullptr) evhttp_connection_free(connection);
@@ -50,7 +51,7 @@
     return;
   }
   if (queue_.size() >= queue_limit_) {
-    handler({0, true, {}});
+    handler(HttpReply::never_sent());
     return;
   }
   queue_.push_back({std::move(call), std::move(handler), nullptr});
@@ -59,7 +60,7 @@
   entry->expiry = std::make_unique<Timer>(loop_, [this, entry] {
     HttpHandler expired = std::move(entry->handler);
     queue_.erase(entry);
-    expired({0, true, {}});
+    expired(HttpReply::never_sent());
   });
   entry->expiry->start(entry->call.deadline);
 }
@@ -76,12 +77,12 @@
   evhttp_request* request = evhttp_request_new(
       [](evhttp_request* req, void* arg) {
         auto& self = *static_cast<Connection*>(arg);
-        HttpReply reply;
-        if (req != nullptr) reply.status = evhttp_request_get_response_code(req);
-        if (reply.status == 0) {
-          self.owner.finish(self, std::move(reply), Ending::broken);
+        const int status = req == nullptr ? 0 : evhttp_request_get_response_code(req);
+        if (status == 0) {
+          self.owner.finish(self, HttpReply::no_answer(), Ending::broken);
           return;
         }
+        HttpReply reply = HttpReply::answer(status, {});
         evbuffer* body = evhttp_request_get_input_buffer(req);
         reply.body.resize(evbuffer_get_length(body));
         evbuffer_copyout(body, reply.body.data(), reply.body.size());
@@ -99,7 +100,7 @@
   if (evhttp_make_request(connection.connection, request, next.call.method,
                           next.call.path.c_str()) != 0) {
     // evhttp took the request off the connection and will call nothing back for it.
-    finish(connection, {0, true, {}}, Ending::broken);
+    finish(connection, HttpReply::never_sent(), Ending::broken);
   }
 }
 
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,6 +1,5 @@
 // HTTP client on evhttp: a few connections per endpoint, one request on each at a time, a deadline
-// for every request and a bounded queue. A request that got no answer is reported with status 0:
-// whether it was carried out is then unknown.
+// for every request and a bounded queue.
 #pragma once
 
 #include <event2/http.h>
@@ -17,10 +16,21 @@
 
 namespace marblevale {
 
+/// How a request ended. After `no_answer` it may have been executed, or may still be; after
+/// `never_sent` it did not leave this process.
+enum class HttpOutcome { answered, no_answer, never_sent };
+
 struct HttpReply {
-  int status = 0;           // 0: no answer
-  bool never_sent = false;  // the request did not leave this process
+  HttpOutcome outcome = HttpOutcome::no_answer;
+  int status = 0;  // of the answer; only with `answered`
   std::string body;
+
+  [[nodiscard]] bool answered() const { return outcome == HttpOutcome::answered; }
+  static HttpReply answer(int status, std::string body) {
+    return {HttpOutcome::answered, status, std::move(body)};
+  }
+  static HttpReply no_answer() { return {}; }
+  static HttpReply never_sent() { return {HttpOutcome::never_sent, 0, {}}; }
 };
 
 using HttpHandler = std::function<void(const HttpReply&)>;
--- a/src/peers/offers.cpp
+++ b/src/peers/offers.cpp
@@ -38,9 +38,10 @@
   }
   peer->second->send({EVHTTP_REQ_POST, kPath, encode(offer), "application/octet-stream", kDeadline},
                      [then = std::move(then)](const HttpReply& reply) {
-                       then(reply.status == 200                       ? OfferOutcome::taken
-                            : reply.status == 409 || reply.never_sent ? OfferOutcome::declined
-                                                                      : OfferOutcome::unknown);
+                       then(reply.status == 200 ? OfferOutcome::taken
+                            : reply.status == 409 || reply.outcome == HttpOutcome::never_sent
+                                ? OfferOutcome::declined
+                                : OfferOutcome::unknown);
                      });
 }
 
--- a/src/records/machine_page_codec.cpp
+++ b/src/records/machine_page_codec.cpp
@@ -36,7 +36,7 @@
     out.key("i").open_list();
     for (std::size_t i = r.images.size() - std::min(images, r.images.size()); i < r.images.size();
          ++i) {
-      out.value(r.images[i].first.get()).value(r.images[i].second);
+      out.value(r.images[i].image.get()).value(r.images[i].gb);
     }
     out.close_list();
   }
@@ -59,7 +59,7 @@
   if (const json::Value* images = json::list(v, "i")) {
     for (rapidjson::SizeType i = 0; i + 1 < images->Size(); i += 2) {
       if (!(*images)[i].IsString() || !(*images)[i + 1].IsNumber()) return false;
-      out.images.emplace_back(ImageId((*images)[i].GetString()), (*images)[i + 1].GetDouble());
+      out.images.push_back({ImageId((*images)[i].GetString()), (*images)[i + 1].GetDouble()});
     }
   }
   WallTime reclaim_at;
@@ -139,8 +139,8 @@
     const std::size_t count = std::min(most, r.images.size());
     bytes_.put(count);
     for (std::size_t i = r.images.size() - count; i < r.images.size(); ++i) {
-      const double gb = std::round(r.images[i].second / kImageGbStep) * kImageGbStep;
-      bytes_.put(index_in(texts_, r.images[i].first.get()));
+      const double gb = std::round(r.images[i].gb / kImageGbStep) * kImageGbStep;
+      bytes_.put(index_in(texts_, r.images[i].image.get()));
       bytes_.put(index_in(image_gb_, gb));
     }
   }
@@ -213,7 +213,7 @@
       if (!read_text(image)) return false;
       const std::uint64_t gb = bytes_.number();
       if (gb >= image_gb_.size()) return false;
-      out.images.emplace_back(image, image_gb_[gb]);
+      out.images.push_back({image, image_gb_[gb]});
     }
     return true;
   }
--- a/src/records/records.cpp
+++ b/src/records/records.cpp
@@ -65,19 +65,19 @@
                      [](const TaskRecord& t) { return t.state == TaskState::done; });
 }
 
-bool note_image(std::vector<std::pair<ImageId, double>>& images, const ImageId& image, double gb,
+bool note_image(std::vector<CachedImage>& images, const ImageId& image, double gb,
                 double cache_gb) {
   const auto known = std::find_if(images.begin(), images.end(),
-                                  [&](const auto& entry) { return entry.first == image; });
+                                  [&](const auto& entry) { return entry.image == image; });
   if (known != images.end()) {
     std::rotate(known, known + 1, images.end());
     return false;
   }
-  images.emplace_back(image, gb);
+  images.push_back({image, gb});
   double sum = 0;
-  for (const auto& entry : images) sum += entry.second;
+  for (const auto& entry : images) sum += entry.gb;
   while (images.size() > 1 && (sum > cache_gb || images.size() > kMaxImages)) {
-    sum -= images.front().second;
+    sum -= images.front().gb;
     images.erase(images.begin());
   }
   return true;
--- a/src/records/records.hpp
+++ b/src/records/records.hpp
@@ -149,6 +149,14 @@
 
 const char* name_of(MachineState state);
 
+/// An image that a machine's cache holds.
+struct CachedImage {
+  ImageId image;
+  double gb = 0;
+
+  bool operator==(const CachedImage&) const = default;
+};
+
 struct MachineRecord {
   MachineId machine_id;
   std::string address;
@@ -160,7 +168,7 @@
   std::optional<WallTime> reclaim_at;
   /// Images that tasks have run with there, the latest last, as far as its cache holds them. Kept
   /// here because a guess in memory is lost when all controllers end at once.
-  std::vector<std::pair<ImageId, double>> images;
+  std::vector<CachedImage> images;
   JobId blamed;  // of a suspect: the job whose task failed
 
   bool operator==(const MachineRecord&) const = default;
@@ -178,8 +186,7 @@
 
 /// Notes that the image was used: the latest last, the oldest dropped beyond `cache_gb`. False when
 /// it was in the list.
-bool note_image(std::vector<std::pair<ImageId, double>>& images, const ImageId& image, double gb,
-                double cache_gb);
+bool note_image(std::vector<CachedImage>& images, const ImageId& image, double gb, double cache_gb);
 
 struct ProvisioningRequest {
   std::string name;
--- a/src/scheduling/occupancy.hpp
+++ b/src/scheduling/occupancy.hpp
@@ -30,7 +30,7 @@
   void add_to(ImageSet& images, const MachineId& machine_id) const;
 
  private:
-  std::unordered_map<MachineId, std::vector<std::pair<ImageId, double>>> images_;
+  std::unordered_map<MachineId, std::vector<CachedImage>> images_;
 };
 
 /// When a placed task will likely end. An overrun stretches its end by a fifth of its estimate each
--- a/src/shards/machine_recorder.cpp
+++ b/src/shards/machine_recorder.cpp
@@ -14,7 +14,7 @@
       shards_(shards),
       workers_(workers),
       writer_(context.cache, RequestPriority::binding,
-              [&shards](Txn& txn, const ZoneId& zone) {
+              [&shards](Transaction& txn, const ZoneId& zone) {
                 if (!shards.holds(zone)) return false;
                 shards.guard(txn, zone);
                 return true;
--- a/src/shards/order_delivery.cpp
+++ b/src/shards/order_delivery.cpp
@@ -11,7 +11,6 @@
 constexpr Duration kKillMemory{60'000};
 constexpr int kStatusOk = 200;
 constexpr int kStatusConflict = 409;  // another epoch, or a token that is not the highest
-constexpr int kStatusNone = 0;
 
 /// Whether a kill of this attempt may be sent now; notes it as sent.
 bool take_kill_turn(KnownWorker& worker, const TaskAttempt& attempt, SteadyTime now, bool paced) {
@@ -191,7 +190,7 @@
     apply_reply(machine_id, *worker, reply);
   }
   if (reply.status == kStatusOk) work_.command_machine(machine_id);
-  if (reply.status != kStatusNone) work_.schedule_round();
+  if (reply.answered()) work_.schedule_round();
 }
 
 void OrderDelivery::apply_reply(const MachineId& machine_id, KnownWorker& worker,
--- a/src/shards/order_sender.cpp
+++ b/src/shards/order_sender.cpp
@@ -18,14 +18,14 @@
   auto it = clients_.find(address);
   if (it == clients_.end()) {
     if (clients_.size() >= most_ && !preempt_for()) {
-      then({0, true, {}});
+      then(HttpReply::never_sent());
       return;
     }
     Address to;
     try {
       to = parse_address(address, "address");
     } catch (const SettingsError&) {
-      then({0, true, {}});
+      then(HttpReply::never_sent());
       return;
     }
     it = clients_.emplace(address, Client{std::make_unique<HttpClient>(loop_, to, 1, 4)}).first;
--- a/src/shards/release_offers.cpp
+++ b/src/shards/release_offers.cpp
@@ -93,12 +93,12 @@
   return slice;
 }
 
-Txn ReleaseOffers::make_transaction(const ReleaseOffer& offer, const SliceKey& key,
-                                    const SliceRecord& slice) const {
+Transaction ReleaseOffers::make_transaction(const ReleaseOffer& offer, const SliceKey& key,
+                                            const SliceRecord& slice) const {
   const Records& records = context_.cache.records();
   std::set<ZoneId> zones;
   for (const ReleaseOffer::Task& offered : offer.tasks) zones.emplace(offered.zone);
-  Txn txn;
+  Transaction txn;
   txn.guard(keys::kLeader, records.leader->mod_revision);
   for (const ZoneId& zone : zones) shards_.guard(txn, zone);
   txn.guard(keys::job(key.job_id), records.jobs.at(key.job_id).mod_revision);
--- a/src/shards/release_offers.hpp
+++ b/src/shards/release_offers.hpp
@@ -45,8 +45,8 @@
   [[nodiscard]] std::optional<SliceRecord> bind_tasks(const ReleaseOffer& offer,
                                                       const SliceKey& key,
                                                       const JobSpec& job) const;
-  [[nodiscard]] Txn make_transaction(const ReleaseOffer& offer, const SliceKey& key,
-                                     const SliceRecord& slice) const;
+  [[nodiscard]] Transaction make_transaction(const ReleaseOffer& offer, const SliceKey& key,
+                                             const SliceRecord& slice) const;
 
   const ShardContext& context_;
   const ShardOwnership& shards_;
--- a/src/shards/shard_holder.cpp
+++ b/src/shards/shard_holder.cpp
@@ -146,7 +146,7 @@
   // Few, and down until they are bound: they don't wait for the commits of others.
   const Records& records = context_.cache.records();
   for (auto it = batch.begin(); it != batch.end() && context_.clock.steady() <= until;) {
-    if (binding_priority(records, it->job_id) != RequestPriority::standing_binding) {
+    if (binding_priority(records, it->job_id) != RequestPriority::service_binding) {
       ++it;
       continue;
     }
--- a/src/shards/shard_ownership.cpp
+++ b/src/shards/shard_ownership.cpp
@@ -38,7 +38,7 @@
   return zones;
 }
 
-void ShardOwnership::guard(Txn& txn, const ZoneId& zone) const {
+void ShardOwnership::guard(Transaction& txn, const ZoneId& zone) const {
   txn.guard(keys::shard(zone), ModRevision(token_of(zone).get()));
 }
 
@@ -101,7 +101,7 @@
   if (it == shards.end() || renewals_in_flight_.contains(zone)) return;
   renewals_in_flight_.insert(zone);
   const std::string key = keys::shard(zone);
-  Txn txn;
+  Transaction txn;
   txn.guard(key, it->second.mod_revision);
   txn.put(key,
           encode(ShardRecord{zone, context_.settings.node, election_.incarnation(),
--- a/src/shards/shard_ownership.hpp
+++ b/src/shards/shard_ownership.hpp
@@ -41,7 +41,7 @@
   /// The token with which the present holding of the shard began.
   [[nodiscard]] FencingToken first_token_of(const ZoneId& zone) { return first_tokens_[zone]; }
   /// Makes the transaction fail unless the shard still has the token that we know.
-  void guard(Txn& txn, const ZoneId& zone) const;
+  void guard(Transaction& txn, const ZoneId& zone) const;
 
   /// This life of the controller.
   [[nodiscard]] ProcessIncarnation incarnation() const { return election_.incarnation(); }
--- a/src/shards/slice_commits.cpp
+++ b/src/shards/slice_commits.cpp
@@ -8,7 +8,7 @@
 constexpr Duration kRetryDelay{150};  // after a commit that did not pass
 }  // namespace
 
-void SliceCommits::commit(const SliceKey& key, Txn txn, std::function<void()> on_refused) {
+void SliceCommits::commit(const SliceKey& key, Transaction txn, std::function<void()> on_refused) {
   in_flight_.insert(key);
   auto on_answer = [this, key, on_refused = std::move(on_refused)](const CommitResult& result) {
     in_flight_.erase(key);
--- a/src/shards/slice_commits.hpp
+++ b/src/shards/slice_commits.hpp
@@ -16,7 +16,7 @@
   SliceCommits(WatchCache& cache, PendingWork& work) : cache_(cache), work_(work) {}
 
   /// `on_refused`: called when the state service did not execute the commit, being over its rate.
-  void commit(const SliceKey& key, Txn txn, std::function<void()> on_refused = {});
+  void commit(const SliceKey& key, Transaction txn, std::function<void()> on_refused = {});
   /// False: so many wait for the state service, or for the budget, that further decisions are
   /// better taken later, when more of each slice has come together.
   [[nodiscard]] bool has_room() const { return in_flight_.size() < kMaxInFlight; }
--- a/src/shards/task_lifecycle.cpp
+++ b/src/shards/task_lifecycle.cpp
@@ -212,10 +212,10 @@
   return true;
 }
 
-Txn TaskLifecycle::make_transaction(const SliceKey& key, const SliceChange& change) const {
+Transaction TaskLifecycle::make_transaction(const SliceKey& key, const SliceChange& change) const {
   const Records& records = context_.cache.records();
   const auto& job = records.jobs.at(key.job_id);
-  Txn txn;
+  Transaction txn;
   // A binding of a holder that was replaced, or for a job cancelled meanwhile, must fail.
   for (const ZoneId& zone : change.zones) shards_.guard(txn, zone);
   txn.guard(keys::job(key.job_id), job.mod_revision);
--- a/src/shards/task_lifecycle.hpp
+++ b/src/shards/task_lifecycle.hpp
@@ -51,7 +51,7 @@
   void suspect_machine(const TaskId& id, const MachineId& machine_id);
   /// False while the change waits for others.
   bool commit_due(const SliceKey& key, const SliceChange& change);
-  [[nodiscard]] Txn make_transaction(const SliceKey& key, const SliceChange& change) const;
+  [[nodiscard]] Transaction make_transaction(const SliceKey& key, const SliceChange& change) const;
   [[nodiscard]] FinalRecord final_record(const JobId& job_id, const JobRecord& job) const;
 
   const ShardContext& context_;
--- a/src/shards/worker_registry.hpp
+++ b/src/shards/worker_registry.hpp
@@ -28,7 +28,7 @@
   bool lease_refused = false;                    // gets no answers, so that its lease lapses
   std::map<TaskAttempt, SteadyTime> kills_sent;  // when last
   std::optional<WallTime> reclaim_at;
-  std::vector<std::pair<ImageId, double>> images;  // seen in use, as in the machine's record
+  std::vector<CachedImage> images;  // seen in use, as in the machine's record
   bool images_changed = false;
   WorkerReachability reachability;
 };
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -52,9 +52,9 @@
 }
 
 Outcome outcome_of(const HttpReply& reply) {
+  if (reply.outcome == HttpOutcome::never_sent) return Outcome::refused;
+  if (reply.outcome == HttpOutcome::no_answer) return Outcome::unknown;
   switch (reply.status) {
-    case 0:
-      return reply.never_sent ? Outcome::refused : Outcome::unknown;
     case 200:
       return Outcome::done;
     case 409:
@@ -79,7 +79,7 @@
   return Entry{*path, text_of(*value), ModRevision(*mod_revision)};
 }
 
-std::string write_txn(const Txn& txn) {
+std::string write_transaction(const Transaction& txn) {
   json::Writer out;
   out.open().key("guards").open_list();
   for (const auto& [key, mod_revision] : txn.guards) {
@@ -100,6 +100,23 @@
   return out.str();
 }
 
+std::optional<RangePage> parse_range(const HttpReply& reply) {
+  json::Document doc;
+  if (reply.status != 200 || !json::parse(doc, reply.body)) return std::nullopt;
+  const json::Value* items = json::list(doc, "items");
+  const auto revision = json::count(doc, "ledger_rev");
+  if (items == nullptr || !revision) return std::nullopt;
+  RangePage page;
+  for (const auto& item : items->GetArray()) {
+    auto entry = parse_entry(item);
+    if (!entry) return std::nullopt;
+    page.entries.push_back(std::move(*entry));
+  }
+  page.revision = Revision(*revision);
+  page.has_next = json::flag(doc, "has_next").value_or(false);
+  return page;
+}
+
 WatchResult parse_watch(const HttpReply& reply) {
   WatchResult result;
   if (reply.status == 410) result.kind = WatchResult::Kind::too_old;
@@ -114,9 +131,9 @@
     if (const auto put = json::text(item, "put")) {
       const json::Value* value = json::field(item, "value");
       if (value == nullptr) return result;
-      result.log.push_back({*put, text_of(*value), ModRevision(*mod_revision)});
+      result.changes.push_back({*put, text_of(*value), ModRevision(*mod_revision)});
     } else if (const auto gone = json::text(item, "delete")) {
-      result.log.push_back({*gone, std::nullopt, ModRevision(*mod_revision)});
+      result.changes.push_back({*gone, std::nullopt, ModRevision(*mod_revision)});
     }
   }
   result.revision = Revision(*revision);
@@ -126,7 +143,7 @@
 
 }  // namespace
 
-bool exceeds_announced(const Txn& txn, const StoreLimits& limits) {
+bool exceeds_announced(const Transaction& txn, const StoreLimits& limits) {
   if (!limits.next) return false;
   return std::any_of(txn.puts.begin(), txn.puts.end(), [&](const Put& put) {
     return put.value.size() > limits.next->value_bytes && put.value.size() <= limits.value_bytes;
@@ -215,7 +232,7 @@
   auto& queue = queues_.at(static_cast<std::size_t>(rank));
   if (queue.size() >= kQueueLimit) {
     metrics_.count("store queue full");
-    then({0, true, {}});
+    then(HttpReply::never_sent());
     return;
   }
   if (rank == RequestPriority::submission && writes > 0) {
@@ -229,7 +246,7 @@
         writes_.wait(now, ahead, -credit(rank)) > kUserQueueTime) {
       short_of_writes_ = true;
       metrics_.count("submissions over the budget");
-      then({0, true, {}});
+      then(HttpReply::never_sent());
       return;
     }
   }
@@ -252,7 +269,7 @@
         const HttpHandler expired = std::move(front.then);
         metrics_.count("over the store budget");
         queue.pop_front();
-        expired({0, true, {}});
+        expired(HttpReply::never_sent());
         continue;
       }
       const Duration for_request = requests_.wait(now, 1);
@@ -304,40 +321,23 @@
             json::Document doc;
             if ((reply.status == 200 || reply.status == 404) && json::parse(doc, reply.body)) {
               if (reply.status == 200) result.entry = parse_entry(doc);
-              result.ok = reply.status == 404 || result.entry.has_value();
+              if (result.entry) result.kind = ReadResult::Kind::found;
+              if (reply.status == 404) result.kind = ReadResult::Kind::absent;
             }
             then(std::move(result));
           });
 }
 
 void StoreClient::range(const std::string& prefix, const std::string& after,
-                        std::function<void(RangeResult)> then) {
+                        std::function<void(std::optional<RangePage>)> then) {
   std::string path = "/store?starts=" + encode_query(prefix) + "&limit=1000";
   if (!after.empty()) path += "&after=" + encode_query(after);
   enqueue(RequestPriority::leader_commit,
           {EVHTTP_REQ_GET, path, {}, "application/json", kDeadline * 2}, 0,
-          [then = std::move(then)](const HttpReply& reply) {
-            RangeResult result;
-            json::Document doc;
-            if (reply.status == 200 && json::parse(doc, reply.body)) {
-              const json::Value* items = json::list(doc, "items");
-              const auto revision = json::count(doc, "ledger_rev");
-              result.ok = items != nullptr && revision.has_value();
-              if (result.ok) {
-                for (const auto& item : items->GetArray()) {
-                  auto entry = parse_entry(item);
-                  result.ok = result.ok && entry.has_value();
-                  if (entry) result.items.push_back(std::move(*entry));
-                }
-                result.revision = Revision(*revision);
-                result.has_next = json::flag(doc, "has_next").value_or(false);
-              }
-            }
-            then(std::move(result));
-          });
+          [then = std::move(then)](const HttpReply& reply) { then(parse_range(reply)); });
 }
 
-void StoreClient::warn_if_too_large(const Txn& txn) const {
+void StoreClient::warn_if_too_large(const Transaction& txn) const {
   for (const Put& put : txn.puts) {
     if (put.value.size() <= limits_.value_bytes) continue;
     spdlog::error("state service: {} takes {} bytes, more than the limit", put.key,
@@ -345,14 +345,24 @@
   }
 }
 
-void StoreClient::lower_limits(const char* evidence) {
+const char* text_of(LimitsEvidence evidence) {
+  switch (evidence) {
+    case LimitsEvidence::refused_commit:
+      return "a value was refused that the earlier ones allowed";
+    case LimitsEvidence::compact_record:
+      return "another controller wrote a compact record";
+  }
+  return "";
+}
+
+void StoreClient::lower_limits(LimitsEvidence evidence) {
   if (!limits_.next) return;
   const AnnouncedLimits lower = *limits_.next;
   limits_.next.reset();
   spdlog::warn(
       "state service: the announced limits are in force ({}): {} requests and {} changes a second, "
       "values up to {} bytes, {} changes a transaction",
-      evidence, lower.rps, lower.write_rps, lower.value_bytes, lower.txn_ops);
+      text_of(evidence), lower.rps, lower.write_rps, lower.value_bytes, lower.txn_ops);
   limits_.rps = std::min(limits_.rps, lower.rps);
   limits_.write_rps = std::min(limits_.write_rps, lower.write_rps);
   limits_.value_bytes = std::min(limits_.value_bytes, lower.value_bytes);
@@ -362,19 +372,21 @@
   submissions_.set_rate(limits_.write_rps * kSubmissionShare);
 }
 
-void StoreClient::commit(RequestPriority rank, Txn txn, std::function<void(CommitResult)> then) {
+void StoreClient::commit(RequestPriority rank, Transaction txn,
+                         std::function<void(CommitResult)> then) {
   warn_if_too_large(txn);
   const bool tells_of_limits = exceeds_announced(txn, limits_);
   std::vector<std::string> kinds;
   for (const Put& put : txn.puts) kinds.push_back("put " + kind_of(put.key));
   for (const auto& key : txn.deletes) kinds.push_back("delete " + kind_of(key));
   const auto writes = static_cast<double>(kinds.size());
-  enqueue(rank, {EVHTTP_REQ_POST, "/commit", write_txn(txn), "application/json", kDeadline}, writes,
+  enqueue(rank, {EVHTTP_REQ_POST, "/commit", write_transaction(txn), "application/json", kDeadline},
+          writes,
           [this, tells_of_limits, kinds = std::move(kinds),
            then = std::move(then)](const HttpReply& reply) {
             CommitResult result = parse_commit_reply(reply);
             if (reply.status == 400 && tells_of_limits) {
-              lower_limits("a value was refused that the earlier ones allowed");
+              lower_limits(LimitsEvidence::refused_commit);
               result.outcome = Outcome::refused;
             }
             if (result.outcome == Outcome::conflict) metrics_.count("conflicts");
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -17,26 +17,34 @@
 
 namespace marblevale {
 
+/// A condition of a transaction: the key is still at this revision.
+struct Guard {
+  std::string key;
+  ModRevision mod_revision;  // 0: the key does not exist
+
+  bool operator==(const Guard&) const = default;
+};
+
 struct Put {
   std::string key;
   std::string value;  // JSON
   LeaseId lease_id{};
 };
 
-struct Txn {
-  std::vector<std::pair<std::string, ModRevision>> guards;
+struct Transaction {
+  std::vector<Guard> guards;
   std::vector<Put> puts;
   std::vector<std::string> deletes;
 
-  Txn& guard(std::string key, ModRevision mod_revision) {
-    guards.emplace_back(std::move(key), mod_revision);
+  Transaction& guard(std::string key, ModRevision mod_revision) {
+    guards.push_back({std::move(key), mod_revision});
     return *this;
   }
-  Txn& put(std::string key, std::string value, LeaseId lease_id = {}) {
+  Transaction& put(std::string key, std::string value, LeaseId lease_id = {}) {
     puts.push_back({std::move(key), std::move(value), lease_id});
     return *this;
   }
-  Txn& remove(std::string key) {
+  Transaction& remove(std::string key) {
     deletes.push_back(std::move(key));
     return *this;
   }
@@ -58,13 +66,13 @@
 };
 
 struct ReadResult {
-  bool ok = false;  // false: nothing is known
-  std::optional<Entry> entry;
+  enum class Kind { found, absent, failed } kind = Kind::failed;
+  std::optional<Entry> entry;  // with `found`
 };
 
-struct RangeResult {
-  bool ok = false;
-  std::vector<Entry> items;
+/// One page of a range read.
+struct RangePage {
+  std::vector<Entry> entries;
   bool has_next = false;
   Revision revision;
 };
@@ -77,7 +85,7 @@
 
 struct WatchResult {
   enum class Kind { changes, too_old, failed } kind = Kind::failed;
-  std::vector<Change> log;
+  std::vector<Change> changes;
   Revision revision;
 };
 
@@ -86,12 +94,12 @@
   LeaseId lease_id;
 };
 
-/// Classes of requests, the most important first. `standing_binding`: releases, bindings and ends
-/// of standing jobs, which are few, and down until they are written. Submissions go before the
+/// Classes of requests, the most important first. `service_binding`: releases, bindings and ends
+/// of service jobs, which are few, and down until they are written. Submissions go before the
 /// other bindings, within a share. `record`: what only quality depends on, dropped under pressure.
 enum class RequestPriority {
   lease,
-  standing_binding,
+  service_binding,
   submission,
   binding,
   leader_commit,
@@ -100,14 +108,18 @@
 };
 inline constexpr std::size_t kRequestPriorities = 7;
 
+/// What shows that the announced limits are in force.
+enum class LimitsEvidence { refused_commit, compact_record };
+
 /// The interface that the slices use, so that tests can script the state service.
 class Store {
  public:
   virtual ~Store() = default;
   virtual void read(const std::string& key, std::function<void(ReadResult)> then) = 0;
   virtual void range(const std::string& prefix, const std::string& after,
-                     std::function<void(RangeResult)> then) = 0;
-  virtual void commit(RequestPriority rank, Txn txn, std::function<void(CommitResult)> then) = 0;
+                     std::function<void(std::optional<RangePage>)> then) = 0;
+  virtual void commit(RequestPriority rank, Transaction txn,
+                      std::function<void(CommitResult)> then) = 0;
   virtual void watch(const std::string& prefix, Revision after, Duration hold,
                      std::function<void(WatchResult)> then) = 0;
   virtual void create_lease(Duration ttl, std::function<void(LeaseResult)> then) = 0;
@@ -115,7 +127,7 @@
   /// What is in force; changes when the announced limits come.
   [[nodiscard]] virtual const StoreLimits& limits() const = 0;
   /// The announced limits are in force, by something other than an own refused commit.
-  virtual void lower_limits(const char* evidence) = 0;
+  virtual void lower_limits(LimitsEvidence evidence) = 0;
   /// How much of the budget for writes is to spare, from 0 to 1.
   [[nodiscard]] virtual double write_slack() = 0;
 };
@@ -125,7 +137,7 @@
 
 /// True when a value of the transaction is larger than the announced limit and still within
 /// `limits`: a refusal by 400 then says that the announced limits are in force.
-bool exceeds_announced(const Txn& txn, const StoreLimits& limits);
+bool exceeds_announced(const Transaction& txn, const StoreLimits& limits);
 
 class StoreClient : public Store {
  public:
@@ -133,14 +145,15 @@
 
   void read(const std::string& key, std::function<void(ReadResult)> then) override;
   void range(const std::string& prefix, const std::string& after,
-             std::function<void(RangeResult)> then) override;
-  void commit(RequestPriority rank, Txn txn, std::function<void(CommitResult)> then) override;
+             std::function<void(std::optional<RangePage>)> then) override;
+  void commit(RequestPriority rank, Transaction txn,
+              std::function<void(CommitResult)> then) override;
   void watch(const std::string& prefix, Revision after, Duration hold,
              std::function<void(WatchResult)> then) override;
   void create_lease(Duration ttl, std::function<void(LeaseResult)> then) override;
   void renew_lease(LeaseId lease_id, std::function<void(LeaseResult)> then) override;
   [[nodiscard]] const StoreLimits& limits() const override { return limits_; }
-  void lower_limits(const char* evidence) override;
+  void lower_limits(LimitsEvidence evidence) override;
   [[nodiscard]] double write_slack() override;
 
  private:
@@ -151,7 +164,7 @@
     HttpHandler then;
     int again = 0;  // how often it may be repeated when the service is over its rate
   };
-  void warn_if_too_large(const Txn& txn) const;
+  void warn_if_too_large(const Transaction& txn) const;
   void send(Job job);
   void enqueue(RequestPriority rank, HttpCall call, double writes, HttpHandler then);
   void pump();
--- a/src/store/machine_writer.cpp
+++ b/src/store/machine_writer.cpp
@@ -4,8 +4,8 @@
 
 namespace marblevale {
 
-MachineWriter::MachineWriter(WatchCache& cache, RequestPriority rank, Guard guard)
-    : cache_(cache), rank_(rank), guard_(std::move(guard)) {}
+MachineWriter::MachineWriter(WatchCache& cache, RequestPriority rank, AddGuards add_guards)
+    : cache_(cache), rank_(rank), add_guards_(std::move(add_guards)) {}
 
 void MachineWriter::edit(const MachineId& machine_id, const ZoneId& zone, Edit edit,
                          std::function<void()> then) {
@@ -42,8 +42,8 @@
       page.machines.push_back(records.machines.at(machine_id).record);
     }
   }
-  Txn txn;
-  if (!guard_(txn, edits_.at(machine_ids.front()).zone)) {
+  Transaction txn;
+  if (!add_guards_(txn, edits_.at(machine_ids.front()).zone)) {
     for (const MachineId& machine_id : machine_ids) edits_.erase(machine_id);
     return;
   }
--- a/src/store/machine_writer.hpp
+++ b/src/store/machine_writer.hpp
@@ -19,9 +19,9 @@
   /// not) and changes it. Called again when the commit fails.
   using Edit = std::function<EditAction(MachineRecord&)>;
   /// Puts the writer's own guard on a transaction; false: it may not write for this zone now.
-  using Guard = std::function<bool(Txn&, const ZoneId&)>;
+  using AddGuards = std::function<bool(Transaction&, const ZoneId&)>;
 
-  MachineWriter(WatchCache& cache, RequestPriority rank, Guard guard);
+  MachineWriter(WatchCache& cache, RequestPriority rank, AddGuards add_guards);
 
   /// `then`, if given, is called when the change is committed.
   void edit(const MachineId& machine_id, const ZoneId& zone, Edit edit,
@@ -56,7 +56,7 @@
 
   WatchCache& cache_;
   RequestPriority rank_;
-  Guard guard_;
+  AddGuards add_guards_;
   std::map<MachineId, Change> edits_;
   std::map<ZoneId, std::uint64_t> epochs_;  // how often a zone's changes were forgotten
   std::set<std::string> writing_;           // pages
--- a/src/store/watch_cache.cpp
+++ b/src/store/watch_cache.cpp
@@ -85,7 +85,7 @@
 
 RequestPriority binding_priority(const Records& records, const JobId& job_id) {
   const JobRecord* known = records.job(job_id);
-  return known != nullptr && known->spec.endless() ? RequestPriority::standing_binding
+  return known != nullptr && known->spec.endless() ? RequestPriority::service_binding
                                                    : RequestPriority::binding;
 }
 
@@ -162,20 +162,20 @@
   // A page that can't be had is asked for again by itself: to begin anew each time would never end
   // while the requests are short.
   load_after_ = after;
-  store_.range(keys::kLive, after, [this](RangeResult result) {
-    if (!result.ok) {
+  store_.range(keys::kLive, after, [this](std::optional<RangePage> page) {
+    if (!page) {
       retry();
       return;
     }
     // The watch goes on from the first page's revision, so nothing between the pages is missed.
     backoff_.reset();
-    if (load_from_ == Revision{}) load_from_ = result.revision;
-    for (Entry& item : result.items) {
+    if (load_from_ == Revision{}) load_from_ = page->revision;
+    for (Entry& item : page->entries) {
       loading_[item.key] = item.mod_revision;
       apply({item.key, std::move(item.value), item.mod_revision});
     }
-    if (result.has_next && !result.items.empty()) {
-      load(result.items.back().key);
+    if (page->has_next && !page->entries.empty()) {
+      load(page->entries.back().key);
       return;
     }
     std::vector<std::string> stale;
@@ -213,7 +213,7 @@
         break;
     }
     const auto timed = metrics_.time(Duty::watch);
-    for (const Change& change : result.log) apply(change);
+    for (const Change& change : result.changes) apply(change);
     if (result.revision > revision_) revision_ = result.revision;
     std::erase_if(removed_,
                   [this](const auto& entry) { return entry.second.get() <= revision_.get(); });
@@ -259,7 +259,7 @@
   }
   const json::Document* value = change.value ? &doc : nullptr;
   if (value != nullptr && is_compact(parsed->topic, *value)) {
-    store_.lower_limits("another controller wrote a compact record");
+    store_.lower_limits(LimitsEvidence::compact_record);
   }
   if (value == nullptr) {
     mod_revisions_.erase(change.key);
@@ -348,9 +348,9 @@
   return readable;
 }
 
-void WatchCache::commit(RequestPriority rank, Txn txn,
+void WatchCache::commit(RequestPriority rank, Transaction txn,
                         std::function<void(const CommitResult&)> then) {
-  auto copy = std::make_shared<Txn>(txn);
+  auto copy = std::make_shared<Transaction>(txn);
   store_.commit(rank, std::move(txn), [this, copy, then = std::move(then)](const CommitResult& r) {
     // What the watch has told already is not taken in again: a record that was deleted before the
     // answer came would be back for good.
--- a/src/store/watch_cache.hpp
+++ b/src/store/watch_cache.hpp
@@ -72,7 +72,7 @@
   void listen(std::function<void(RecordKind, const std::string& key)> listener);
 
   /// Commits, and on success takes the change into the copy at once.
-  void commit(RequestPriority rank, Txn txn, std::function<void(const CommitResult&)> then);
+  void commit(RequestPriority rank, Transaction txn, std::function<void(const CommitResult&)> then);
 
   /// Applies one change (public for tests).
   void apply(const Change& change);
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -122,7 +122,7 @@
     record.ended = clock_.wall();
     const auto commit = [&](ModRevision mod_revision, FinalState state) {
       record.state = state;
-      Txn txn;
+      Transaction txn;
       txn.guard(keys::job(record.job_id), mod_revision);
       txn.put(keys::final_job(record.job_id), encode(record, testing::kValueBytes))
           .remove(keys::job(record.job_id));
@@ -157,7 +157,7 @@
     record.state = state;
     record.task_count = 2;
     record.ended = clock_.wall();
-    Txn txn;
+    Transaction txn;
     txn.put(keys::final_job(record.job_id), encode(record, testing::kValueBytes))
         .remove(keys::job(record.job_id));
     store_.commit(RequestPriority::binding, txn, [](const CommitResult&) {});
@@ -847,7 +847,7 @@
     }
     // The submission comes late once while the job is there, and the rest when it has ended.
     ASSERT_EQ(store_.late.size(), 4U);
-    const Txn submission = store_.late.front();
+    const Transaction submission = store_.late.front();
     EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
     end_job(job_id, mod_revision);
     const std::string final = cancelled ? "cancelled" : "done";
--- a/tests/commit_reply_test.cpp
+++ b/tests/commit_reply_test.cpp
@@ -6,8 +6,8 @@
 namespace marblevale {
 namespace {
 
-CommitResult parse(int status, const std::string& body, bool never_sent = false) {
-  return parse_commit_reply({status, never_sent, body});
+CommitResult parse(int status, const std::string& body) {
+  return parse_commit_reply(HttpReply::answer(status, body));
 }
 
 TEST(CommitReply, ADefiniteAnswerNamesItsRevision) {
@@ -31,8 +31,9 @@
 }
 
 TEST(CommitReply, OnlyWhatWasSurelyNotExecutedIsRefused) {
-  EXPECT_EQ(parse(0, "", true).outcome, Outcome::refused) << "it was never sent";
-  EXPECT_EQ(parse(0, "").outcome, Outcome::unknown) << "no response";
+  EXPECT_EQ(parse_commit_reply(HttpReply::never_sent()).outcome, Outcome::refused)
+      << "it was never sent";
+  EXPECT_EQ(parse_commit_reply(HttpReply::no_answer()).outcome, Outcome::unknown) << "no response";
   EXPECT_EQ(parse(429, "").outcome, Outcome::refused);
   EXPECT_EQ(parse(503, "").outcome, Outcome::refused);
   EXPECT_EQ(parse(500, "").outcome, Outcome::unknown);
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -236,8 +236,8 @@
   EXPECT_TRUE(note_image(machine.images, ImageId("c"), 6, 15));   // b gives way
   const MachineRecord back = again(machine);
   ASSERT_EQ(back.images.size(), 2U);
-  EXPECT_EQ(back.images[0].first, ImageId("a"));
-  EXPECT_EQ(back.images[1].first, ImageId("c"));
+  EXPECT_EQ(back.images[0].image, ImageId("a"));
+  EXPECT_EQ(back.images[1].image, ImageId("c"));
 }
 
 TEST(Records, AnotherFormatIsNotGuessedAt) {
--- a/tests/granting_test.cpp
+++ b/tests/granting_test.cpp
@@ -16,9 +16,9 @@
   ASSERT_EQ(tasks("req-1").size(), 1U);
   EXPECT_EQ(tasks("req-1")[0].state, TaskState::released);
   EXPECT_EQ(tasks("req-1")[0].attempt, Attempt(1));
-  for (const Txn& txn : store_.commits) {
+  for (const Transaction& txn : store_.commits) {
     if (txn.puts.empty() || txn.puts[0].key != keys::slice(JobId("req-1"), 0)) continue;
-    EXPECT_EQ(txn.guards[0].first, keys::kLeader);
+    EXPECT_EQ(txn.guards[0].key, keys::kLeader);
   }
 }
 
@@ -33,7 +33,7 @@
   begin();
   run(Duration{3000});
   EXPECT_FALSE(election_.is_established_leader());
-  Txn txn;
+  Transaction txn;
   txn.remove(keys::kLeader);
   store_.commit(RequestPriority::lease, txn, [](const CommitResult&) {});
   run(Duration{500});
@@ -403,7 +403,7 @@
 // A process that is back within a fraction of a second, in the middle of an election, with commits
 // of its earlier life still on their way.
 TEST_F(LeaderTest, ALateCommitOfItsEarlierLifeDoesNotUnseatAController) {
-  Txn stand;
+  Transaction stand;
   stand.guard(keys::kLeader, ModRevision{});
   stand.put(keys::kLeader, encode(LeaderRecord{NodeId("me"), ProcessIncarnation(3)}));
   store_.scripts = {Script::arrive_late};
--- a/tests/holder_test.cpp
+++ b/tests/holder_test.cpp
@@ -70,7 +70,7 @@
 
 TEST_F(ShardHolderTest, AnUnansweredDirectStartIsRepeatedOnlyToTheSameMachine) {
   bind_and_start();
-  workers_.sent.back().then({0, false, {}});
+  workers_.sent.back().then(HttpReply::no_answer());
   run(Duration{3000});
   const auto answer = handle_heartbeat(1, token());
   EXPECT_NE(answer.body.find("\"start\""), std::string::npos);
@@ -79,7 +79,7 @@
 
 TEST_F(ShardHolderTest, ACancelledTaskIsFreeOnlyWhenNoLateStartCanArrive) {
   bind_and_start();
-  workers_.sent.back().then({0, false, {}});
+  workers_.sent.back().then(HttpReply::no_answer());
   cancel();
   const auto old = token();
   run(Duration{50});
@@ -174,7 +174,7 @@
 
 TEST_F(ShardHolderTest, WhatBelongsToNoJobIsKilledThoughItsSliceIsLeft) {
   bind_and_start();
-  Txn txn;
+  Transaction txn;
   txn.remove(keys::job(JobId("req-1")));
   store_.commit(RequestPriority::record, txn, [](const CommitResult&) {});
   run(Duration{50});
@@ -252,7 +252,7 @@
   run(Duration{1000});
   const auto& images = cache_.records().machines.at(MachineId("vm-1")).record.images;
   ASSERT_EQ(images.size(), 1U);
-  EXPECT_EQ(images[0].first, ImageId("img"));
+  EXPECT_EQ(images[0].image, ImageId("img"));
 }
 
 TEST_F(ShardHolderTest, WorkersThatKeepComingBackMakeAComplaint) {
@@ -283,7 +283,7 @@
   handle_heartbeat(1, token());
   store_.hold = true;
   const auto slice_commits = [&] {
-    return std::count_if(store_.commits.begin(), store_.commits.end(), [](const Txn& txn) {
+    return std::count_if(store_.commits.begin(), store_.commits.end(), [](const Transaction& txn) {
       return !txn.puts.empty() && txn.puts[0].key.find("slices/") != std::string::npos;
     });
   };
--- a/tests/late_message_test.cpp
+++ b/tests/late_message_test.cpp
@@ -20,12 +20,12 @@
   void answer_orders(int status, std::uint64_t epoch = 1, const std::string& parts = "") {
     for (; answered_ < workers_.sent.size(); ++answered_) {
       const auto then = workers_.sent[answered_].then;
-      then({status, false,
-            R"({"host":"vm-1","address":"10.1.0.1:9000","build":"g8","district":"a",)"
-            R"("loaners":false,"tenure":)" +
-                std::to_string(epoch) + R"(,"tally":)" + std::to_string(++sequence_) +
-                R"(,"warrant":)" + std::to_string(token()) + R"(,"recall_s":null,"parts":[)" +
-                parts + "]}"});
+      then(HttpReply::answer(
+          status, R"({"host":"vm-1","address":"10.1.0.1:9000","build":"g8","district":"a",)"
+                  R"("loaners":false,"tenure":)" +
+                      std::to_string(epoch) + R"(,"tally":)" + std::to_string(++sequence_) +
+                      R"(,"warrant":)" + std::to_string(token()) + R"(,"recall_s":null,"parts":[)" +
+                      parts + "]}"));
     }
   }
 
@@ -261,7 +261,7 @@
   run(Duration{1'000});
   ASSERT_GT(token(), earlier);
   EXPECT_EQ(handle_heartbeat(1, earlier).status, 200);
-  Txn binding;
+  Transaction binding;
   binding.guard(keys::shard(ZoneId("a")), ModRevision(earlier)).put("mv/slices/req-1/0", "{}");
   Outcome outcome = Outcome::done;
   store_.commit(RequestPriority::binding, binding,
--- a/tests/leader_change_test.cpp
+++ b/tests/leader_change_test.cpp
@@ -26,7 +26,7 @@
     ASSERT_FALSE(election_.is_established_leader());
   }
   void it_leads_again() {
-    Txn txn;
+    Transaction txn;
     txn.remove(keys::kLeader);
     store_.commit(RequestPriority::lease, txn, [](const CommitResult&) {});
     run(Duration{50});
@@ -109,7 +109,7 @@
   const std::string key = keys::provisioning_request(cloud_.provisioning_requests[0]);
   const auto asked = store_.get(key);
   ASSERT_TRUE(asked);
-  Txn txn;
+  Transaction txn;
   txn.remove(keys::kLeader);
   store_.commit(RequestPriority::lease, txn, [](const CommitResult&) {});
   run(Duration{100});
@@ -185,7 +185,7 @@
     EXPECT_EQ(tasks(job_id)[0].state, TaskState::released) << job_id;
     EXPECT_EQ(tasks(job_id)[0].attempt, Attempt(1)) << job_id << " was released once";
     begun.push_back(job_id);
-    Txn over;  // it ends
+    Transaction over;  // it ends
     over.remove(keys::slice(JobId(job_id), 0)).remove(keys::job(JobId(job_id)));
     store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
     run(Duration{200});
@@ -358,12 +358,12 @@
   begin();
   const JobSpec spec = testing::gang("req-1", 1, 1, 60);
   store_.hold = true;
-  Txn txn;
+  Transaction txn;
   txn.guard(keys::job(spec.job_id), ModRevision{});
   txn.put(keys::job(spec.job_id), encode(JobRecord{spec, time_.wall(), std::nullopt}));
   cache_.commit(RequestPriority::submission, txn, [](const CommitResult&) {});
   store_.hold = false;
-  Txn over;
+  Transaction over;
   over.remove(keys::job(spec.job_id));
   store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
   run(Duration{50});
@@ -493,7 +493,7 @@
   const auto job = store_.get(keys::job(spec.job_id));
   ASSERT_TRUE(cache_.records().jobs.contains(spec.job_id));
   set_task("req-1", bound("vm-1"));
-  Txn cancel;
+  Transaction cancel;
   cancel.guard(job->key, job->mod_revision);
   cancel.put(job->key, encode(JobRecord{spec, time_.wall(), time_.wall()}));
   cache_.commit(RequestPriority::binding, cancel,
--- a/tests/lowered_limits_test.cpp
+++ b/tests/lowered_limits_test.cpp
@@ -233,11 +233,11 @@
 
 TEST(StoreLimits, OnlyARefusedLargeValueTellsOfThem) {
   StoreLimits limits;
-  Txn small;
+  Transaction small;
   small.put("a", std::string(100, 'x'));
-  Txn large;
+  Transaction large;
   large.put("a", std::string(3000, 'x'));
-  Txn over;
+  Transaction over;
   over.put("a", std::string(9000, 'x'));
   EXPECT_FALSE(exceeds_announced(large, limits)) << "none are announced";
   limits.next = AnnouncedLimits{100, 50, 2048, 5};
@@ -346,7 +346,7 @@
   const ReleaseId id = releases.add(request, cache.records());
   EXPECT_EQ(releases.mark_sent(id, RecordSize{}).puts.front().value, encode(slice));
   releases.on_commit_answer(id, {}, time.steady());
-  const Txn again = releases.mark_sent(id, kLowered);
+  const Transaction again = releases.mark_sent(id, kLowered);
   EXPECT_LE(again.puts.front().value.size(), kLoweredBytes);
   EXPECT_EQ(again.guards, request.txn.guards);
 }
@@ -386,7 +386,7 @@
 // it under another attempt.
 TEST_F(WideGangTest, IsLeftAloneWhereOnlyAStepWasCarriedOut) {
   begin_with_wide_gang();
-  store_.lower_limits("known before");
+  store_.lower_limits(LimitsEvidence::compact_record);
   auto& last_step = store_.key_scripts[keys::slice(JobId("req-1"), 6)];
   last_step.assign(10'000, Script::lose_request);
   for (int i = 0; i < 400 && placed_by_attempt().empty(); ++i) run(Duration{10});
--- a/tests/open_releases_test.cpp
+++ b/tests/open_releases_test.cpp
@@ -131,7 +131,7 @@
   tell();
   EXPECT_FALSE(open_after(Duration{0}));
   answer(sent(), Outcome::unknown);
-  Txn over;
+  Transaction over;
   over.remove(keys::job(kJob));
   store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
   tell();
@@ -235,7 +235,7 @@
   usage_.mark_dirty(kKey);
   gpus();
   EXPECT_TRUE(usage_.incomplete());
-  Txn over;
+  Transaction over;
   over.remove(keys::job(kJob));
   store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
   tell();
--- a/tests/release_offer_test.cpp
+++ b/tests/release_offer_test.cpp
@@ -49,7 +49,7 @@
     slice.job_id = JobId(offer.job_id);
     slice.tasks = {task};
     const std::string key = keys::slice(slice.job_id, 0);
-    Txn txn;
+    Transaction txn;
     txn.guard(keys::kLeader, ModRevision(offer.term));
     txn.guard(key, ModRevision(offer.over));
     txn.put(key, encode(slice));
--- a/tests/release_outcome_test.cpp
+++ b/tests/release_outcome_test.cpp
@@ -183,11 +183,11 @@
   const auto job = cache_.records().jobs.at(JobId("req-1"));
   JobRecord cancelled = job.record;
   cancelled.cancelled = time_.wall();
-  Txn cancel;
+  Transaction cancel;
   cancel.guard(keys::job(JobId("req-1")), job.mod_revision);
   cancel.put(keys::job(JobId("req-1")), encode(cancelled));
   cache_.commit(RequestPriority::binding, cancel, [](const CommitResult&) {});
-  Txn accept;
+  Transaction accept;
   accept.put(keys::job(JobId("req-2")),
              encode(JobRecord{testing::gang("req-2", 1, 1, 60), time_.wall(), std::nullopt}));
   cache_.commit(RequestPriority::submission, accept, [](const CommitResult&) {});
--- a/tests/rental_outcome_test.cpp
+++ b/tests/rental_outcome_test.cpp
@@ -15,7 +15,7 @@
   run(Duration{3'000});
   ASSERT_FALSE(cloud_.provisioning_requests.empty());
   EXPECT_TRUE(cache_.records().provisioning_requests.empty()) << "refused: there is no capacity";
-  Txn over;
+  Transaction over;
   over.remove(keys::job(JobId("req-1")));
   store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
   cloud_.listing.emplace();
--- a/tests/scripted_store.hpp
+++ b/tests/scripted_store.hpp
@@ -68,34 +68,39 @@
       return;
     }
     ReadResult result;
-    result.ok = true;
+    result.kind = ReadResult::Kind::absent;
     if (const auto it = data_.find(key); it != data_.end()) {
+      result.kind = ReadResult::Kind::found;
       result.entry = Entry{key, it->second.value, it->second.mod_revision};
     }
     deliver([then = std::move(then), result] { then(result); });
   }
 
   void range(const std::string& prefix, const std::string& after,
-             std::function<void(RangeResult)> then) override {
-    RangeResult result;
+             std::function<void(std::optional<RangePage>)> then) override {
     ranges.push_back(after);
-    result.ok = !down && failing_ranges == 0;
+    const bool fails = down || failing_ranges > 0;
     if (failing_ranges > 0) --failing_ranges;
+    if (fails) {
+      deliver([then = std::move(then)] { then(std::nullopt); });
+      return;
+    }
+    RangePage result;
     for (const auto& [key, entry] : data_) {
       if (key.compare(0, prefix.size(), prefix) != 0 || key <= after) continue;
-      result.has_next = result.items.size() >= page;
+      result.has_next = result.entries.size() >= page;
       if (result.has_next) break;
-      result.items.push_back({key, entry.value, entry.mod_revision});
+      result.entries.push_back({key, entry.value, entry.mod_revision});
     }
     result.revision = Revision(revision_);
     deliver([then = std::move(then), result] { then(result); });
   }
 
-  void commit(RequestPriority, Txn txn, std::function<void(CommitResult)> then) override {
+  void commit(RequestPriority, Transaction txn, std::function<void(CommitResult)> then) override {
     commits.push_back(txn);
     if (enforces_announced && too_large(txn)) {
       ++refused_for_size;
-      if (exceeds_announced(txn, limits_)) lower_limits("refused");
+      if (exceeds_announced(txn, limits_)) lower_limits(LimitsEvidence::refused_commit);
       CommitResult refusal;
       refusal.outcome = Outcome::refused;
       deliver([then = std::move(then), refusal] { then(refusal); });
@@ -138,7 +143,7 @@
   }
 
   [[nodiscard]] const StoreLimits& limits() const override { return limits_; }
-  void lower_limits(const char*) override {
+  void lower_limits(LimitsEvidence) override {
     if (!limits_.next) return;
     limits_.value_bytes = limits_.next->value_bytes;
     limits_.txn_ops = limits_.next->txn_ops;
@@ -161,9 +166,10 @@
       const auto first = std::partition_point(log_.begin(), log_.end(), [&](const Change& change) {
         return change.mod_revision.get() <= watch.after.get();
       });
-      std::copy_if(first, log_.end(), std::back_inserter(result.log), [&](const Change& change) {
-        return change.key.compare(0, watch.prefix.size(), watch.prefix) == 0;
-      });
+      std::copy_if(first, log_.end(), std::back_inserter(result.changes),
+                   [&](const Change& change) {
+                     return change.key.compare(0, watch.prefix.size(), watch.prefix) == 0;
+                   });
       result.revision = Revision(revision_);
       watch.then(result);
     }
@@ -171,14 +177,14 @@
 
   /// Lets one late transaction arrive.
   CommitResult arrive() {
-    const Txn txn = late.front();
+    const Transaction txn = late.front();
     late.pop_front();
     return apply(txn);
   }
 
   /// What another controller writes.
   ModRevision put(const std::string& key, const std::string& value) {
-    Txn txn;
+    Transaction txn;
     txn.put(key, value);
     return ModRevision(apply(txn).revision.get());
   }
@@ -200,7 +206,7 @@
   void lapse(const std::string& key) {
     const LeaseId lease_id = data_.at(key).lease_id;
     end_lease(lease_id);
-    Txn txn;
+    Transaction txn;
     for (const auto& [path, kept] : data_) {
       if (kept.lease_id == lease_id) txn.remove(path);
     }
@@ -231,9 +237,9 @@
   std::vector<std::string> ranges;  // that were asked, by what they begin after
   std::deque<Script> scripts;       // of the next commits, whatever they write
   std::map<std::string, std::deque<Script>> key_scripts;  // of the next commits that write the key
-  std::deque<Txn> late;
+  std::deque<Transaction> late;
   std::deque<std::function<void()>> held;
-  std::vector<Txn> commits;
+  std::vector<Transaction> commits;
   bool enforces_announced = false;  // the announced limits have come
   int refused_for_size = 0;
 
@@ -249,7 +255,7 @@
     std::function<void(WatchResult)> then;
   };
 
-  Script next_script(const Txn& txn) {
+  Script next_script(const Transaction& txn) {
     const auto scripted = std::find_if(txn.puts.begin(), txn.puts.end(), [this](const Put& put) {
       const auto it = key_scripts.find(put.key);
       return it != key_scripts.end() && !it->second.empty();
@@ -261,7 +267,7 @@
     return script;
   }
 
-  [[nodiscard]] bool too_large(const Txn& txn) const {
+  [[nodiscard]] bool too_large(const Transaction& txn) const {
     if (txn.puts.size() + txn.deletes.size() > announced_.txn_ops) return true;
     return std::any_of(txn.puts.begin(), txn.puts.end(), [this](const Put& put) {
       return put.value.size() > announced_.value_bytes;
@@ -276,7 +282,7 @@
     }
   }
 
-  CommitResult apply(const Txn& txn) {
+  CommitResult apply(const Transaction& txn) {
     CommitResult result;
     for (const auto& [key, mod_revision] : txn.guards) {
       const auto it = data_.find(key);
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -69,11 +69,13 @@
     store_.read(key, [this, then](const ReadResult& r) { answer(then, r); });
   }
   void range(const std::string& prefix, const std::string& after,
-             std::function<void(RangeResult)> then) override {
-    if (condition == Condition::refusing) return answer(then, RangeResult{});
-    store_.range(prefix, after, [this, then](const RangeResult& r) { answer(then, r); });
+             std::function<void(std::optional<RangePage>)> then) override {
+    if (condition == Condition::refusing) return answer(then, std::optional<RangePage>{});
+    store_.range(prefix, after,
+                 [this, then](const std::optional<RangePage>& r) { answer(then, r); });
   }
-  void commit(RequestPriority priority, Txn txn, std::function<void(CommitResult)> then) override {
+  void commit(RequestPriority priority, Transaction txn,
+              std::function<void(CommitResult)> then) override {
     switch (condition) {
       case Condition::refusing:
         return answer(then, CommitResult{Outcome::refused, {}, {}});
@@ -114,7 +116,7 @@
     store_.renew_lease(lease_id, [this, then](const LeaseResult& r) { answer(then, r); });
   }
   [[nodiscard]] const StoreLimits& limits() const override { return store_.limits(); }
-  void lower_limits(const char* evidence) override { store_.lower_limits(evidence); }
+  void lower_limits(LimitsEvidence evidence) override { store_.lower_limits(evidence); }
   [[nodiscard]] double write_slack() override {
     return condition == Condition::out_of_budget ? 0 : 1;
   }
@@ -126,7 +128,7 @@
       if (!alive.expired()) then(result);
     });
   }
-  void apply_later(const Txn& txn, Duration delay) {
+  void apply_later(const Transaction& txn, Duration delay) {
     events_.after(delay, [&store = store_, txn] {
       store.commit(RequestPriority::binding, txn, [](const CommitResult&) {});
     });
@@ -513,9 +515,9 @@
                                     HttpHandler then) {
   const auto execute = [&cluster = cluster_, address, body]() -> HttpReply {
     const auto it = cluster.workers.find(address);
-    if (it == cluster.workers.end()) return {0, false, {}};
+    if (it == cluster.workers.end()) return HttpReply::no_answer();
     const int status = it->second.on_order(body, cluster.time.steady(), cluster.dice);
-    return {status, false, it->second.heartbeat()};
+    return HttpReply::answer(status, it->second.heartbeat());
   };
   const auto answer = [alive = std::weak_ptr<bool>(alive_), then](const HttpReply& reply) {
     if (!alive.expired()) then(reply);
@@ -523,7 +525,7 @@
   if (cluster_.network_faults && cluster_.dice.chance(0.15)) {
     // Carried out late, without an answer.
     cluster_.events.after(cluster_.dice.span(2'000, 12'000), [execute] { execute(); });
-    cluster_.events.after(Duration{2'000}, [answer] { answer({0, false, {}}); });
+    cluster_.events.after(Duration{2'000}, [answer] { answer(HttpReply::no_answer()); });
     return;
   }
   cluster_.events.after(cluster_.dice.span(2, 20), [execute, answer] { answer(execute()); });
--- a/tests/standing_jobs_test.cpp
+++ b/tests/standing_jobs_test.cpp
@@ -95,7 +95,7 @@
   store_.hold = false;
   store_.deliver_all();
   EXPECT_EQ(task().state, TaskState::bound);
-  EXPECT_EQ(binding_priority(cache_.records(), JobId("req-1")), RequestPriority::standing_binding);
+  EXPECT_EQ(binding_priority(cache_.records(), JobId("req-1")), RequestPriority::service_binding);
   EXPECT_EQ(binding_priority(cache_.records(), JobId("req-100")), RequestPriority::binding);
 }
 
--- a/tests/worker_partition_test.cpp
+++ b/tests/worker_partition_test.cpp
@@ -58,11 +58,11 @@
   }
   void answer_direct(int status) {
     auto sent = workers_.sent.back();
-    sent.then({status, false,
-               R"({"host":"vm-1","address":"10.1.0.1:9000","build":"g8","district":"a",)"
-               R"("loaners":false,"tenure":1,"tally":)" +
-                   std::to_string(++sequence_) + R"(,"warrant":)" + std::to_string(token()) +
-                   R"(,"recall_s":null,"parts":[]})"});
+    sent.then(HttpReply::answer(
+        status, R"({"host":"vm-1","address":"10.1.0.1:9000","build":"g8","district":"a",)"
+                R"("loaners":false,"tenure":1,"tally":)" +
+                    std::to_string(++sequence_) + R"(,"warrant":)" + std::to_string(token()) +
+                    R"(,"recall_s":null,"parts":[]})"));
     run(Duration{50});
   }
 };
