--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -13,6 +13,7 @@
 #include "peers/offers.hpp"
 #include "peers/peer_heartbeat.hpp"
 #include "shards/shard_holder.hpp"
+#include "store/client.hpp"
 
 namespace marblevale {
 
--- a/src/store/machine_writer.cpp
+++ b/src/store/machine_writer.cpp
@@ -4,73 +4,83 @@
 
 namespace marblevale {
 
-MachineWriter::MachineWriter(WatchCache& cache, RequestPriority rank, AddGuards add_guards)
-    : cache_(cache), rank_(rank), add_guards_(std::move(add_guards)) {}
+MachineWriter::MachineWriter(WatchCache& cache, RequestPriority priority, AddGuards add_guards)
+    : cache_(cache), priority_(priority), add_guards_(std::move(add_guards)) {}
 
 void MachineWriter::edit(const MachineId& machine_id, const ZoneId& zone, Edit edit,
                          std::function<void()> then) {
-  edits_[machine_id] = {zone, std::move(edit), std::move(then), epochs_[zone]};
+  pending_[machine_id] = {zone, std::move(edit), std::move(then), generations_[zone]};
 }
 
 void MachineWriter::forget(const ZoneId& zone) {
-  ++epochs_[zone];
-  std::erase_if(edits_, [&](const auto& entry) { return entry.second.zone == zone; });
+  ++generations_[zone];
+  std::erase_if(pending_, [&](const auto& entry) { return entry.second.zone == zone; });
 }
 
 void MachineWriter::forget_all() {
-  for (auto& [zone, epoch] : epochs_) ++epoch;
-  edits_.clear();
+  for (auto& [zone, generation] : generations_) ++generation;
+  pending_.clear();
 }
 
 void MachineWriter::flush() {
   std::map<std::string, std::vector<MachineId>> pages;
-  for (const auto& [machine_id, change] : edits_) {
-    pages[keys::machine_page(change.zone, machine_id)].push_back(machine_id);
+  for (const auto& [machine_id, edit] : pending_) {
+    pages[keys::machine_page(edit.zone, machine_id)].push_back(machine_id);
   }
   for (const auto& [page, machine_ids] : pages) {
-    if (!writing_.contains(page)) write(page, machine_ids);
+    if (!in_flight_.contains(page)) write(page, machine_ids);
   }
 }
 
-void MachineWriter::write(const std::string& key, const std::vector<MachineId>& machine_ids) {
+MachinePage MachineWriter::stored_page(const std::string& key) const {
   const Records& records = cache_.records();
   MachinePage page;
-  ModRevision mod_revision;
-  if (const auto stored = records.pages.find(key); stored != records.pages.end()) {
-    mod_revision = stored->second.mod_revision;
-    for (const MachineId& machine_id : stored->second.record) {
-      page.machines.push_back(records.machines.at(machine_id).record);
-    }
+  const auto stored = records.pages.find(key);
+  if (stored == records.pages.end()) return page;
+  for (const MachineId& machine_id : stored->second.record) {
+    page.machines.push_back(records.machines.at(machine_id).record);
   }
+  return page;
+}
+
+ModRevision MachineWriter::page_revision(const std::string& key) const {
+  const auto& pages = cache_.records().pages;
+  const auto stored = pages.find(key);
+  return stored == pages.end() ? ModRevision{} : stored->second.mod_revision;
+}
+
+void MachineWriter::write(const std::string& key, const std::vector<MachineId>& machine_ids) {
   Transaction txn;
-  if (!add_guards_(txn, edits_.at(machine_ids.front()).zone)) {
-    for (const MachineId& machine_id : machine_ids) edits_.erase(machine_id);
+  if (!add_guards_(txn, pending_.at(machine_ids.front()).zone)) {
+    for (const MachineId& machine_id : machine_ids) pending_.erase(machine_id);
     return;
   }
-  const Changes changes = apply_edits(machine_ids, page);
-  if (changes.empty()) return;
+  const ModRevision mod_revision = page_revision(key);
+  MachinePage page = stored_page(key);
+  const PendingEdits edits = apply_edits(machine_ids, page);
+  if (edits.empty()) return;
   txn.guard(key, mod_revision);
   if (page.machines.empty()) {
     txn.remove(key);
   } else {
     txn.put(key, encode(page, cache_.record_size()));
   }
-  writing_.insert(key);
-  cache_.commit(rank_, std::move(txn), [this, key, changes](const CommitResult& result) {
-    writing_.erase(key);
-    handle_result(changes, result.outcome);
+  in_flight_.insert(key);
+  cache_.commit(priority_, std::move(txn), [this, key, edits](const CommitResult& result) {
+    in_flight_.erase(key);
+    handle_result(edits, result.outcome);
   });
 }
 
-MachineWriter::Changes MachineWriter::apply_edits(const std::vector<MachineId>& machine_ids,
-                                                  MachinePage& page) {
-  Changes changes;
+MachineWriter::PendingEdits MachineWriter::apply_edits(const std::vector<MachineId>& machine_ids,
+                                                       MachinePage& page) {
+  PendingEdits edits;
   for (const MachineId& machine_id : machine_ids) {
-    const auto change = edits_.find(machine_id);
-    if (apply_edit(change->second.edit, machine_id, page)) changes.insert(*change);
-    edits_.erase(change);
+    const auto pending = pending_.find(machine_id);
+    if (apply_edit(pending->second.edit, machine_id, page)) edits.insert(*pending);
+    pending_.erase(pending);
   }
-  return changes;
+  return edits;
 }
 
 bool MachineWriter::apply_edit(const Edit& edit, const MachineId& machine_id, MachinePage& page) {
@@ -96,13 +106,13 @@
   return false;
 }
 
-void MachineWriter::handle_result(const Changes& changes, Outcome outcome) {
-  for (const auto& [machine_id, change] : changes) {
+void MachineWriter::handle_result(const PendingEdits& edits, Outcome outcome) {
+  for (const auto& [machine_id, edit] : edits) {
     if (outcome == Outcome::done) {
-      if (change.then) change.then();
-    } else if (change.epoch == epochs_[change.zone]) {
+      if (edit.then) edit.then();
+    } else if (edit.generation == generations_[edit.zone]) {
       // Decided anew from the records at the next flush, unless something newer is wanted by then.
-      edits_.try_emplace(machine_id, change);
+      pending_.try_emplace(machine_id, edit);
     }
   }
 }
--- a/src/store/machine_writer.hpp
+++ b/src/store/machine_writer.hpp
@@ -1,5 +1,5 @@
-// Writes machine records, which stand in pages: changes to machines of one page go together, and
-// one page has one commit on its way at a time.
+// Writes machine records, which are stored in pages: edits of the machines of one page are
+// committed together, and each page has at most one commit in flight.
 #pragma once
 
 #include <functional>
@@ -12,54 +12,59 @@
 
 namespace marblevale {
 
+/// Collects edits of machine records until `flush`. An edit whose commit fails is decided anew from
+/// the records, unless its zone was forgotten meanwhile.
 class MachineWriter {
  public:
   enum class EditAction { none, put, erase };
-  /// Looks at the machine as the records have it at the time of writing (an empty record if they do
-  /// not) and changes it. Called again when the commit fails.
+  /// Reads the machine's record as it is at the time of writing (an empty one if there is none) and
+  /// changes it. Called again when the commit fails.
   using Edit = std::function<EditAction(MachineRecord&)>;
-  /// Puts the writer's own guard on a transaction; false: it may not write for this zone now.
+  /// Adds the writer's own guards to a transaction; false: it may not write for this zone now.
   using AddGuards = std::function<bool(Transaction&, const ZoneId&)>;
 
-  MachineWriter(WatchCache& cache, RequestPriority rank, AddGuards add_guards);
+  MachineWriter(WatchCache& cache, RequestPriority priority, AddGuards add_guards);
 
   /// `then`, if given, is called when the change is committed.
   void edit(const MachineId& machine_id, const ZoneId& zone, Edit edit,
             std::function<void()> then = {});
   [[nodiscard]] bool waits(const MachineId& machine_id) const {
-    return edits_.contains(machine_id);
+    return pending_.contains(machine_id);
   }
-  /// Commits what waits, page by page, as far as no commit of the same page is on its way.
+  /// Commits the pending edits, page by page, except of pages with a commit in flight.
   void flush();
-  /// All that waits, of every zone, as below.
-  void forget_all();
-  /// What waits for the zone's machines: its reasons were those of a holding that is over.
-  /// A commit of them that is on its way is not tried again.
+  /// Drops the pending edits of the zone's machines, because the shard ownership under which they
+  /// were decided is over. A commit in flight is not retried.
   void forget(const ZoneId& zone);
+  /// The same for every zone.
+  void forget_all();
 
  private:
-  struct Change {
+  struct PendingEdit {
     ZoneId zone;
     Edit edit;
     std::function<void()> then;
-    std::uint64_t epoch = 0;  // of its zone when it was asked for
+    std::uint64_t generation = 0;  // of its zone when it was asked for
   };
-  using Changes = std::map<MachineId, Change>;
+  using PendingEdits = std::map<MachineId, PendingEdit>;
 
   void write(const std::string& key, const std::vector<MachineId>& machine_ids);
-  /// Takes the machines' changes out of those that wait, and makes them in `page`; returns those
+  /// The stored page with its machines; empty when it does not exist.
+  [[nodiscard]] MachinePage stored_page(const std::string& key) const;
+  [[nodiscard]] ModRevision page_revision(const std::string& key) const;
+  /// Removes the machines' edits from the pending ones and applies them to `page`; returns those
   /// that have to be committed.
-  Changes apply_edits(const std::vector<MachineId>& machine_ids, MachinePage& page);
+  PendingEdits apply_edits(const std::vector<MachineId>& machine_ids, MachinePage& page);
   /// True when the page was changed.
   static bool apply_edit(const Edit& edit, const MachineId& machine_id, MachinePage& page);
-  void handle_result(const Changes& changes, Outcome outcome);
+  void handle_result(const PendingEdits& edits, Outcome outcome);
 
   WatchCache& cache_;
-  RequestPriority rank_;
+  RequestPriority priority_;
   AddGuards add_guards_;
-  std::map<MachineId, Change> edits_;
-  std::map<ZoneId, std::uint64_t> epochs_;  // how often a zone's changes were forgotten
-  std::set<std::string> writing_;           // pages
+  PendingEdits pending_;
+  std::map<ZoneId, std::uint64_t> generations_;  // how often a zone's edits were forgotten
+  std::set<std::string> in_flight_;              // keys of pages
 };
 
 }  // namespace marblevale
--- /dev/null
+++ b/src/store/request_budget.cpp
@@ -0,0 +1,79 @@
+#include "store/request_budget.hpp"
+
+#include <algorithm>
+
+namespace marblevale {
+
+namespace {
+
+constexpr double kMaxShare = 0.75;       // of the published rate
+constexpr double kMinEqualShare = 0.5;   // of the equal share
+constexpr double kIncreaseStep = 0.025;  // of the published rate, each time
+constexpr double kDecreaseFactor = 0.75;
+constexpr double kSubmissionShare = 0.6;  // of the published writes: bindings must not starve
+// A user waits for a submission, so it may be sent ahead of the share, as far as an equal share of
+// a second: the others seldom use all of theirs, and 429 costs nothing but a repetition.
+constexpr double kSubmissionCreditSeconds = 1.0;
+constexpr Duration kNoSlackAfterReduction{3'000};
+
+void raise(TokenBucket& bucket, double published_rate) {
+  bucket.set_rate(
+      std::min(published_rate * kMaxShare, bucket.rate() + published_rate * kIncreaseStep));
+}
+
+}  // namespace
+
+RequestBudget::RequestBudget(const StoreLimits& limits)
+    : limits_(limits),
+      requests_(equal_share(limits.rps), equal_share(limits.rps)),
+      writes_(equal_share(limits.write_rps), equal_share(limits.write_rps)),
+      submissions_(limits.write_rps * kSubmissionShare, limits.write_rps * kSubmissionShare) {}
+
+double RequestBudget::equal_share(double rate) const {
+  return rate / static_cast<double>(limits_.nodes);
+}
+
+double RequestBudget::write_credit(RequestPriority priority) const {
+  return priority == RequestPriority::submission
+             ? equal_share(limits_.write_rps) * kSubmissionCreditSeconds
+             : 0;
+}
+
+Duration RequestBudget::wait_for_writes(SteadyTime now, double writes, RequestPriority priority) {
+  return writes_.wait(now, writes, -write_credit(priority));
+}
+
+void RequestBudget::take_writes(SteadyTime now, double writes, RequestPriority priority) {
+  writes_.take(now, writes, -write_credit(priority));
+}
+
+void RequestBudget::adapt() {
+  if (short_of_requests_) raise(requests_, limits_.rps);
+  if (short_of_writes_) raise(writes_, limits_.write_rps);
+  short_of_requests_ = false;
+  short_of_writes_ = false;
+}
+
+void RequestBudget::reduce(SteadyTime now, bool writes) {
+  if (now - last_reduced_ < scaled(kAdaptInterval, 0.5)) return;
+  last_reduced_ = now;
+  const auto lower = [this](TokenBucket& bucket, double published_rate) {
+    bucket.set_rate(
+        std::max(equal_share(published_rate) * kMinEqualShare, bucket.rate() * kDecreaseFactor));
+  };
+  lower(requests_, limits_.rps);
+  if (writes) lower(writes_, limits_.write_rps);
+}
+
+void RequestBudget::limits_lowered() {
+  requests_.set_rate(std::min(requests_.rate(), equal_share(limits_.rps)));
+  writes_.set_rate(std::min(writes_.rate(), equal_share(limits_.write_rps)));
+  submissions_.set_rate(limits_.write_rps * kSubmissionShare);
+}
+
+double RequestBudget::write_slack(SteadyTime now) {
+  // After an answer of 429 the others use what this node's bucket says is there.
+  return now - last_reduced_ < kNoSlackAfterReduction ? 0 : writes_.filled(now);
+}
+
+}  // namespace marblevale
--- /dev/null
+++ b/src/store/request_queue.cpp
@@ -0,0 +1,148 @@
+#include "store/request_queue.hpp"
+
+#include <algorithm>
+#include <memory>
+
+namespace marblevale {
+
+namespace {
+
+constexpr std::size_t kMaxQueuedRequests = 400;  // of each priority
+constexpr Duration kMaxQueueTime{2500};
+/// The same where a user waits, who is better told to come back.
+constexpr Duration kMaxUserQueueTime{200};
+constexpr int kMaxSubmissionRetries = 3;
+constexpr Duration kSubmissionRetryDelay{40};
+constexpr int kStatusTooManyRequests = 429;
+
+}  // namespace
+
+RequestQueue::RequestQueue(Loop& loop, const Clock& clock, HttpClient& http, RequestBudget& budget)
+    : metrics_(loop.metrics()),
+      clock_(clock),
+      http_(http),
+      budget_(budget),
+      pump_timer_(loop, [this] { pump(); }) {}
+
+RequestQueue::Queue& RequestQueue::queue_of(RequestPriority priority) {
+  return queues_.at(static_cast<std::size_t>(priority));
+}
+
+bool RequestQueue::holds_important_requests() const {
+  constexpr auto kLast = static_cast<std::ptrdiff_t>(RequestPriority::leader_commit);
+  return std::any_of(queues_.begin(), queues_.begin() + kLast + 1,
+                     [](const Queue& queue) { return !queue.empty(); });
+}
+
+bool RequestQueue::admit_submission(double writes) {
+  double writes_ahead = writes;
+  constexpr auto kLast = static_cast<std::size_t>(RequestPriority::submission);
+  for (std::size_t rank = 0; rank <= kLast; ++rank) {
+    for (const Request& request : queues_.at(rank)) writes_ahead += request.writes;
+  }
+  const SteadyTime now = clock_.steady();
+  return budget_.take_submission(now, writes) &&
+         budget_.wait_for_writes(now, writes_ahead, RequestPriority::submission) <=
+             kMaxUserQueueTime;
+}
+
+void RequestQueue::enqueue(RequestPriority priority, HttpCall call, double writes,
+                           HttpHandler then) {
+  Queue& queue = queue_of(priority);
+  if (queue.size() >= kMaxQueuedRequests) {
+    metrics_.count("store queue full");
+    then(HttpReply::never_sent());
+    return;
+  }
+  const bool is_submission = priority == RequestPriority::submission;
+  if (is_submission && writes > 0 && !admit_submission(writes)) {
+    // The user is told to come back at once rather than after having waited in vain.
+    budget_.mark_short_of_writes();
+    metrics_.count("submissions over the budget");
+    then(HttpReply::never_sent());
+    return;
+  }
+  const bool user_waits = is_submission || priority == RequestPriority::read;
+  const Duration max_wait = user_waits ? kMaxUserQueueTime * 2 : kMaxQueueTime;
+  queue.push_back({std::move(call), writes, clock_.steady() + max_wait, std::move(then),
+                   is_submission ? kMaxSubmissionRetries : 0});
+  pump();
+}
+
+void RequestQueue::pump() {
+  const SteadyTime now = clock_.steady();
+  bool writes_blocked = false;  // a write of a higher priority waits
+  for (std::size_t rank = 0; rank < queues_.size(); ++rank) {
+    switch (send_ready(static_cast<RequestPriority>(rank), now, writes_blocked)) {
+      case Shortage::none:
+        break;
+      case Shortage::requests:
+        return;
+      case Shortage::writes:
+        writes_blocked = true;
+        break;
+    }
+  }
+}
+
+RequestQueue::Shortage RequestQueue::send_ready(RequestPriority priority, SteadyTime now,
+                                                bool writes_blocked) {
+  Queue& queue = queue_of(priority);
+  while (!queue.empty()) {
+    if (queue.front().expires < now) {
+      expire_front(queue);
+      continue;
+    }
+    const Shortage shortage = shortage_for(queue.front(), priority, now, writes_blocked);
+    if (shortage == Shortage::requests) budget_.mark_short_of_requests();
+    if (shortage == Shortage::writes) budget_.mark_short_of_writes();
+    if (shortage != Shortage::none) return shortage;
+    budget_.take_request(now);
+    if (queue.front().writes > 0) budget_.take_writes(now, queue.front().writes, priority);
+    Request request = std::move(queue.front());
+    queue.pop_front();
+    send(std::move(request));
+  }
+  return Shortage::none;
+}
+
+RequestQueue::Shortage RequestQueue::shortage_for(const Request& request, RequestPriority priority,
+                                                  SteadyTime now, bool writes_blocked) {
+  const Duration for_request = budget_.wait_for_request(now);
+  const Duration for_writes =
+      request.writes > 0 ? budget_.wait_for_writes(now, request.writes, priority) : Duration{0};
+  const Duration wait = std::max(for_request, for_writes);
+  if (wait > Duration{0} && !pump_timer_.pending()) pump_timer_.start(wait);
+  if (for_request > Duration{0}) return Shortage::requests;
+  const bool blocked = request.writes > 0 && (for_writes > Duration{0} || writes_blocked);
+  return blocked ? Shortage::writes : Shortage::none;
+}
+
+void RequestQueue::expire_front(Queue& queue) {
+  const HttpHandler then = std::move(queue.front().then);
+  metrics_.count("over the store budget");
+  queue.pop_front();
+  then(HttpReply::never_sent());
+}
+
+void RequestQueue::send(Request request) {
+  auto sent = std::make_shared<Request>(std::move(request));
+  http_.send(sent->call, [this, sent](const HttpReply& reply) {
+    if (reply.status != kStatusTooManyRequests) {
+      sent->then(reply);
+      return;
+    }
+    metrics_.count("store said 429");
+    budget_.reduce(clock_.steady(), sent->writes > 0);
+    if (sent->retries_left == 0) {
+      sent->then(reply);
+      return;
+    }
+    // It was not executed, and a user waits: once more, when the others have spent their bursts.
+    --sent->retries_left;
+    queue_of(RequestPriority::submission).push_front(std::move(*sent));
+    if (!pump_timer_.pending()) pump_timer_.start(kSubmissionRetryDelay);
+  });
+}
+
+}  // namespace marblevale
--- a/src/store/watch_cache.hpp
+++ b/src/store/watch_cache.hpp
@@ -1,91 +1,108 @@
-// A copy of the live records in memory, kept up by one watch. It may lag; whatever is decided from
-// it is committed under guards, so that a decision from an old copy fails.
+// A copy of the live records in memory, kept up to date by one watch. It may lag: whatever is
+// decided from it is committed under guards, so that a decision from an old copy fails.
 #pragma once
 
 #include <deque>
 #include <functional>
-#include <map>
 #include <optional>
 #include <random>
-#include <set>
 #include <string>
 #include <unordered_map>
+#include <unordered_set>
 #include <vector>
 
+#include "net/loop.hpp"
+#include "net/rate_limit.hpp"
 #include "records/record_set.hpp"
-#include "store/client.hpp"
+#include "store/record_key.hpp"
+#include "store/record_table.hpp"
+#include "store/store.hpp"
 
 namespace marblevale {
 
-/// What changed, for those who listen.
-enum class RecordKind {
-  leader,
-  types,
-  node,
-  shard,
-  job,
-  guarantee_record,
-  slice,
-  machine,
-  provisioning_request
-};
-
-/// How urgent it is to write what becomes of the job's tasks.
-[[nodiscard]] RequestPriority binding_priority(const Records& records, const JobId& job_id);
-
 class WatchCache {
  public:
+  /// `loading`: reads all records, page by page; `following`: applies the changes that the watch
+  /// returns.
   enum class State { loading, following };
 
   WatchCache(Loop& loop, const Clock& clock, Store& store, std::uint64_t seed);
 
   void begin();
   [[nodiscard]] State state() const { return state_; }
+  /// All records have been read once. They stay usable, though old, while they are loaded again.
   [[nodiscard]] bool ready() const { return ever_loaded_; }
-  /// Every change up to this revision has been told by the watch.
+  /// Every change up to this revision has been returned by the watch.
   [[nodiscard]] Revision revision() const { return revision_; }
-  [[nodiscard]] const Records& records() const { return records_; }
+  [[nodiscard]] const Records& records() const { return table_.records(); }
   /// All that was committed before this moment is in the records.
-  [[nodiscard]] SteadyTime fresh_until() const { return fresh_until_; }
-  [[nodiscard]] WallTime fresh_until_wall() const { return fresh_until_wall_; }
+  [[nodiscard]] SteadyTime fresh_until() const { return fresh_until_.steady; }
+  [[nodiscard]] WallTime fresh_until_wall() const { return fresh_until_.wall; }
 
-  /// False when the copy has an own commit of the key that the watch has not told yet: what others
-  /// committed before it may be missing.
+  /// False when the copy has an own commit of the key that the watch has not returned yet: what
+  /// others committed before it may be missing.
   [[nodiscard]] bool observed_by_watch(const std::string& key) const;
 
-  /// Calls back once all that was committed before this call is in the records, or with false when
-  /// that does not come about in time.
-  void when_fresh(std::function<void(bool)> then);
+  /// Calls back with true once all that was committed before this call is in the records, or with
+  /// false when that does not happen in time.
+  void when_fresh(std::function<void(bool fresh)> then);
 
-  /// What a record may take now. Compact forms are allowed once no lower limits are only
-  /// announced, and while every controller that lives reads them.
+  /// The size that a record may have now. Compact forms are allowed once no lower limits are only
+  /// announced, and while every live controller reads them.
   [[nodiscard]] RecordSize record_size() const;
-  /// What a value may take so that it can be rewritten under the announced limits as well.
+  /// The size up to which a value can be rewritten under the announced limits as well.
   [[nodiscard]] std::size_t lasting_value_bytes() const {
     return store_.limits().lasting_value_bytes();
   }
-  /// Changes of one transaction that fit now and under the announced limits.
+  /// Operations of one transaction that fit now and under the announced limits.
   [[nodiscard]] std::size_t max_operations() const { return store_.limits().max_operations(); }
-  /// How much of the budget for writes is to spare, from 0 to 1.
+  /// The share of the write budget that is unused, from 0 to 1.
   [[nodiscard]] double write_slack() { return store_.write_slack(); }
 
-  void listen(std::function<void(RecordKind, const std::string& key)> listener);
+  /// Calls `listener` after each change with the name of the record.
+  void listen(std::function<void(RecordKind, const std::string& name)> listener);
 
-  /// Commits, and on success takes the change into the copy at once.
-  void commit(RequestPriority rank, Transaction txn, std::function<void(const CommitResult&)> then);
+  /// Commits, and on success applies the change to the copy at once.
+  void commit(RequestPriority priority, Transaction txn,
+              std::function<void(const CommitResult&)> then);
 
-  /// Applies one change (public for tests).
+  /// Applies one change; an older one than is known is ignored. Public for tests.
   void apply(const Change& change);
 
  private:
-  void transition(State next, const char* why);
-  void load(const std::string& after);
-  void follow();
+  /// One moment by both clocks.
+  struct Moment {
+    SteadyTime steady{};
+    WallTime wall{};
+  };
+  /// A read of all records that is under way.
+  struct Load {
+    Moment began;                      // when the first page was asked for
+    std::optional<Revision> revision;  // of the first page
+    std::string last_key;              // before the page that is being read
+    std::unordered_set<std::string> seen;
+  };
+  struct FreshWaiter {
+    SteadyTime since;
+    std::function<void(bool fresh)> then;
+  };
+
+  [[nodiscard]] Moment current_moment() const { return {clock_.steady(), clock_.wall()}; }
+  void transition(State next);
   void retry();
-  void answer_waiting();
-  bool place_page(const std::string& key, const json::Document* value, ModRevision mod_revision,
-                  std::vector<std::string>& changed);
-  void index(const SliceRecord& slice, bool add);
+  void begin_load();
+  void resume_load();
+  void load_page();
+  void apply_page(RangePage page);
+  void erase_unseen();
+  void finish_load();
+  void open_watch();
+  void handle_watch_result(const WatchResult& result, const Moment& opened);
+  void apply_watched(const WatchResult& result, const Moment& opened);
+  void apply_own_commit(const Transaction& txn, ModRevision mod_revision);
+  /// True when the change is older than what is known of its key.
+  [[nodiscard]] bool is_outdated(const Change& change) const;
+  void notify_fresh_waiters();
 
   Metrics& metrics_;
   const Clock& clock_;
@@ -93,29 +110,20 @@
   std::mt19937_64 random_;
   State state_ = State::loading;
   bool ever_loaded_ = false;
-  Records records_;
+  RecordTable table_;
   std::unordered_map<std::string, ModRevision> mod_revisions_;
-  std::unordered_map<std::string, ModRevision>
-      removed_;  // own deletions that the watch has not told yet
-  std::unordered_map<std::string, ModRevision> loading_;
+  /// Own deletions that the watch has not returned yet.
+  std::unordered_map<std::string, ModRevision> own_deletions_;
+  Load load_;
   Revision revision_;
-  Revision load_from_;
-  std::string load_after_;  // the key before the page that is being loaded
-  SteadyTime load_sent_{};
-  WallTime load_sent_wall_{};
-  SteadyTime fresh_until_{};
-  WallTime fresh_until_wall_{};
-  struct Waiting {
-    SteadyTime asked;
-    std::function<void(bool)> then;
-  };
-  std::deque<Waiting> waiting_;
-  SteadyTime last_follow_{};
+  Moment fresh_until_;
+  std::deque<FreshWaiter> fresh_waiters_;
+  SteadyTime last_watch_opened_{};
+  Duration watch_interval_{};  // between two openings of the watch, at least
   Backoff backoff_;
-  Duration pace_{};  // between two openings of the watch
-  Timer retry_;
-  Timer follow_later_;
-  Timer give_up_;
+  Timer retry_timer_;
+  Timer watch_timer_;
+  Timer fresh_wait_timer_;
   std::vector<std::function<void(RecordKind, const std::string&)>> listeners_;
 };
 
--- a/tests/commit_reply_test.cpp
+++ b/tests/commit_reply_test.cpp
@@ -1,7 +1,7 @@
 // What a reply to a commit says of its outcome.
 #include <gtest/gtest.h>
 
-#include "store/client.hpp"
+#include "store/store_protocol.hpp"
 
 namespace marblevale {
 namespace {
