--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -83,7 +83,7 @@
   summary_timer_.start(kSummaryInterval);
   const Records& records = cache_.records();
   spdlog::info(
-      "summary: {}; holds {} jobs, {} slices, {} machines; {} of {} connections to workers",
+      "summary: {}; records jobs={} slices={} machines={}; worker connections open={} max={}",
       metrics_.summary(), records.jobs.size(), records.slices.size(), records.machines.size(),
       order_sender_.connections(), order_connections(settings_));
 }
@@ -127,14 +127,16 @@
 void Service::on_peer_heartbeat(const PeerHeartbeat& heartbeat, bool newer) {
   cancellations_.hear(heartbeat.cancellations);
   if (!newer) return;
-  // A late copy from an earlier life must not move a shard.
-  if (!cache_.records().alive(NodeId(heartbeat.node), ProcessIncarnation(heartbeat.incarnation)))
+  // A late copy from an earlier incarnation of the peer must not move a shard.
+  if (!cache_.records().alive(NodeId(heartbeat.node), ProcessIncarnation(heartbeat.incarnation))) {
     return;
+  }
   std::set<ZoneId> unreachable_zones;
   for (const auto& zone : heartbeat.unreachable_zones) unreachable_zones.emplace(zone);
   leader_loop_.note_unreachable_zones(NodeId(heartbeat.node), unreachable_zones);
-  for (const auto& zone : heartbeat.misrouted_zones)
+  for (const auto& zone : heartbeat.misrouted_zones) {
     shard_assigner_.note_misrouted_heartbeat(ZoneId(zone), NodeId(heartbeat.node));
+  }
 }
 
 }  // namespace marblevale
