--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -3,48 +3,101 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <limits>
+#include <map>
 
 namespace marblevale {
 
 namespace {
-constexpr std::array<const char*, 4> kNames{"joining", "follower", "candidate", "leader"};
-constexpr Duration kStandJitter{150};
-constexpr Duration kDefer{500};
+
+constexpr Duration kMinBackoff{150};
+constexpr Duration kMaxBackoff{1500};
+constexpr Duration kCampaignRetryDelay{150};  // and the backoff
+constexpr Duration kCandidacyDeferral{500};
+constexpr Duration kReadinessPollInterval{100};
+/// The next renewal after a failed one, as a part of the TTL. The shards hang on their lease: it is
+/// retried soon.
+constexpr double kSessionRetryFraction = 0.25;
+constexpr double kShardRetryFraction = 0.05;
+/// A guard by this revision always fails.
+constexpr std::uint64_t kImpossibleRevision = std::numeric_limits<std::uint64_t>::max();
+
 }  // namespace
 
 Election::Election(Loop& loop, const Clock& clock, const Settings& settings, Store& store,
                    WatchCache& cache, ProcessIncarnation incarnation)
     : clock_(clock),
       settings_(settings),
-      store_(store),
       cache_(cache),
       incarnation_(incarnation),
       random_(incarnation.get()),
-      backoff_(Duration{150}, Duration{1500}),
-      session_timer_(loop, [this] { session_ == LeaseId{} ? open_session() : renew_session(); }),
-      shard_timer_(
-          loop,
-          [this] { shard_lease_id_ == LeaseId{} ? open_shard_lease() : renew_shard_lease(); }),
+      backoff_(kMinBackoff, kMaxBackoff),
+      session_lease_(loop, store,
+                     {settings.tuning.session_lease, kSessionRetryFraction,
+                      [this] { return backoff_.next(random_); }},
+                     {[this] {
+                        backoff_.reset();
+                        check_leadership();
+                      },
+                      // The keys that hung on it are deleted: another may lead by now.
+                      [this] { transition(State::joining, TransitionReason::session_expired); }}),
+      shard_lease_(loop, store,
+                   {settings.tuning.shard_lease, kShardRetryFraction,
+                    [this] { return backoff_.next(random_); }},
+                   {[this] { check_leadership(); }, [] {}}),
       leadership_timer_(loop, [this] { check_leadership(); }),
-      defer_timer_(loop, [this] {
-        may_campaign_ = true;
+      deferral_timer_(loop, [this] {
+        deferral_over_ = true;
         check_leadership();
       }) {
-  cache_.listen([this](RecordKind topic, const std::string&) {
-    if (topic == RecordKind::leader || topic == RecordKind::node)
+  cache_.listen([this](RecordKind kind, const std::string&) {
+    if (kind == RecordKind::leader || kind == RecordKind::node) {
       leadership_timer_.start(Duration{0});
+    }
   });
 }
 
 void Election::begin() {
-  open_session();
-  open_shard_lease();
+  session_lease_.open();
+  shard_lease_.open();
+}
+
+const char* Election::name_of(State state) {
+  switch (state) {
+    case State::joining:
+      return "joining";
+    case State::follower:
+      return "follower";
+    case State::candidate:
+      return "candidate";
+    case State::leader:
+      return "leader";
+  }
+  return "unknown";
+}
+
+const char* Election::name_of(TransitionReason reason) {
+  switch (reason) {
+    case TransitionReason::session_expired:
+      return "session_expired";
+    case TransitionReason::leader_record_is_own:
+      return "leader_record_is_own";
+    case TransitionReason::another_leads:
+      return "another_leads";
+    case TransitionReason::nobody_leads:
+      return "nobody_leads";
+    case TransitionReason::leadership_vacant:
+      return "leadership_vacant";
+    case TransitionReason::not_elected:
+      return "not_elected";
+  }
+  return "unknown";
 }
 
-void Election::transition(State next, const char* why) {
+void Election::transition(State next, TransitionReason reason) {
   if (next == state_) return;
-  spdlog::info("election: {} -> {} ({})", kNames.at(static_cast<std::size_t>(state_)),
-               kNames.at(static_cast<std::size_t>(next)), why);
+  spdlog::info("election: state_changed from={} to={} reason={}", name_of(state_), name_of(next),
+               name_of(reason));
   state_ = next;
   if (next != State::leader) term_ = ModRevision{};
 }
@@ -58,115 +111,71 @@
   const Duration age = clock_.steady() - cache_.fresh_until();
   const bool fresh = age < settings_.tuning.session_lease;
   if (!fresh && !stale_logged_) {
-    spdlog::info(
-        "election: leads, but the last word of the records is {} ms old: waits for another",
-        age.count());
+    spdlog::info("election: leader_records_stale age_ms={}", age.count());
   }
   stale_logged_ = !fresh;
   return fresh;
 }
 
-void Election::open_session() {
-  store_.create_lease(settings_.tuning.session_lease, [this](const LeaseResult& r) {
-    if (r.outcome != Outcome::done) {
-      session_timer_.start(backoff_.next(random_));
-      return;
-    }
-    backoff_.reset();
-    session_ = r.lease_id;
-    session_timer_.start(scaled(settings_.tuning.session_lease, 0.25));
-    check_leadership();
-  });
-}
-
-void Election::renew_session() {
-  store_.renew_lease(session_, [this](const LeaseResult& r) {
-    if (r.outcome == Outcome::lease_expired) {
-      // The keys that hung on it are gone: another may lead by now.
-      session_ = LeaseId{};
-      transition(State::joining, "the session ended");
-      open_session();
-      return;
-    }
-    session_timer_.start(scaled(settings_.tuning.session_lease, 0.25));
-  });
-}
-
-void Election::open_shard_lease() {
-  store_.create_lease(settings_.tuning.shard_lease, [this](const LeaseResult& r) {
-    if (r.outcome != Outcome::done) {
-      shard_timer_.start(backoff_.next(random_));
-      return;
-    }
-    shard_lease_id_ = r.lease_id;
-    shard_timer_.start(scaled(settings_.tuning.shard_lease, 0.25));
-    check_leadership();
-  });
-}
-
-void Election::renew_shard_lease() {
-  store_.renew_lease(shard_lease_id_, [this](const LeaseResult& r) {
-    if (r.outcome == Outcome::lease_expired) {
-      shard_lease_id_ = LeaseId{};
-      open_shard_lease();
-      return;
-    }
-    shard_timer_.start(
-        scaled(settings_.tuning.shard_lease, (r.outcome == Outcome::done ? 0.25 : 0.05)));
-  });
+void Election::guard(Transaction& txn) const {
+  // Without a term the guard must fail: that the key does not exist would hold while nobody leads.
+  const bool leads = term_ != ModRevision{};
+  txn.guard(keys::kLeader, leads ? term_ : ModRevision(kImpossibleRevision));
 }
 
-void Election::announce() {
-  if (announcing_) return;
+void Election::register_node() {
+  if (registration_in_flight_) return;
   const auto& nodes = cache_.records().nodes;
-  const auto mine = nodes.find(settings_.node);
-  const bool told = mine != nodes.end() && mine->second.record.incarnation == incarnation_ &&
-                    mine->second.record.shard_lease_id == shard_lease_id_;
-  if (told) return;
-  announcing_ = true;
+  const auto own = nodes.find(settings_.node);
+  const bool registered = own != nodes.end() && own->second.record.incarnation == incarnation_ &&
+                          own->second.record.shard_lease_id == shard_lease_.id();
+  if (registered) return;
+  registration_in_flight_ = true;
   Transaction txn;
-  // Guarded by what is there, so that a late copy from an earlier life can't replace it.
+  // Guarded by what is there, so that a late commit of an earlier incarnation can't replace it.
   txn.guard(keys::node(settings_.node),
-            mine == nodes.end() ? ModRevision{} : mine->second.mod_revision);
+            own == nodes.end() ? ModRevision{} : own->second.mod_revision);
   txn.put(keys::node(settings_.node),
-          encode(NodeRecord{settings_.node, incarnation_, shard_lease_id_, kReadsForms}), session_);
-  cache_.commit(RequestPriority::lease, std::move(txn), [this](const CommitResult& r) {
-    announcing_ = false;
-    leadership_timer_.start(r.outcome == Outcome::done ? Duration{0} : backoff_.next(random_));
+          encode(NodeRecord{settings_.node, incarnation_, shard_lease_.id(), kReadsForms}),
+          session_lease_.id());
+  cache_.commit(RequestPriority::lease, std::move(txn), [this](const CommitResult& result) {
+    registration_in_flight_ = false;
+    leadership_timer_.start(result.outcome == Outcome::done ? Duration{0} : backoff_.next(random_));
   });
 }
 
 void Election::check_leadership() {
-  if (session_ == LeaseId{} || shard_lease_id_ == LeaseId{} || !cache_.ready()) {
-    if (session_ != LeaseId{}) leadership_timer_.start(Duration{100});
+  if (!session_lease_.is_open() || !shard_lease_.is_open() || !cache_.ready()) {
+    if (session_lease_.is_open()) leadership_timer_.start(kReadinessPollInterval);
     return;
   }
-  announce();
+  register_node();
   const auto& leader = cache_.records().leader;
-  if (leader) may_campaign_ = false;
+  if (leader) deferral_over_ = false;
   if (leader && leader->record.node == settings_.node &&
       leader->record.incarnation == incarnation_) {
     term_ = leader->mod_revision;
-    transition(State::leader, "the leader record is ours");
+    transition(State::leader, TransitionReason::leader_record_is_own);
     return;
   }
   if (state_ == State::candidate) return;
-  transition(State::follower, leader ? "another leads" : "nobody leads");
+  transition(State::follower,
+             leader ? TransitionReason::another_leads : TransitionReason::nobody_leads);
   if (leader && leader->record.node == settings_.node) {
-    campaign(
-        leader->mod_revision);  // an earlier life of this controller led; its successor is here
+    // An earlier incarnation of this controller led: this one succeeds it.
+    campaign(leader->mod_revision);
   } else if (!leader) {
-    if (needed_at_home() && !may_campaign_) {
-      if (!defer_timer_.pending()) defer_timer_.start(kDefer);
+    if (defers_candidacy() && !deferral_over_) {
+      if (!deferral_timer_.pending()) deferral_timer_.start(kCandidacyDeferral);
       return;
     }
     campaign(ModRevision{});
   }
 }
 
-bool Election::needed_at_home() const {
-  // Its zone has no other controller to hold the zone's shard, and elsewhere there is one to spare:
-  // leading and holding together are too much for one in a large deployment.
+bool Election::defers_candidacy() const {
+  // Its zone has no other controller to hold the zone's shard, and another zone has one to spare:
+  // leading and holding together are too much for one controller in a large deployment.
   std::map<ZoneId, int> controllers;
   ++controllers[settings_.zone];
   for (const Peer& peer : settings_.peers) ++controllers[peer.zone];
@@ -175,20 +184,20 @@
                      [](const auto& zone) { return zone.second > 1; });
 }
 
-void Election::campaign(ModRevision over) {
-  transition(State::candidate, "the place is free");
+void Election::campaign(ModRevision predecessor) {
+  transition(State::candidate, TransitionReason::leadership_vacant);
   Transaction txn;
-  txn.guard(keys::kLeader, over);
-  txn.put(keys::kLeader, encode(LeaderRecord{settings_.node, incarnation_}), session_);
-  cache_.commit(RequestPriority::lease, std::move(txn), [this](const CommitResult& r) {
+  txn.guard(keys::kLeader, predecessor);
+  txn.put(keys::kLeader, encode(LeaderRecord{settings_.node, incarnation_}), session_lease_.id());
+  cache_.commit(RequestPriority::lease, std::move(txn), [this](const CommitResult& result) {
     if (state_ != State::candidate) return;
-    if (r.outcome == Outcome::done) {
+    if (result.outcome == Outcome::done) {
       check_leadership();
       return;
     }
-    transition(State::follower, "not elected");
+    transition(State::follower, TransitionReason::not_elected);
     // Whoever won shows in the cache soon; an unknown outcome does, too.
-    leadership_timer_.start(kStandJitter + backoff_.next(random_));
+    leadership_timer_.start(kCampaignRetryDelay + backoff_.next(random_));
   });
 }
 
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,5 +1,5 @@
-// HTTP client on evhttp: a few connections per endpoint, one request on each at a time, a deadline
-// for every request and a bounded queue.
+// An HTTP client on evhttp for one server: a few connections with one request on each at a time, a
+// deadline for every request, and a bounded queue.
 #pragma once
 
 #include <event2/http.h>
@@ -43,35 +43,39 @@
   Duration deadline{2000};
 };
 
+/// Calls each handler once, with the answer or with what became of the request. The deadline counts
+/// from `send`, and a queue that is full refuses at once.
 class HttpClient {
  public:
-  HttpClient(Loop& loop, Address to, std::size_t connections, std::size_t queue_limit);
+  HttpClient(Loop& loop, Address server, std::size_t connections, std::size_t queue_limit);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
   void send(HttpCall call, HttpHandler handler);
+  /// True when no request is queued or in flight.
   [[nodiscard]] bool idle() const;
 
  private:
   struct Connection;
-  struct Waiting {
+  struct QueuedRequest {
     HttpCall call;
     HttpHandler handler;
-    std::unique_ptr<Timer> expiry;
+    std::unique_ptr<Timer> deadline;
   };
   enum class Ending { answered, broken, timed_out };
 
-  void begin(Connection& connection, Waiting next);
-  void finish(Connection& connection, HttpReply reply, Ending ending);
+  void begin(Connection& connection, const HttpCall& call, HttpHandler handler);
+  static void finish_response(evhttp_request* request, Connection& connection);
+  void finish(Connection& connection, const HttpReply& reply, Ending ending);
   void pump();
 
   Loop& loop_;
-  Address to_;
+  Address server_;
   std::size_t queue_limit_;
   std::list<std::unique_ptr<Connection>> connections_;
-  std::list<Waiting> queue_;
-  Timer pump_later_;
+  std::list<QueuedRequest> queue_;
+  Timer pump_timer_;
 };
 
 }  // namespace marblevale
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,11 +1,11 @@
-// HTTP server on evhttp. Handlers answer now or later through a Responder; a Responder outlives the
-// connection safely, and one that is dropped without an answer answers 503.
+// An HTTP server on evhttp, whose handlers answer now or later through a `Responder`.
 #pragma once
 
 #include <event2/http.h>
 
 #include <functional>
 #include <memory>
+#include <optional>
 #include <string>
 #include <string_view>
 
@@ -20,16 +20,19 @@
   std::string body;
 };
 
+/// Answers one request. It may outlive the connection, and where it is destroyed without an answer,
+/// it answers 503.
 class Responder {
  public:
   explicit Responder(evhttp_request* request);
   ~Responder();
   Responder(const Responder&) = delete;
   Responder& operator=(const Responder&) = delete;
-  void reply(int status, std::string_view body, int retry_after_s = 0);
+  /// Later calls have no effect. A positive `retry_after_s` becomes the Retry-After header.
+  void reply(int status, std::string_view body, std::optional<int> retry_after_s = std::nullopt);
 
  private:
-  evhttp_request* request_;
+  evhttp_request* request_;  // none once it is answered
 };
 
 using ResponderPtr = std::shared_ptr<Responder>;
@@ -38,9 +41,11 @@
  public:
   using Handler = std::function<void(const HttpRequest&, ResponderPtr)>;
   /// Throws when the address can't be bound.
-  HttpServer(Loop& loop, const Address& at, Handler handler);
+  HttpServer(Loop& loop, const Address& address, Handler handler);
 
  private:
+  static HttpRequest parse(evhttp_request* request);
+
   Handler handler_;
   std::unique_ptr<evhttp, decltype(&evhttp_free)> http_;
 };
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -1,4 +1,4 @@
-// The event loop: libevent's base, timers that end with their owner, and the real clocks.
+// The event loop on libevent, its timers, and the system's clocks.
 #pragma once
 
 #include <event2/event.h>
@@ -19,7 +19,7 @@
 
 class Timer;
 
-/// Where timers run; the tests put a fake clock here.
+/// Runs timers in place of libevent; tests drive them by a fake clock.
 class TimerQueue {
  public:
   virtual ~TimerQueue() = default;
@@ -28,13 +28,15 @@
   [[nodiscard]] virtual bool armed(const Timer& timer) const = 0;
 };
 
+/// One thread runs the whole controller on one loop.
 class Loop {
  public:
   explicit Loop(TimerQueue* timers = nullptr);
   [[nodiscard]] event_base* base() const { return base_.get(); }
   [[nodiscard]] TimerQueue* timers() const { return timers_; }
-  /// Where those who run on this loop tell what they spend.
+  /// The metrics of all components that run on this loop.
   [[nodiscard]] Metrics& metrics() { return metrics_; }
+  /// Runs until the event base is told to stop.
   void run();
 
  private:
@@ -43,13 +45,14 @@
   Metrics metrics_;
 };
 
-/// A timer that can be set again; it never fires after it is destroyed.
+/// A one-shot timer that can be started again; it never fires after its destruction.
 class Timer {
  public:
   Timer(Loop& loop, std::function<void()> action);
   ~Timer();
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
+  /// Replaces an earlier start; a negative delay counts as none.
   void start(Duration after);
   void stop();
   [[nodiscard]] bool pending() const;
--- a/src/net/rate_limit.hpp
+++ b/src/net/rate_limit.hpp
@@ -1,78 +1,81 @@
-// What a client may spend: a token bucket, and backoff with jitter.
+// Rate limiting: a token bucket, and exponential backoff with jitter.
 #pragma once
 
 #include <algorithm>
+#include <optional>
 #include <random>
 
 #include "core/time.hpp"
 
 namespace marblevale {
 
+/// A bucket of `burst` tokens that fills up at a rate. It may be overdrawn by one large `take`,
+/// which later callers wait for.
 class TokenBucket {
  public:
   TokenBucket(double per_second, double burst)
       : per_second_(per_second), burst_(burst), tokens_(burst) {}
 
-  /// Takes `amount` if that leaves at least `keep` for more important callers.
-  bool take(SteadyTime now, double amount, double keep = 0) {
+  /// Takes `amount` if that leaves at least `reserve`; a negative reserve is a credit.
+  bool take(SteadyTime now, double amount, double reserve = 0) {
     refill(now);
-    // What is more than ever fits goes when the bucket is full, and is paid for afterwards.
-    if (tokens_ - std::min(amount, burst_ - keep) < keep) return false;
+    // An amount larger than the bucket is taken when the bucket is full, and overdraws it.
+    if (tokens_ - std::min(amount, burst_ - reserve) < reserve) return false;
     tokens_ -= amount;
     return true;
   }
 
+  /// The burst becomes that of one second.
   void set_rate(double per_second) {
     per_second_ = per_second;
     burst_ = per_second;
   }
   [[nodiscard]] double rate() const { return per_second_; }
-  /// The share of the burst that is there to be taken.
-  double filled(SteadyTime now) {
+  /// The share of the burst that is there to be taken, from 0 to 1.
+  double fill_ratio(SteadyTime now) {
     refill(now);
     return std::max(0.0, tokens_ / burst_);
   }
 
   /// How long until `take` of this much could succeed.
-  Duration wait(SteadyTime now, double amount, double keep = 0) {
+  Duration wait(SteadyTime now, double amount, double reserve = 0) {
     refill(now);
-    const double lacking = std::min(amount, burst_ - keep) + keep - tokens_;
+    const double lacking = std::min(amount, burst_ - reserve) + reserve - tokens_;
     return lacking <= 0 ? Duration{0}
                         : Duration{static_cast<std::int64_t>(lacking / per_second_ * 1000) + 1};
   }
 
  private:
   void refill(SteadyTime now) {
-    if (started_ && now > last_) {
-      tokens_ = std::min(burst_, tokens_ + per_second_ * to_seconds(now - last_));
+    if (last_refill_ && now > *last_refill_) {
+      tokens_ = std::min(burst_, tokens_ + per_second_ * to_seconds(now - *last_refill_));
     }
-    started_ = true;
-    last_ = now;
+    last_refill_ = now;
   }
 
   double per_second_;
   double burst_;
   double tokens_;
-  bool started_ = false;
-  SteadyTime last_{};
+  std::optional<SteadyTime> last_refill_;
 };
 
-/// Exponential backoff with full jitter in its upper half.
+/// Exponential backoff with jitter: each delay is drawn between a half and all of its bound.
 class Backoff {
  public:
-  Backoff(Duration first, Duration most) : first_(first), most_(most), next_(first) {}
+  Backoff(Duration initial, Duration maximum)
+      : initial_(initial), maximum_(maximum), next_bound_(initial) {}
   template <typename Engine>
   Duration next(Engine& engine) {
-    const Duration base = next_;
-    next_ = std::min(most_, next_ * 2);
-    return scaled(base, std::uniform_real_distribution<>(0.5, 1.0)(engine));
+    const Duration bound = next_bound_;
+    next_bound_ = std::min(maximum_, next_bound_ * 2);
+    return scaled(bound, std::uniform_real_distribution<>(0.5, 1.0)(engine));
   }
-  void reset() { next_ = first_; }
+  void reset() { next_bound_ = initial_; }
 
  private:
-  Duration first_{};
-  Duration most_{};
-  Duration next_{};
+  Duration initial_;
+  Duration maximum_;
+  Duration next_bound_;
 };
 
 }  // namespace marblevale
--- a/src/records/compact_encoding.cpp
+++ b/src/records/compact_encoding.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-constexpr unsigned kBitsPerByte = 7;
-constexpr std::uint64_t kLowBits = 0x7F;
-constexpr std::uint64_t kMoreFollows = 0x80;
+constexpr unsigned kPayloadBits = 7;
+constexpr std::uint64_t kPayloadMask = 0x7F;
+constexpr std::uint64_t kContinuationBit = 0x80;
 constexpr unsigned kMaxShift = 63;
 /// Milliseconds, or larger units: hundreds of years.
-constexpr std::uint64_t kMaxTime = std::uint64_t{1} << 43;
+constexpr std::uint64_t kMaxTimeUnits = std::uint64_t{1} << 43;
 /// Longer numbers in names are kept as texts.
-constexpr std::size_t kMaxDigits = 15;
+constexpr std::size_t kMaxNameDigits = 15;
 
 std::size_t prefix_length(const std::string& name) {
   const auto last = name.find_last_not_of("0123456789");
@@ -25,9 +25,9 @@
 }  // namespace
 
 void ByteWriter::put(std::uint64_t number) {
-  while (number > kLowBits) {
-    bytes_.push_back(static_cast<char>((number & kLowBits) | kMoreFollows));
-    number >>= kBitsPerByte;
+  while (number > kPayloadMask) {
+    bytes_.push_back(static_cast<char>((number & kPayloadMask) | kContinuationBit));
+    number >>= kPayloadBits;
   }
   bytes_.push_back(static_cast<char>(number));
 }
@@ -48,11 +48,11 @@
 
 std::uint64_t ByteReader::number() {
   std::uint64_t out = 0;
-  for (unsigned shift = 0; ok_ && shift <= kMaxShift; shift += kBitsPerByte) {
-    if (at_ >= bytes_.size()) break;
-    const auto byte = static_cast<unsigned char>(bytes_[at_++]);
-    out |= (byte & kLowBits) << shift;
-    if ((byte & kMoreFollows) == 0) return out;
+  for (unsigned shift = 0; ok_ && shift <= kMaxShift; shift += kPayloadBits) {
+    if (position_ >= bytes_.size()) break;
+    const auto byte = static_cast<unsigned char>(bytes_[position_++]);
+    out |= (byte & kPayloadMask) << shift;
+    if ((byte & kContinuationBit) == 0) return out;
   }
   ok_ = false;
   return 0;
@@ -66,15 +66,15 @@
 
 std::uint64_t ByteReader::time() {
   const std::uint64_t out = number();
-  if (out <= kMaxTime) return out;
+  if (out <= kMaxTimeUnits) return out;
   ok_ = false;
   return 0;
 }
 
 std::int64_t ByteReader::signed_time() {
   const std::int64_t out = signed_number();
-  constexpr auto kMost = static_cast<std::int64_t>(kMaxTime);
-  if (out <= kMost && out >= -kMost) return out;
+  constexpr auto kLimit = static_cast<std::int64_t>(kMaxTimeUnits);
+  if (out <= kLimit && out >= -kLimit) return out;
   ok_ = false;
   return 0;
 }
@@ -94,12 +94,12 @@
   if (name.empty()) return 0;
   const std::size_t length = prefix_length(name);
   const std::size_t digits = name.size() - length;
-  if (digits_ == 0 && digits > 0 && digits <= kMaxDigits) {
+  if (digits_ == 0 && digits > 0 && digits <= kMaxNameDigits) {
     prefix_ = name.substr(0, length);
     digits_ = digits;
   }
   std::uint64_t number = 0;
-  const bool numbered = digits > 0 && digits <= kMaxDigits;
+  const bool numbered = digits > 0 && digits <= kMaxNameDigits;
   if (numbered) std::from_chars(name.data() + length, name.data() + name.size(), number);
   if (numbered && numbered_name(number) == name) return number * 2 + 1;
   const auto known = std::find(others_.begin(), others_.end(), name);
@@ -111,7 +111,7 @@
 std::optional<std::string> MachineNames::name_of(std::uint64_t number) const {
   if (number == 0) return "";
   if (number % 2 == 1) {
-    if (digits_ == 0 || digits_ > kMaxDigits) return std::nullopt;
+    if (digits_ == 0 || digits_ > kMaxNameDigits) return std::nullopt;
     return numbered_name(number / 2);
   }
   const std::uint64_t index = number / 2 - 1;
--- a/src/records/compact_encoding.hpp
+++ b/src/records/compact_encoding.hpp
@@ -1,4 +1,4 @@
-// The building shards of the compact forms of records: numbers of variable length in base64, and
+// The parts of the compact forms of records: numbers of variable length (varints) in base64, and
 // machine names by their numbers. The compact forms are written only once the state service takes
 // smaller values than a record in its plain form has.
 #pragma once
@@ -11,11 +11,11 @@
 
 namespace marblevale {
 
-/// Appends numbers to a string of bytes: seven bits a byte, the lowest first.
+/// Appends numbers to a string of bytes as varints (LEB128): seven bits a byte, the lowest first.
 class ByteWriter {
  public:
   void put(std::uint64_t number);
-  /// A number that may be negative; small ones of either sign take few bytes.
+  /// A number that may be negative, in zigzag encoding: small ones of either sign take few bytes.
   void put_signed(std::int64_t number);
   [[nodiscard]] std::string base64() const;
 
@@ -23,13 +23,13 @@
   std::string bytes_;
 };
 
-/// Reads what a `ByteWriter` wrote. A fault is remembered, and every later number is 0.
+/// Reads what a `ByteWriter` wrote. After an error `ok()` is false, and every later number is 0.
 class ByteReader {
  public:
   explicit ByteReader(const std::string& base64);
   std::uint64_t number();
   std::int64_t signed_number();
-  /// As above, for times: one that is far from any real one is a fault, so that sums of them can't
+  /// As above, for times: one that is far from any real one is an error, so that sums of them can't
   /// overflow.
   std::uint64_t time();
   std::int64_t signed_time();
@@ -37,7 +37,7 @@
 
  private:
   std::string bytes_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
   bool ok_ = true;
 };
 
@@ -46,7 +46,7 @@
 class MachineNames {
  public:
   MachineNames() = default;
-  /// As `write` left them: the common prefix, its number of digits, and the other names.
+  /// As they were stored: the common prefix, its number of digits, and the other names.
   MachineNames(std::string prefix, std::uint64_t digits, std::vector<std::string> others);
 
   /// The number that stands for the name; 0 for an empty one. The first name sets the prefix.
--- a/src/records/record_fields.hpp
+++ b/src/records/record_fields.hpp
@@ -1,4 +1,4 @@
-// Reading the fields of stored records, shared by their codecs.
+// Reads and writes the fields of stored records, for their codecs.
 #pragma once
 
 #include <string>
--- a/src/records/record_set.hpp
+++ b/src/records/record_set.hpp
@@ -1,5 +1,5 @@
-// The live records of the cluster as one typed set. Decisions read it; only the watch cache and
-// tests write it.
+// The live records of the cluster as one typed set. Decisions read it; only the watch cache writes
+// it.
 #pragma once
 
 #include <map>
@@ -40,7 +40,7 @@
       machines;  // the revision is that of the machine's page
   std::map<std::string, Versioned<std::vector<MachineId>>> pages;  // by key
   std::map<std::string, Versioned<ProvisioningRequest>> provisioning_requests;
-  /// Keys whose values this version can't read: what hangs on them is left alone.
+  /// Keys whose values this version can't read: nothing is decided about what they stand for.
   std::set<std::string> unreadable;
   /// The tasks that are placed on each machine.
   std::unordered_map<MachineId, std::map<TaskId, Attempt>> placed;
@@ -50,6 +50,7 @@
                                                     std::uint32_t number) const;
   [[nodiscard]] const TaskRecord* task(const TaskId& id) const;
   [[nodiscard]] const MachineType* type(const std::string& name) const;
+  /// True while this incarnation of the controller is registered.
   [[nodiscard]] bool alive(const NodeId& node, ProcessIncarnation incarnation) const;
 };
 
--- a/src/records/records.cpp
+++ b/src/records/records.cpp
@@ -1,7 +1,6 @@
 #include "records/records.hpp"
 
 #include <algorithm>
-#include <charconv>
 
 #include "records/record_fields.hpp"
 
@@ -29,29 +28,6 @@
 
 }  // namespace
 
-namespace keys {
-std::string node(const NodeId& node) { return "mv/nodes/" + node.get(); }
-std::string shard(const ZoneId& zone) { return "mv/blocks/" + zone.get(); }
-std::string job(const JobId& job_id) { return "mv/jobs/" + job_id.get(); }
-std::string guarantee_record(const JobId& job_id) { return "mv/grants/" + job_id.get(); }
-std::string slice(const JobId& job_id, std::uint32_t number) {
-  return "mv/slices/" + job_id.get() + "/" + std::to_string(number);
-}
-std::string machine_page(const ZoneId& zone, const MachineId& machine_id) {
-  const std::string& name = machine_id.get();
-  std::size_t digits = name.size();
-  while (digits > 0 && name[digits - 1] >= '0' && name[digits - 1] <= '9') --digits;
-  std::uint64_t number = 0;
-  const auto [end, fault] =
-      std::from_chars(name.data() + digits, name.data() + name.size(), number);
-  const bool numbered = fault == std::errc{} && end == name.data() + name.size();
-  return "mv/machines/" + zone.get() + "/" + name.substr(0, digits) +
-         (numbered ? std::to_string(number / kPageMachines) : "");
-}
-std::string provisioning_request(const std::string& name) { return "mv/hires/" + name; }
-std::string final_job(const JobId& job_id) { return "final/" + job_id.get(); }
-}  // namespace keys
-
 void GuaranteeRecord::note(WallTime at, std::string what) {
   if (notes.size() >= kMaxNotes) {
     // The first note tells what was granted at arrival; it stays.
--- a/src/records/records.hpp
+++ b/src/records/records.hpp
@@ -1,5 +1,5 @@
-// The records that controllers keep in the state service, their keys and codecs. Each value is a
-// small JSON object with a format number.
+// The records that controllers keep in the state service, and their codecs. Each value is a small
+// JSON object with a format number. The names of stored fields are fixed: other versions read them.
 #pragma once
 
 #include <array>
@@ -13,30 +13,14 @@
 #include "protocol/cloud.hpp"
 #include "protocol/job_spec.hpp"
 #include "protocol/worker.hpp"
+#include "records/keys.hpp"
 
 namespace marblevale {
 
-/// One prefix for all that is unfinished, so that one watch follows it. Jobs that are over move to
-/// `final/`, which nobody watches: a restart reads only what is unfinished.
-namespace keys {
-inline constexpr const char* kLive = "mv/";
-inline constexpr const char* kLeader = "mv/leader";
-inline constexpr const char* kTypes = "mv/types";
-std::string node(const NodeId& node);
-std::string shard(const ZoneId& zone);
-std::string job(const JobId& job_id);
-std::string guarantee_record(const JobId& job_id);
-std::string slice(const JobId& job_id, std::uint32_t number);
-/// The page that has the machine: machines whose names follow one another share one.
-std::string machine_page(const ZoneId& zone, const MachineId& machine_id);
-std::string provisioning_request(const std::string& name);
-std::string final_job(const JobId& job_id);
-}  // namespace keys
-
-/// What a stored value may take, and in which form a record may be written.
+/// The size that a stored value may have, and the form in which a record may be written.
 struct RecordSize {
   std::size_t max_bytes = 8192;
-  /// The compact forms of slices and machine pages, which versions before 2 can't read. They are
+  /// The compact forms of slices and machine pages, which some versions can't read. They are
   /// written only where the plain form does not fit.
   bool compact_allowed = false;
 };
@@ -44,12 +28,13 @@
 /// The newest form of records that this version reads: 1 plain, 2 compact as well.
 inline constexpr std::uint64_t kReadsForms = 2;
 
+/// Who leads. The revision of this record is the leader's term.
 struct LeaderRecord {
   NodeId node;
   ProcessIncarnation incarnation;
 };
 
-/// A live controller. Its shards hang on `shard_permit`, the lease that it renews for them.
+/// A live controller. Its shards hang on the lease that it renews for them.
 struct NodeRecord {
   NodeId node;
   ProcessIncarnation incarnation;
@@ -57,7 +42,7 @@
   std::uint64_t reads_forms = 1;  // absent in the records of versions that read only plain ones
 };
 
-/// Whose shard it is. The revision of this record is the shard's fencing token.
+/// The holder of a shard. The revision of this record is the shard's fencing token.
 struct ShardRecord {
   ZoneId zone;
   NodeId holder;
@@ -65,54 +50,59 @@
   std::uint64_t generation = 0;
 };
 
+/// An accepted job that has not ended.
 struct JobRecord {
   JobSpec spec;
   WallTime accepted;
-  std::optional<WallTime> cancelled;
+  std::optional<WallTime> cancelled;  // when it was cancelled
 };
 
-/// Something that happened to a job's plan, kept for the member who asks why.
+/// An event in the planning of a job, for the answer to why it waits.
 struct Note {
   WallTime at;
   std::string what;
 };
 
-/// Start and end that a slice was granted.
+/// The reservation of a slice: its guaranteed start and end.
 struct Guarantee {
   std::uint32_t slice = 0;
-  WallTime first;  // the start granted at arrival
+  WallTime first;  // the start guaranteed at arrival
   WallTime start;
   WallTime end;
 };
 
+/// The guarantees of a job, and the notes on its planning.
 struct GuaranteeRecord {
   JobId job_id;
   std::vector<Guarantee> guarantees;  // of the slices that are reserved now
   std::vector<Note> notes;            // the latest, bounded
 
+  /// Adds a note; beyond the bound the oldest but the first is dropped.
   void note(WallTime at, std::string what);
 };
 
+/// `released`: the leader has placed the task; `bound`: the shard's holder has committed that it
+/// runs there.
 enum class TaskState { idle, released, bound, done };
 
+/// The order to end a task, with the time that it has for it.
 struct StopOrder {
   Duration grace_period{};
   std::string reason;
 };
 
-/// A task's place. Released: the leader has given it room on `host`; bound: the holder of `zone`
-/// has committed that it runs there. It stays so until there is proof that it is gone.
+/// A task's state and place. It stays placed until there is evidence of its termination.
 struct TaskRecord {
   TaskState state = TaskState::idle;
   Attempt attempt;
   ZoneId zone;
   MachineId machine_id;
-  WorkerEpoch epoch;         // the worker's epoch when it was bound
+  WorkerEpoch epoch;         // of the worker when the task was bound
   WallTime since;            // of the release, the binding, or the last end
   WallTime running;          // when it was first seen running; 0: not yet
-  Duration progress{};       // saved
+  Duration progress{};       // of the last checkpoint
   std::uint32_t faults = 0;  // ends by error
-  MachineId failed_on;       // machine of the last end by error
+  MachineId failed_on;       // the machine of the last of them
   std::optional<StopOrder> stop;
 
   [[nodiscard]] bool placed() const {
@@ -138,13 +128,14 @@
 std::uint32_t slice_size(const JobSpec& job, std::uint32_t number);
 
 enum class MachineState {
-  up,       // reports
-  silent,   // has not reported for a while; silence proves nothing
-  suspect,  // a task failed on it: takes none until the task's next try tells whose fault it was
+  up,       // sends heartbeats
+  silent,   // has sent no heartbeat for a while, which is no evidence that its tasks ended
+  suspect,  // a task failed on it: takes none until the task's next attempt shows whose fault it
+            // was
   quarantined,  // fails tasks: takes none, to be returned
-  draining,     // no new tasks: notice from the cloud, or no use for it
+  draining,     // takes no new tasks: preemption notice from the cloud, or not needed
   deleting,     // the leader has decided to delete it
-  gone          // proof: nothing runs there, ever
+  gone          // evidence: nothing runs there, or ever will
 };
 
 const char* name_of(MachineState state);
@@ -157,6 +148,7 @@
   bool operator==(const CachedImage&) const = default;
 };
 
+/// A rented machine, or one that is no more.
 struct MachineRecord {
   MachineId machine_id;
   std::string address;
@@ -167,9 +159,9 @@
   WallTime since;
   std::optional<WallTime> reclaim_at;
   /// Images that tasks have run with there, the latest last, as far as its cache holds them. Kept
-  /// here because a guess in memory is lost when all controllers end at once.
+  /// here because an estimate in memory is lost when all controllers end at once.
   std::vector<CachedImage> images;
-  JobId blamed;  // of a suspect: the job whose task failed
+  JobId blamed;  // of a suspect: the job whose task failed there
 
   bool operator==(const MachineRecord&) const = default;
 };
@@ -179,15 +171,16 @@
 struct MachinePage {
   std::vector<MachineRecord> machines;
 };
-inline constexpr std::uint64_t kPageMachines = 24;
 
 /// Images that a machine's record lists at the most.
 inline constexpr std::size_t kMaxImages = 24;
 
-/// Notes that the image was used: the latest last, the oldest dropped beyond `cache_gb`. False when
-/// it was in the list.
+/// Records that the image was used, as the machine's cache does: the latest last, the longest
+/// unused dropped beyond `cache_gb`. False when it was in the list.
 bool note_image(std::vector<CachedImage>& images, const ImageId& image, double gb, double cache_gb);
 
+/// A request for machines that was sent to the cloud, until all of them are known. Its name makes
+/// it idempotent.
 struct ProvisioningRequest {
   std::string name;
   std::string machine_type;
@@ -201,6 +194,7 @@
 
 enum class FinalState { done, cancelled };
 
+/// A job that has ended.
 struct FinalRecord {
   JobId job_id;
   FinalState state = FinalState::done;
@@ -224,7 +218,7 @@
 /// large without them and the compact one is allowed, that is taken.
 std::string encode(const MachinePage& page, const RecordSize& size);
 std::string encode(const ProvisioningRequest& r);
-/// Notes are left out as in a grant.
+/// Notes are left out as in a guarantee record.
 std::string encode(FinalRecord r, std::size_t max_bytes);
 std::string encode(const std::vector<MachineType>& types);
 
--- a/src/records/slice_codec.cpp
+++ b/src/records/slice_codec.cpp
@@ -35,7 +35,7 @@
 };
 
 // A task is a list: state, attempt, since, progress, faults, last failed on; when it is placed,
-// also zone, host, epoch, running; when it is to stop, also grace period and reason. Times count
+// also zone, machine, epoch, running; when it is to stop, also grace period and reason. Times count
 // from the base, plus one, so that 0 stands for none.
 void write_task(json::Writer& out, const TaskRecord& task, SliceCommon& common) {
   const auto time = [&](WallTime at) {
@@ -55,7 +55,7 @@
   out.close_list();
 }
 
-/// The fields of a list in their order; a fault in one is remembered.
+/// Reads the fields of a list in their order; after an error `ok()` is false.
 class ListReader {
  public:
   explicit ListReader(const json::Value& list) : list_(list) {}
@@ -256,7 +256,7 @@
 };
 
 /// The earliest of the tasks' times.
-std::int64_t base_of(const SliceRecord& r) {
+std::int64_t earliest_time(const SliceRecord& r) {
   std::int64_t base = 0;
   for (const TaskRecord& task : r.tasks) {
     for (const WallTime at : {task.since, task.running}) {
@@ -268,7 +268,7 @@
 }
 
 std::string encode_compact(const SliceRecord& r, const CompactDetail& detail) {
-  const std::int64_t base = base_of(r);
+  const std::int64_t base = earliest_time(r);
   CompactTaskWriter tasks(base, detail);
   for (const TaskRecord& task : r.tasks) tasks.write(task);
   json::Writer out;
@@ -300,7 +300,7 @@
 
 std::string encode(const SliceRecord& r) {
   SliceCommon common;
-  common.base = base_of(r);
+  common.base = earliest_time(r);
   json::Writer out;
   out.open()
       .put("v", kSliceFormat)
--- a/src/store/request_budget.cpp
+++ b/src/store/request_budget.cpp
@@ -73,7 +73,7 @@
 
 double RequestBudget::write_slack(SteadyTime now) {
   // After an answer of 429 the others use what this node's bucket says is there.
-  return now - last_reduced_ < kNoSlackAfterReduction ? 0 : writes_.filled(now);
+  return now - last_reduced_ < kNoSlackAfterReduction ? 0 : writes_.fill_ratio(now);
 }
 
 }  // namespace marblevale
