--- a/src/records/keys.cpp
+++ b/src/records/keys.cpp
@@ -2,9 +2,8 @@
 
 #include <charconv>
 
-namespace marblevale {
+namespace marblevale::keys {
 
-namespace keys {
 std::string node(const NodeId& node) { return "mv/nodes/" + node.get(); }
 std::string shard(const ZoneId& zone) { return "mv/blocks/" + zone.get(); }
 std::string job(const JobId& job_id) { return "mv/jobs/" + job_id.get(); }
@@ -25,6 +24,5 @@
 }
 std::string provisioning_request(const std::string& name) { return "mv/hires/" + name; }
 std::string final_job(const JobId& job_id) { return "final/" + job_id.get(); }
-}  // namespace keys
 
-}  // namespace marblevale
+}  // namespace marblevale::keys
--- a/src/records/machine_page_codec.cpp
+++ b/src/records/machine_page_codec.cpp
@@ -8,6 +8,7 @@
 
 namespace marblevale {
 
+using record_fields::index_or_append;
 using record_fields::read;
 using record_fields::read_texts;
 
@@ -75,14 +76,6 @@
   return out.str();
 }
 
-template <typename Item>
-std::uint64_t index_in(std::vector<Item>& list, const Item& item) {
-  const auto it = std::find(list.begin(), list.end(), item);
-  const auto index = static_cast<std::uint64_t>(it - list.begin());
-  if (it == list.end()) list.push_back(item);
-  return index;
-}
-
 /// The head of a machine in the compact form: its state, and which other fields follow.
 constexpr std::uint64_t kStateBits = 7;
 constexpr std::uint64_t kIsSpot = 8;
@@ -107,17 +100,17 @@
 
   void write(const MachineRecord& r, const CompactDetail& detail) {
     const bool blamed = detail.blamed && r.blamed != JobId{};
-    std::uint64_t head = static_cast<std::uint64_t>(r.state);
+    auto head = static_cast<std::uint64_t>(r.state);
     if (r.spot) head |= kIsSpot;
     if (r.reclaim_at) head |= kHasReclaim;
     if (blamed) head |= kHasBlamed;
     bytes_.put(head);
     bytes_.put(names_.number_of(r.machine_id.get()));
-    bytes_.put(index_in(texts_, r.machine_type));
-    bytes_.put(index_in(texts_, r.zone.get()));
+    bytes_.put(index_or_append(texts_, r.machine_type));
+    bytes_.put(index_or_append(texts_, r.zone.get()));
     bytes_.put_signed(unix_milliseconds(r.since) - base_);
     if (r.reclaim_at) bytes_.put_signed(unix_milliseconds(*r.reclaim_at) - base_);
-    if (blamed) bytes_.put(index_in(texts_, r.blamed.get()));
+    if (blamed) bytes_.put(index_or_append(texts_, r.blamed.get()));
     write_images(r, detail.images);
     addresses_.push_back(r.address);
   }
@@ -140,8 +133,8 @@
     bytes_.put(count);
     for (std::size_t i = r.images.size() - count; i < r.images.size(); ++i) {
       const double gb = std::round(r.images[i].gb / kImageGbStep) * kImageGbStep;
-      bytes_.put(index_in(texts_, r.images[i].image.get()));
-      bytes_.put(index_in(image_gb_, gb));
+      bytes_.put(index_or_append(texts_, r.images[i].image.get()));
+      bytes_.put(index_or_append(image_gb_, gb));
     }
   }
 
--- a/src/records/record_fields.hpp
+++ b/src/records/record_fields.hpp
@@ -1,6 +1,8 @@
 // Reads and writes the fields of stored records, for their codecs.
 #pragma once
 
+#include <algorithm>
+#include <cstdint>
 #include <string>
 #include <type_traits>
 #include <vector>
@@ -55,6 +57,15 @@
   out.close_list();
 }
 
+/// The index of the item in the list, at whose end it is put if it is not there.
+template <typename Item>
+std::uint64_t index_or_append(std::vector<Item>& list, const Item& item) {
+  const auto it = std::find(list.begin(), list.end(), item);
+  const auto index = static_cast<std::uint64_t>(it - list.begin());
+  if (it == list.end()) list.push_back(item);
+  return index;
+}
+
 /// Machine names of a compact record, as `read_names` reads them.
 inline void write_names(json::Writer& out, const MachineNames& names) {
   out.put("host", names.prefix()).put("digits", names.digits());
--- a/src/records/slice_codec.cpp
+++ b/src/records/slice_codec.cpp
@@ -7,6 +7,7 @@
 
 namespace marblevale {
 
+using record_fields::index_or_append;
 using record_fields::read;
 using record_fields::read_texts;
 using record_fields::write_texts;
@@ -25,13 +26,6 @@
   std::int64_t base = 0;
   std::vector<std::string> zones;
   std::vector<std::string> reasons;
-
-  static std::int64_t index(std::vector<std::string>& list, const std::string& text) {
-    const auto it = std::find(list.begin(), list.end(), text);
-    if (it != list.end()) return it - list.begin();
-    list.push_back(text);
-    return static_cast<std::int64_t>(list.size()) - 1;
-  }
 };
 
 // A task is a list: state, attempt, since, progress, faults, last failed on; when it is placed,
@@ -45,11 +39,11 @@
   out.value(time(task.since)).value(task.progress.count());
   out.value(static_cast<std::uint64_t>(task.faults)).value(task.failed_on.get());
   if (task.placed()) {
-    out.value(SliceCommon::index(common.zones, task.zone.get())).value(task.machine_id.get());
+    out.value(index_or_append(common.zones, task.zone.get())).value(task.machine_id.get());
     out.value(task.epoch.get()).value(time(task.running));
     if (task.stop) {
       out.value(task.stop->grace_period.count());
-      out.value(SliceCommon::index(common.reasons, task.stop->reason));
+      out.value(index_or_append(common.reasons, task.stop->reason));
     }
   }
   out.close_list();
@@ -136,7 +130,7 @@
 
   void write(const TaskRecord& task) {
     const bool placed = task.placed();
-    std::uint64_t head = static_cast<std::uint64_t>(task.state);
+    auto head = static_cast<std::uint64_t>(task.state);
     if (task.progress > Duration{0}) head |= kHasProgress;
     if (task.faults > 0) head |= kHasFaults;
     if (placed && task.running != WallTime{}) head |= kHasRunning;
@@ -161,16 +155,14 @@
 
  private:
   void write_place(const TaskRecord& task, std::uint64_t head) {
-    bytes_.put(index(zones_, task.zone.get()));
+    bytes_.put(index_or_append(zones_, task.zone.get()));
     bytes_.put(names_.number_of(task.machine_id.get()));
     bytes_.put(task.epoch.get());
     if ((head & kHasRunning) != 0) bytes_.put(time(task.running));
     if ((head & kHasStop) == 0) return;
     put_duration(task.stop->grace_period);
-    bytes_.put(index(reasons_, detail_.every_reason ? task.stop->reason : kAnyReason));
-  }
-  static std::uint64_t index(std::vector<std::string>& list, const std::string& text) {
-    return static_cast<std::uint64_t>(SliceCommon::index(list, text));
+    bytes_.put(index_or_append(reasons_,
+                               detail_.every_reason ? task.stop->reason : std::string(kAnyReason)));
   }
   [[nodiscard]] std::uint64_t time(WallTime at) const {
     if (unix_milliseconds(at) == 0) return 0;
