--- a/src/leader/guarantee_writer.cpp
+++ b/src/leader/guarantee_writer.cpp
@@ -1,127 +1,163 @@
 #include "leader/guarantee_writer.hpp"
 
 #include <algorithm>
-#include <set>
+#include <utility>
 
 namespace marblevale {
 
 namespace {
-constexpr Duration kBeginsAtOnce{2'000};  // a job begun by then needs no record of its guarantee
-constexpr Duration kRewrite{10'000};      // between two records of one job's guarantee
-constexpr Duration kPersistLater{5'000};  // without budget to spare
-constexpr double kPersistSlack = 0.3;
-constexpr std::size_t kMaxNotes = 16;  // of one job that wait
+/// A job that starts within this time of its acceptance needs no record of its guarantee: its slice
+/// shows the start.
+constexpr Duration kMinRecordedWait{2'000};
+/// Between two records of one job's guarantee.
+constexpr Duration kRewriteInterval{10'000};
+/// Between two batches while the budget for writes is short.
+constexpr Duration kShortBudgetInterval{5'000};
+/// Share of the budget for writes below which it is short.
+constexpr double kShortWriteSlack = 0.3;
+/// Notes of one job that wait to be written.
+constexpr std::size_t kMaxQueuedNotes = 16;
+
+bool contains_text(const std::vector<Note>& notes, const std::string& text) {
+  return std::any_of(notes.begin(), notes.end(),
+                     [&](const Note& note) { return note.what == text; });
+}
 }  // namespace
 
 GuaranteeWriter::GuaranteeWriter(const Clock& clock, WatchCache& cache, Election& election)
     : clock_(clock), cache_(cache), election_(election) {}
 
 void GuaranteeWriter::begin_term() {
-  ++life_;
-  writing_ = false;
+  ++term_count_;
+  commit_in_flight_ = false;
   notes_.clear();
-  const auto& records = cache_.records();
-  for (const auto& [key, slice] : records.slices) {
-    const auto guarantee_record = records.guarantee_records.find(key.job_id);
-    for (const TaskRecord& task : slice.record.tasks) {
-      if (!task.stop) continue;
-      const auto said = [&](const Note& n) { return n.what == task.stop->reason; };
-      const bool known = guarantee_record != records.guarantee_records.end() &&
-                         std::any_of(guarantee_record->second.record.notes.begin(),
-                                     guarantee_record->second.record.notes.end(), said);
-      auto& waiting = notes_[key.job_id];
-      if (!known && std::none_of(waiting.begin(), waiting.end(), said)) {
-        waiting.push_back({clock_.wall(), task.stop->reason});
-      }
+  for (const auto& [key, slice] : cache_.records().slices)
+    note_unrecorded_stops(key.job_id, slice.record);
+  std::erase_if(notes_, [](const auto& entry) { return entry.second.empty(); });
+}
+
+void GuaranteeWriter::note_unrecorded_stops(const JobId& job_id, const SliceRecord& slice) {
+  const auto& guarantee_records = cache_.records().guarantee_records;
+  const auto recorded = guarantee_records.find(job_id);
+  for (const TaskRecord& task : slice.tasks) {
+    if (!task.stop) continue;
+    const std::string& reason = task.stop->reason;
+    auto& queued = notes_[job_id];
+    if (recorded != guarantee_records.end() &&
+        contains_text(recorded->second.record.notes, reason)) {
+      continue;
     }
+    if (!contains_text(queued, reason)) queued.push_back({clock_.wall(), reason});
   }
-  std::erase_if(notes_, [](const auto& entry) { return entry.second.empty(); });
 }
 
-void GuaranteeWriter::note(const JobId& job_id, std::string what) {
-  auto& list = notes_[job_id];
-  if (list.size() < kMaxNotes) list.push_back({clock_.wall(), std::move(what)});
+void GuaranteeWriter::note(const JobId& job_id, std::string text) {
+  auto& queued = notes_[job_id];
+  if (queued.size() < kMaxQueuedNotes) queued.push_back({clock_.wall(), std::move(text)});
 }
 
-// Not split yet, issue 17.
-// NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size)
 void GuaranteeWriter::flush(Reservations& reservations) {
-  if (writing_) return;
-  const auto& records = cache_.records();
-  Transaction txn;
-  election_.guard(txn);
-  const std::size_t most = std::max<std::size_t>(1, cache_.max_operations() / 2);
-  std::unordered_map<JobId, std::vector<Note>> going;
-  std::set<JobId> due;
-  // A job that begins at once is told by its slice; a guarantee that moves is written now and then.
-  // Without budget to spare, notes and guarantees wait: no decision depends on them.
+  if (commit_in_flight_) return;
   const SteadyTime now = clock_.steady();
-  if (cache_.write_slack() < kPersistSlack && now - last_ < kPersistLater) return;
+  if (cache_.write_slack() < kShortWriteSlack && now - last_commit_ < kShortBudgetInterval) return;
   const WallTime wall = clock_.wall();
-  for (const auto& [job_id, r] : reservations) {
-    if (!r.changed) continue;
-    const auto job = records.jobs.find(job_id);
-    const WallTime since = r.written != WallTime{}     ? r.written + kRewrite
-                           : job != records.jobs.end() ? job->second.record.accepted + kBeginsAtOnce
-                                                       : WallTime{};
-    if (since <= wall) due.insert(job_id);
+  Batch batch = make_batch(due_jobs(reservations, wall), reservations, wall);
+  if (batch.txn.puts.empty()) return;
+  commit(std::move(batch), now, reservations);
+}
+
+std::set<JobId> GuaranteeWriter::due_jobs(const Reservations& reservations, WallTime now) const {
+  std::set<JobId> due;
+  for (const auto& [job_id, reservation] : reservations) {
+    if (reservation.changed && !write_later(job_id, reservation, now)) due.insert(job_id);
   }
   for (const auto& [job_id, notes] : notes_) due.insert(job_id);
+  return due;
+}
+
+bool GuaranteeWriter::write_later(const JobId& job_id, const Reservation& reservation,
+                                  WallTime now) const {
+  if (reservation.written != WallTime{}) return reservation.written + kRewriteInterval > now;
+  const auto& jobs = cache_.records().jobs;
+  const auto job = jobs.find(job_id);
+  return job != jobs.end() && job->second.record.accepted + kMinRecordedWait > now;
+}
+
+GuaranteeWriter::Batch GuaranteeWriter::make_batch(const std::set<JobId>& due,
+                                                   Reservations& reservations, WallTime now) {
+  const auto& jobs = cache_.records().jobs;
+  // Each job takes a guard of its own beside its guarantee record.
+  const std::size_t max_jobs = std::max<std::size_t>(1, cache_.max_operations() / 2);
+  Batch batch;
+  election_.guard(batch.txn);
   for (const JobId& job_id : due) {
-    if (txn.puts.size() >= most) break;
-    const auto job = records.jobs.find(job_id);
-    if (job == records.jobs.end()) {
+    if (batch.txn.puts.size() >= max_jobs) break;
+    const auto job = jobs.find(job_id);
+    if (job == jobs.end()) {
       notes_.erase(job_id);
       continue;
     }
-    const auto stored = records.guarantee_records.find(job_id);
-    GuaranteeRecord guarantee_record;
-    if (stored != records.guarantee_records.end()) guarantee_record = stored->second.record;
-    guarantee_record.job_id = job_id;
-    if (const auto r = reservations.find(job_id); r != reservations.end()) {
-      if (guarantee_record.guarantees.empty()) {
-        const auto wait = r->second.first - job->second.record.accepted;
-        guarantee_record.note(
-            clock_.wall(),
-            "granted a start " + std::to_string(whole_seconds(wait)) + " s after acceptance");
-      }
-      guarantee_record.guarantees = {{0, r->second.first, r->second.start, r->second.end}};
-      r->second.changed = false;
-      r->second.written = wall;
+    add_to_batch(batch, job_id, job->second, reservations, now);
+  }
+  return batch;
+}
+
+void GuaranteeWriter::add_to_batch(Batch& batch, const JobId& job_id,
+                                   const Versioned<JobRecord>& job, Reservations& reservations,
+                                   WallTime now) {
+  const auto& guarantee_records = cache_.records().guarantee_records;
+  const auto stored = guarantee_records.find(job_id);
+  const bool is_stored = stored != guarantee_records.end();
+  GuaranteeRecord record;
+  if (is_stored) record = stored->second.record;
+  record.job_id = job_id;
+  if (const auto it = reservations.find(job_id); it != reservations.end()) {
+    Reservation& reservation = it->second;
+    if (record.guarantees.empty()) {
+      const Duration wait = reservation.first - job.record.accepted;
+      record.note(clock_.wall(),
+                  "granted a start " + std::to_string(whole_seconds(wait)) + " s after acceptance");
     }
-    auto& told = going[job_id];
-    if (const auto notes = notes_.find(job_id); notes != notes_.end()) {
-      told = std::move(notes->second);
-      for (const Note& n : told) guarantee_record.note(n.at, n.what);
-      notes_.erase(notes);
+    record.guarantees = {{0, reservation.first, reservation.start, reservation.end}};
+    reservation.changed = false;
+    reservation.written = now;
+  }
+  std::vector<Note>& written = batch.notes[job_id];
+  if (const auto queued = notes_.find(job_id); queued != notes_.end()) {
+    written = std::move(queued->second);
+    for (const Note& note : written) record.note(note.at, note.what);
+    notes_.erase(queued);
+  }
+  // The job's guard: a guarantee record must not come back after the job has ended.
+  batch.txn.guard(keys::job(job_id), job.mod_revision);
+  batch.txn.guard(keys::guarantee_record(job_id),
+                  is_stored ? stored->second.mod_revision : ModRevision{});
+  batch.txn.put(keys::guarantee_record(job_id),
+                encode(std::move(record), cache_.lasting_value_bytes()));
+}
+
+void GuaranteeWriter::commit(Batch batch, SteadyTime now, Reservations& reservations) {
+  commit_in_flight_ = true;
+  last_commit_ = now;
+  cache_.commit(RequestPriority::record, std::move(batch.txn),
+                [this, &reservations, term = term_count_,
+                 notes = std::move(batch.notes)](const CommitResult& result) {
+                  if (term != term_count_) return;
+                  commit_in_flight_ = false;
+                  if (result.outcome != Outcome::done) requeue(notes, reservations);
+                });
+}
+
+void GuaranteeWriter::requeue(const NotesByJob& failed, Reservations& reservations) {
+  for (const auto& [job_id, unwritten] : failed) {
+    if (const auto it = reservations.find(job_id); it != reservations.end()) {
+      it->second.changed = true;
     }
-    // The job's guard: a grant must not come back after the job has ended.
-    txn.guard(keys::job(job_id), job->second.mod_revision);
-    txn.guard(keys::guarantee_record(job_id), stored == records.guarantee_records.end()
-                                                  ? ModRevision{}
-                                                  : stored->second.mod_revision);
-    txn.put(keys::guarantee_record(job_id),
-            encode(std::move(guarantee_record), cache_.lasting_value_bytes()));
+    // No reason may be lost: a user may ask for it.
+    auto& queued = notes_[job_id];
+    queued.insert(queued.begin(), unwritten.begin(), unwritten.end());
+    if (queued.empty()) notes_.erase(job_id);
   }
-  if (txn.puts.empty()) return;
-  writing_ = true;
-  last_ = now;
-  cache_.commit(
-      RequestPriority::record, std::move(txn),
-      [this, &reservations, life = life_, going = std::move(going)](const CommitResult& r) {
-        if (life != life_) return;
-        writing_ = false;
-        if (r.outcome == Outcome::done) return;
-        for (const auto& [job_id, told] : going) {
-          if (const auto it = reservations.find(job_id); it != reservations.end()) {
-            it->second.changed = true;
-          }
-          // No reason may be lost: a member may ask for it.
-          auto& notes = notes_[job_id];
-          notes.insert(notes.begin(), told.begin(), told.end());
-          if (notes.empty()) notes_.erase(job_id);
-        }
-      });
 }
 
 }  // namespace marblevale
--- a/src/leader/job_cleanup.cpp
+++ b/src/leader/job_cleanup.cpp
@@ -6,10 +6,14 @@
 namespace marblevale {
 
 namespace {
-constexpr double kCancelledDeletionShare = 0.4;  // of `cancel_s`
+/// Share of the settings' time for cancellations after which machines are deleted.
+constexpr double kCancelledDeletionShare = 0.4;
 constexpr Duration kUnrecordedMachineTimeout{20'000};
-constexpr double kSweepSlack = 0.6;     // of the budget for writes
-constexpr std::size_t kMaxLeft = 1000;  // records of ended jobs, after which the slack is not asked
+/// Share of the budget for writes from which on leftovers are removed.
+constexpr double kMinRemovalWriteSlack = 0.6;
+/// Records beyond what the live jobs account for, from which on leftovers are removed even while
+/// the budget for writes is short.
+constexpr std::size_t kMaxLeftovers = 1000;
 }  // namespace
 
 JobCleanup::JobCleanup(const Clock& clock, const Settings& settings, WatchCache& cache,
@@ -21,9 +25,9 @@
       autoscaler_(autoscaler) {}
 
 void JobCleanup::begin_term() {
-  ending_.clear();
+  end_commits_in_flight_.clear();
   unrecorded_since_.clear();
-  sweeping_ = false;
+  removal_in_flight_ = false;
 }
 
 void JobCleanup::run() {
@@ -35,46 +39,51 @@
     if (since < scaled(settings_.workers.cancel, kCancelledDeletionShare)) continue;
     delete_machines_of_cancelled(job_id);
   }
-  for (const JobId& job_id : candidates) end_if_over(job_id);
+  for (const JobId& job_id : candidates) end_if_finished(job_id);
   delete_unrecorded_machines();
-  sweep_leftovers();
+  remove_leftovers();
 }
 
 void JobCleanup::end_all_finished() {
   std::vector<JobId> jobs;
   for (const auto& [job_id, job] : cache_.records().jobs) jobs.push_back(job_id);
-  for (const JobId& job_id : jobs) end_if_over(job_id);
+  for (const JobId& job_id : jobs) end_if_finished(job_id);
 }
 
-void JobCleanup::end_if_over(const JobId& job_id) {
-  const auto& records = cache_.records();
-  const Versioned<JobRecord>& job = records.jobs.at(job_id);
-  std::uint32_t done = 0;
-  bool placed = false;
+void JobCleanup::end_if_finished(const JobId& job_id) {
+  const Versioned<JobRecord>& job = cache_.records().jobs.at(job_id);
+  if (is_finished(job_id, job)) commit_end(job_id, job);
+}
+
+bool JobCleanup::is_finished(const JobId& job_id, const Versioned<JobRecord>& job) const {
+  const auto& slices = cache_.records().slices;
+  std::uint32_t slices_done = 0;
+  bool any_placed = false;
   bool any_done = false;
-  for (auto it = records.slices.lower_bound({job_id, 0});
-       it != records.slices.end() && it->first.job_id == job_id; ++it) {
-    if (it->second.record.all_done()) ++done;
+  for (auto it = slices.lower_bound({job_id, 0}); it != slices.end() && it->first.job_id == job_id;
+       ++it) {
+    if (it->second.record.all_done()) ++slices_done;
     for (const TaskRecord& task : it->second.record.tasks) {
-      placed = placed || task.placed();
+      any_placed = any_placed || task.placed();
       any_done = any_done || task.state == TaskState::done;
     }
   }
-  // A gang completes together, but its slices are seen to end one by one, and what is lost after
-  // the first was done is never started again: it is over once nothing of it is placed.
+  if (job.record.cancelled) {
+    // This controller's own commit of the cancellation is in the copy before the watch has told
+    // what came before it: perhaps a binding of which the copy knows nothing yet.
+    const bool observed = cache_.revision().get() >= job.mod_revision.get();
+    if (observed && !any_placed) return true;
+  }
   const JobSpec& spec = job.record.spec;
-  // A standing job leaves by its cancellation alone.
-  const bool finished =
-      !spec.endless() && (done == slice_count(spec) || (spec.gang() && any_done && !placed));
-  // What this controller committed itself, as the cancellation, is here before the watch has told
-  // what came before it: a binding, perhaps, of which this copy knows nothing yet.
-  const bool known = cache_.revision().get() >= job.mod_revision.get();
-  const bool cancelled = job.record.cancelled && known && !placed;
-  if (finished || cancelled) commit_end(job_id, job);
+  // A service job ends by its cancellation alone.
+  if (spec.endless()) return false;
+  // A gang completes together, but its slices are seen to end one by one, and tasks that are lost
+  // after the first was done are never started again: it has ended once none of them is placed.
+  return slices_done == slice_count(spec) || (spec.gang() && any_done && !any_placed);
 }
 
 void JobCleanup::commit_end(const JobId& job_id, const Versioned<JobRecord>& job) {
-  if (!ending_.insert(job_id).second) return;
+  if (!end_commits_in_flight_.insert(job_id).second) return;
   FinalRecord record;
   record.job_id = job_id;
   record.state = job.record.cancelled ? FinalState::cancelled : FinalState::done;
@@ -89,15 +98,14 @@
   Transaction txn;
   election_.guard(txn);
   txn.guard(keys::job(job_id), job.mod_revision);
-  // Its slices and its grant are swept up afterwards.
+  // Its slices and its guarantee record are removed afterwards.
   txn.put(keys::final_job(job_id), encode(std::move(record), cache_.lasting_value_bytes()))
       .remove(keys::job(job_id));
   cache_.commit(RequestPriority::leader_commit, std::move(txn),
-                [this, job_id](const CommitResult&) { ending_.erase(job_id); });
+                [this, job_id](const CommitResult&) { end_commits_in_flight_.erase(job_id); });
 }
 
 void JobCleanup::delete_machines_of_cancelled(const JobId& job_id) {
-  // A cancelled task whose machine does not confirm its end: the machine is deleted in time.
   const auto& slices = cache_.records().slices;
   for (auto it = slices.lower_bound({job_id, 0}); it != slices.end() && it->first.job_id == job_id;
        ++it) {
@@ -109,7 +117,7 @@
 }
 
 void JobCleanup::delete_unrecorded_machines() {
-  // A task on a machine that no record knows: nobody could prove it gone but the cloud.
+  // Nobody but the cloud could prove a task gone on a machine without a record.
   const auto& records = cache_.records();
   const WallTime now = clock_.wall();
   std::set<MachineId> unrecorded;
@@ -125,36 +133,35 @@
                 [&](const auto& entry) { return !unrecorded.contains(entry.first); });
 }
 
-void JobCleanup::sweep_leftovers() {
-  // What is left of jobs that are over goes when there is budget to spare, or when it piles up.
+void JobCleanup::remove_leftovers() {
   const auto& records = cache_.records();
-  const std::size_t left = records.slices.size() + records.guarantee_records.size();
-  const bool piled_up = left >= 2 * records.jobs.size() + kMaxLeft;
-  if (sweeping_ || (cache_.write_slack() < kSweepSlack && !piled_up)) return;
-  // It is over, and not only unknown here.
-  const auto over = [&records](const JobId& job_id) {
+  const std::size_t live_and_left = records.slices.size() + records.guarantee_records.size();
+  const bool piled_up = live_and_left >= 2 * records.jobs.size() + kMaxLeftovers;
+  if (removal_in_flight_ || (cache_.write_slack() < kMinRemovalWriteSlack && !piled_up)) return;
+  // A job whose record this version can't read has not ended.
+  const auto has_ended = [&records](const JobId& job_id) {
     return !records.jobs.contains(job_id) && !records.unreadable.contains(keys::job(job_id));
   };
   Transaction txn;
   election_.guard(txn);
   for (const auto& [key, slice] : records.slices) {
     if (txn.deletes.size() >= cache_.max_operations()) break;
-    if (!over(key.job_id)) continue;
+    if (!has_ended(key.job_id)) continue;
     txn.guard(keys::job(key.job_id), ModRevision{});
     txn.guard(keys::slice(key.job_id, key.number), slice.mod_revision);
     txn.remove(keys::slice(key.job_id, key.number));
   }
   for (const auto& [job_id, guarantee_record] : records.guarantee_records) {
     if (txn.deletes.size() >= cache_.max_operations()) break;
-    if (!over(job_id)) continue;
+    if (!has_ended(job_id)) continue;
     txn.guard(keys::job(job_id), ModRevision{});
     txn.guard(keys::guarantee_record(job_id), guarantee_record.mod_revision)
         .remove(keys::guarantee_record(job_id));
   }
   if (txn.deletes.empty()) return;
-  sweeping_ = true;
+  removal_in_flight_ = true;
   cache_.commit(RequestPriority::record, std::move(txn),
-                [this](const CommitResult&) { sweeping_ = false; });
+                [this](const CommitResult&) { removal_in_flight_ = false; });
 }
 
 }  // namespace marblevale
--- a/src/leader/job_cleanup.hpp
+++ b/src/leader/job_cleanup.hpp
@@ -1,4 +1,5 @@
-// What the leader does about jobs that are over, and about tasks whose end nobody could prove.
+/// The leader's care for jobs that have ended and for machines with tasks that nobody can prove
+/// gone.
 #pragma once
 
 #include <map>
@@ -11,35 +12,38 @@
 
 namespace marblevale {
 
-/// Moves jobs that are over to their final records, asks for the deletion of machines that keep
-/// cancelled tasks or have no record, and removes what ended jobs leave behind. To be run while
-/// this controller leads; what it has on its way ends with the term.
+/// Moves ended jobs to their final records, has machines deleted that keep cancelled tasks or have
+/// no record, and removes the slices and guarantee records that ended jobs leave behind. Runs only
+/// while this controller leads; its commits are guarded by the term.
 class JobCleanup {
  public:
   JobCleanup(const Clock& clock, const Settings& settings, WatchCache& cache, Election& election,
              Autoscaler& autoscaler);
 
   void begin_term();
-  /// Once a round.
+  /// The part of each round: cancelled jobs, jobs of several slices, machines, and leftovers.
   void run();
-  /// Looks at every job, also at those that their holders' own commits usually end.
+  /// Looks at every job, also at those of one slice, which their holders usually end.
   void end_all_finished();
 
  private:
-  void end_if_over(const JobId& job_id);
+  void end_if_finished(const JobId& job_id);
+  [[nodiscard]] bool is_finished(const JobId& job_id, const Versioned<JobRecord>& job) const;
   void commit_end(const JobId& job_id, const Versioned<JobRecord>& job);
+  /// Has the machines deleted that do not confirm the end of a cancelled task.
   void delete_machines_of_cancelled(const JobId& job_id);
   void delete_unrecorded_machines();
-  void sweep_leftovers();
+  void remove_leftovers();
 
   const Clock& clock_;
   const Settings& settings_;
   WatchCache& cache_;
   Election& election_;
   Autoscaler& autoscaler_;
-  std::set<JobId> ending_;  // with a commit on its way
+  std::set<JobId> end_commits_in_flight_;
+  /// Since when a machine has had tasks, but no record.
   std::map<MachineId, WallTime> unrecorded_since_;
-  bool sweeping_ = false;
+  bool removal_in_flight_ = false;
 };
 
 }  // namespace marblevale
--- a/src/leader/open_releases.cpp
+++ b/src/leader/open_releases.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// After it the leader commits a release that it offered itself.
+/// Time that a holder has to bind an offer; then the leader commits the release itself.
 constexpr Duration kOfferTimeout{3'500};
-/// After a first refusal: the state service may be refusing this controller for a while. Doubled
-/// with each further one.
-constexpr Duration kRefusedPause{400};
-constexpr std::uint32_t kMaxPauseDoublings = 3;
+/// After a first refusal, since the state service may be refusing this controller for a while.
+/// Doubled with each further one.
+constexpr Duration kFirstRefusalBackoff{400};
+constexpr std::uint32_t kMaxBackoffDoublings = 3;
 /// Of the values of one transaction: its body may have 64 KiB, with keys and guards.
 constexpr std::size_t kMaxTransactionBytes = std::size_t{48} * 1024;
 
@@ -46,16 +46,16 @@
 
 }  // namespace
 
-const char* name_of(SettledBy reason) {
-  switch (reason) {
+const char* name_of(SettledBy evidence) {
+  switch (evidence) {
     case SettledBy::slice_revision:
-      return "the slice's revision";
+      return "slice_revision";
     case SettledBy::job_revision:
-      return "the job's revision";
+      return "job_revision";
     case SettledBy::answer:
-      return "its answer";
+      return "answer";
     case SettledBy::never_executed:
-      return "refusal of all that was sent";
+      return "never_executed";
   }
   return "?";
 }
@@ -92,14 +92,14 @@
 
 void OpenReleases::begin_term(ModRevision term) {
   if (term == term_) return;
-  if (!open_.empty()) spdlog::info("releases: {} open ones ended with their term", open_.size());
+  if (!open_.empty()) spdlog::info("releases: dropped_at_term_end open={}", open_.size());
   term_ = term;
   open_.clear();
   by_slice_.clear();
 }
 
-OpenReleases::Release OpenReleases::make(const SliceChangeRequest& request,
-                                         const Records& records) {
+OpenReleases::Release OpenReleases::make_release(const SliceChangeRequest& request,
+                                                 const Records& records) {
   Release release;
   release.kind = request.kind;
   release.is_step = request.is_step;
@@ -123,36 +123,57 @@
 }
 
 ReleaseId OpenReleases::add(const SliceChangeRequest& request, const Records& records) {
-  return insert(make(request, records));
+  return insert(make_release(request, records));
 }
 
 ReleaseId OpenReleases::add_offer(const SliceChangeRequest& request, const Records& records,
                                   const NodeId& holder, SteadyTime now) {
-  Release release = make(request, records);
+  Release release = make_release(request, records);
   release.state = State::offered;
   release.holder = holder;
   release.offer_open = true;
-  release.since = now;
-  release.next_at = now + kOfferTimeout;
+  release.open_since = now;
+  release.deadline = now + kOfferTimeout;
   return insert(std::move(release));
 }
 
-void OpenReleases::transition(ReleaseId id, Release& release, State next, const char* why) {
-  // What has no answer is worth a line or two; the ordinary way of a release is not, at thousands
-  // of them, nor are the many repeats of a long outage.
-  const bool notable = release.commit_open && release.repeats <= 1;
+const char* OpenReleases::trigger_name(Trigger trigger) {
+  switch (trigger) {
+    case Trigger::sent:
+      return "sent";
+    case Trigger::retried:
+      return "retried";
+    case Trigger::committed:
+      return "committed";
+    case Trigger::guard_failed:
+      return "guard_failed";
+    case Trigger::no_answer:
+      return "no_answer";
+    case Trigger::commit_refused:
+      return "commit_refused";
+    case Trigger::offer_declined:
+      return "offer_declined";
+  }
+  return "?";
+}
+
+void OpenReleases::transition(ReleaseId id, Release& release, State next, Trigger trigger) {
+  // A commit without an answer is worth a line or two. The thousands of releases that are answered
+  // at once are not, nor are the many retries of a long outage.
+  const bool notable = release.commit_open && release.retries <= 1;
   const auto level = notable ? spdlog::level::info : spdlog::level::debug;
-  const GuardedSlice& first = release.slices.front();
-  spdlog::log(level, "releases: {} {} of {}/{}: {} -> {} ({})", name_of(release.kind), id.get(),
-              first.key.job_id.get(), first.key.number, name_of(release.state), name_of(next), why);
+  const SliceKey& first = release.slices.front().key;
+  spdlog::log(level, "releases: state_changed id={} kind={} slice={}/{} from={} to={} trigger={}",
+              id.get(), name_of(release.kind), first.job_id.get(), first.number,
+              name_of(release.state), name_of(next), trigger_name(trigger));
   release.state = next;
 }
 
 Transaction OpenReleases::mark_sent(ReleaseId id, const RecordSize& size) {
   Release& release = open_.at(id);
-  const bool repeated = release.commit_open || release.offer_open;
-  if (repeated) ++release.repeats;
-  transition(id, release, State::sent, repeated ? "sent again" : "sent");
+  const bool retried = release.commit_open || release.offer_open;
+  if (retried) ++release.retries;
+  transition(id, release, State::sent, retried ? Trigger::retried : Trigger::sent);
   Transaction txn = release.txn;
   for (const GuardedSlice& slice : release.slices) {
     const std::string key = keys::slice(slice.key.job_id, slice.key.number);
@@ -170,35 +191,35 @@
   switch (result.outcome) {
     case Outcome::done:
     case Outcome::conflict:
-      release.answer_at = result.revision;
+      release.answer_revision = result.revision;
       transition(id, release, State::answered,
-                 result.outcome == Outcome::done ? "committed" : "a guard failed");
+                 result.outcome == Outcome::done ? Trigger::committed : Trigger::guard_failed);
       return;
     case Outcome::unknown:
       release.commit_open = true;
-      if (!release.since) release.since = now;
-      release.next_at = now;
+      if (!release.open_since) release.open_since = now;
+      release.deadline = now;
       release.refusals = 0;
-      transition(id, release, State::unknown, "no answer");
+      transition(id, release, State::unknown, Trigger::no_answer);
       return;
     case Outcome::refused:
     case Outcome::lease_expired:
-      refuse(id, release, "the commit was refused", now);
+      refuse(id, release, Trigger::commit_refused, now);
       return;
   }
 }
 
-void OpenReleases::refuse(ReleaseId id, Release& release, const char* why, SteadyTime now) {
+void OpenReleases::refuse(ReleaseId id, Release& release, Trigger trigger, SteadyTime now) {
   if (release.offer_open) {
-    // The holder may be about to bind it; where writes are short, quick repeats only lengthen the
+    // The holder may be about to bind it; where writes are short, quick retries only lengthen the
     // queue.
-    release.next_at = now + kOfferTimeout;
+    release.deadline = now + kOfferTimeout;
   } else {
-    const std::uint32_t doublings = std::min(release.refusals++, kMaxPauseDoublings);
-    release.next_at = now + scaled(kRefusedPause, static_cast<double>(1U << doublings));
+    const std::uint32_t doublings = std::min(release.refusals++, kMaxBackoffDoublings);
+    release.deadline = now + scaled(kFirstRefusalBackoff, static_cast<double>(1U << doublings));
   }
   const bool open = release.offer_open || release.commit_open || release.is_step;
-  transition(id, release, open ? State::unknown : State::refused, why);
+  transition(id, release, open ? State::unknown : State::refused, trigger);
 }
 
 void OpenReleases::on_offer_declined(ReleaseId id, SteadyTime now) {
@@ -208,7 +229,7 @@
   release.offer_open = false;
   // A commit that followed the offer decides by its own answer.
   if (release.state == State::sent || release.state == State::answered) return;
-  refuse(id, release, "the offer was declined", now);
+  refuse(id, release, Trigger::offer_declined, now);
 }
 
 std::optional<SettledBy> OpenReleases::settled_by(const Release& release, const WatchCache& cache,
@@ -228,8 +249,9 @@
       return SettledBy::job_revision;
     }
   }
-  if (release.answer_at && cache.revision() >= *release.answer_at) return SettledBy::answer;
-  if (release.state == State::refused && now >= release.next_at) return SettledBy::never_executed;
+  if (release.answer_revision && cache.revision() >= *release.answer_revision)
+    return SettledBy::answer;
+  if (release.state == State::refused && now >= release.deadline) return SettledBy::never_executed;
   return std::nullopt;
 }
 
@@ -239,16 +261,12 @@
   if (cache.state() != WatchCache::State::following) return settled;
   for (auto it = open_.begin(); it != open_.end();) {
     const Release& release = it->second;
-    const auto reason = settled_by(release, cache, now);
-    if (!reason) {
+    const auto evidence = settled_by(release, cache, now);
+    if (!evidence) {
       ++it;
       continue;
     }
-    const auto level = release.commit_open ? spdlog::level::info : spdlog::level::debug;
-    const SliceKey& first = release.slices.front().key;
-    spdlog::log(level, "releases: {} {} of {}/{} settled by {} after {} repeats",
-                name_of(release.kind), it->first.get(), first.job_id.get(), first.number,
-                name_of(*reason), release.repeats);
+    log_settled(it->first, release, *evidence);
     for (const GuardedSlice& slice : release.slices) {
       settled.push_back(slice.key);
       by_slice_.erase(slice.key);
@@ -258,11 +276,19 @@
   return settled;
 }
 
-std::vector<ReleaseId> OpenReleases::due(SteadyTime now) const {
+void OpenReleases::log_settled(ReleaseId id, const Release& release, SettledBy evidence) {
+  const auto level = release.commit_open ? spdlog::level::info : spdlog::level::debug;
+  const SliceKey& first = release.slices.front().key;
+  spdlog::log(level, "releases: settled id={} kind={} slice={}/{} by={} retries={}", id.get(),
+              name_of(release.kind), first.job_id.get(), first.number, name_of(evidence),
+              release.retries);
+}
+
+std::vector<ReleaseId> OpenReleases::retry_due(SteadyTime now) const {
   std::vector<ReleaseId> out;
   for (const auto& [id, release] : open_) {
     const bool waits = release.state == State::offered || release.state == State::unknown;
-    if (waits && now >= release.next_at) out.push_back(id);
+    if (waits && now >= release.deadline) out.push_back(id);
   }
   return out;
 }
@@ -290,16 +316,16 @@
   return open_.at(id->second).state;
 }
 
-std::vector<SliceKey> OpenReleases::unsettled_for(Duration least, SteadyTime now) const {
+std::vector<SliceKey> OpenReleases::unsettled_for(Duration min_time, SteadyTime now) const {
   std::vector<SliceKey> out;
   for (const auto& [id, release] : open_) {
-    if (!release.since || now - *release.since < least) continue;
+    if (!release.open_since || now - *release.open_since < min_time) continue;
     for (const GuardedSlice& slice : release.slices) out.push_back(slice.key);
   }
   return out;
 }
 
-std::size_t OpenReleases::offers() const {
+std::size_t OpenReleases::open_offers() const {
   return static_cast<std::size_t>(std::count_if(open_.begin(), open_.end(), [](const auto& entry) {
     const Release& release = entry.second;
     return release.state == State::offered ||
@@ -307,7 +333,7 @@
   }));
 }
 
-std::size_t OpenReleases::offers_to(const NodeId& holder) const {
+std::size_t OpenReleases::open_offers_to(const NodeId& holder) const {
   return static_cast<std::size_t>(std::count_if(open_.begin(), open_.end(), [&](const auto& entry) {
     return entry.second.state == State::offered && entry.second.holder == holder;
   }));
--- a/src/leader/quota_waits.cpp
+++ b/src/leader/quota_waits.cpp
@@ -17,7 +17,8 @@
   Resources resources;
 };
 
-std::map<TeamId, UnsettledUse> unsettled_use_by_team(const Records& records, const TeamUsage& usage,
+std::map<TeamId, UnsettledUse> unsettled_use_by_team(const Records& records,
+                                                     const TeamQuotaUsage& usage,
                                                      const std::vector<SliceKey>& unsettled) {
   std::map<TeamId, UnsettledUse> by_team;
   for (const SliceKey& key : unsettled) {
@@ -34,7 +35,7 @@
 
 std::vector<QuotaWait> find_quota_waits(const std::vector<QueueItem>& queue,
                                         const Settings& settings, const Records& records,
-                                        const TeamUsage& usage,
+                                        const TeamQuotaUsage& usage,
                                         const std::vector<SliceKey>& unsettled,
                                         std::size_t max_waits) {
   std::vector<QuotaWait> waits;
--- a/src/leader/quota_waits.hpp
+++ b/src/leader/quota_waits.hpp
@@ -11,7 +11,7 @@
 #include "config/settings.hpp"
 #include "leader/guarantee_writer.hpp"
 #include "leader/releaser.hpp"
-#include "leader/team_usage.hpp"
+#include "leader/team_quota_usage.hpp"
 #include "scheduling/planner.hpp"
 
 namespace marblevale {
@@ -27,7 +27,7 @@
 /// Pure.
 std::vector<QuotaWait> find_quota_waits(const std::vector<QueueItem>& queue,
                                         const Settings& settings, const Records& records,
-                                        const TeamUsage& usage,
+                                        const TeamQuotaUsage& usage,
                                         const std::vector<SliceKey>& unsettled,
                                         std::size_t max_waits);
 
--- a/src/leader/releaser.cpp
+++ b/src/leader/releaser.cpp
@@ -45,7 +45,7 @@
   return stored == nullptr ? nullptr : &stored->record;
 }
 
-const TeamUsage& Releaser::usage() {
+const TeamQuotaUsage& Releaser::usage() {
   usage_.sync(cache_.records(), open_);
   return usage_;
 }
@@ -53,7 +53,7 @@
 void Releaser::settle_and_retry_due() {
   const SteadyTime now = clock_.steady();
   for (const SliceKey& key : open_.settle(cache_, now)) usage_.mark_dirty(key);
-  for (const ReleaseId id : open_.due(now)) {
+  for (const ReleaseId id : open_.retry_due(now)) {
     const bool offer_timed_out = open_.state(id) == OpenReleases::State::offered;
     metrics_.count(offer_timed_out ? "offers without an answer" : "releases sent again");
     send(id);
@@ -65,7 +65,7 @@
 }
 
 bool Releaser::short_of_writes() const {
-  return cache_.write_slack() <= kShortWriteSlack || open_.offers() >= kManyOpenOffers;
+  return cache_.write_slack() <= kShortWriteSlack || open_.open_offers() >= kManyOpenOffers;
 }
 
 void Releaser::mark_slices_dirty(const SliceChangeRequest& request) {
@@ -73,7 +73,7 @@
 }
 
 void Releaser::send(ReleaseId id) {
-  cache_.commit(binding_priority(cache_.records(), open_.job_of(id)),
+  cache_.commit(binding_priority(cache_.records(), open_.job_id_of(id)),
                 open_.mark_sent(id, cache_.record_size()), [this, id](const CommitResult& result) {
                   open_.on_commit_answer(id, result, clock_.steady());
                   events_.change_answered();
@@ -117,7 +117,7 @@
     const Start selected = short_of_writes() ? restrict_to_largest_zone(start, planner) : start;
     for (const Start& piece : split_by_slice(selected)) {
       const auto holder = common_holder(piece, planner);
-      if (holder && open_.offers_to(*holder) >= kMaxOffersToHolder) continue;
+      if (holder && open_.open_offers_to(*holder) >= kMaxOffersToHolder) continue;
       release(piece, planner);
     }
   }
--- a/src/leader/releaser.hpp
+++ b/src/leader/releaser.hpp
@@ -20,7 +20,7 @@
 #include "config/settings.hpp"
 #include "election/election.hpp"
 #include "leader/open_releases.hpp"
-#include "leader/team_usage.hpp"
+#include "leader/team_quota_usage.hpp"
 #include "peers/offers.hpp"
 #include "scheduling/planner.hpp"
 #include "store/watch_cache.hpp"
@@ -65,7 +65,7 @@
   /// The slice as the open changes would leave it, or else as it is recorded.
   [[nodiscard]] const SliceRecord* current(const JobId& job_id, std::uint32_t number) const;
   /// What the teams use of their quotas now.
-  const TeamUsage& usage();
+  const TeamQuotaUsage& usage();
 
  private:
   /// False for a small part of an array, which is better released together with others later.
@@ -101,7 +101,7 @@
   ReleaserEvents events_;
   OfferChannel* channel_ = nullptr;
   OpenReleases open_;
-  TeamUsage usage_;
+  TeamQuotaUsage usage_;
   std::unordered_map<JobId, SteadyTime> last_release_;  // of arrays that still wait
   SteadyTime last_quota_log_ = kLongAgo;
 };
--- a/src/leader/scale_out_planner.hpp
+++ b/src/leader/scale_out_planner.hpp
@@ -1,4 +1,4 @@
-// Which waiting work is worth renting machines for, as a round's plan shows it.
+/// Decides which waiting work is worth scaling out for, from the plan of a round.
 #pragma once
 
 #include <map>
@@ -14,37 +14,41 @@
 
 namespace marblevale {
 
-/// Tells the cluster which demands a round left unmet, and which machines the plan has a use for.
-/// Owns the pace at which that is done, since laying out the queue anew is dear.
+/// Tells the autoscaler which demands a round left unmet, and which machines the plan has a use
+/// for. Runs at intervals of its own, since to lay out the queue again is expensive.
 class ScaleOutPlanner {
  public:
   ScaleOutPlanner(Metrics& metrics, const Clock& clock, const Settings& settings,
                   Autoscaler& autoscaler);
 
   [[nodiscard]] bool due() const;
+  /// Passes unmet demands, the machines in use and what the teams may still use to the autoscaler.
   void plan(const Planner& planner, const Reservations& reservations);
 
  private:
-  /// A waiting job, and the plan that it would get; none: no machine can take it.
+  /// The waiting jobs, each with the plan that it would get; none: no machine can take it.
   using Outlook = std::vector<std::pair<const QueueItem*, std::optional<Plan>>>;
 
   [[nodiscard]] static Outlook outlook(const Planner& planner, const Reservations& reservations);
+  /// Machines on which a reserved task starts so soon that they must not be returned.
   [[nodiscard]] std::set<MachineId> machines_in_use(const Reservations& reservations,
                                                     WallTime now) const;
   [[nodiscard]] bool worth_scaling_out_for(const QueueItem& item) const;
-  /// `coming`: machines that were rented are still to come up.
-  [[nodiscard]] static std::optional<UnmetDemand> unmet(const QueueItem& item,
-                                                        const std::optional<Plan>& plan,
-                                                        const Profile& profile, bool coming,
-                                                        WallTime now);
+  /// The job's tasks that would start too late, if there are any and the team's quota lets them
+  /// start. `machines_booting`: provisioned machines are still to come up.
+  [[nodiscard]] static std::optional<UnmetDemand> unmet_demand(const QueueItem& item,
+                                                               const std::optional<Plan>& plan,
+                                                               const Profile& profile,
+                                                               bool machines_booting, WallTime now);
+  /// What each team's quota leaves beside its running tasks.
   [[nodiscard]] std::map<TeamId, Resources> team_resources(const Profile& profile) const;
 
   Metrics& metrics_;
   const Clock& clock_;
   const Settings& settings_;
   Autoscaler& autoscaler_;
-  SteadyTime last_ = kLongAgo;
-  Duration took_{};
+  SteadyTime last_run_ = kLongAgo;
+  Duration last_run_took_{};
 };
 
 }  // namespace marblevale
--- a/src/leader/shard_assigner.hpp
+++ b/src/leader/shard_assigner.hpp
@@ -1,7 +1,17 @@
-// The leader's leasing of machine shards: one shard per zone, by default to the zone's controller.
+/// The leader's assignment of shards to controllers.
+///
+/// A shard is the machines of one zone. Its holder should be a controller of that zone, its home
+/// node, so that the machines of a zone that is cut off still have their holder. The leader assigns
+/// a shard elsewhere when its home node is dead, or when workers of the zone reach another
+/// controller in place of the holder (misrouted heartbeats). After such a move for cause the shard
+/// is absent: it stays away from its home node for a time that doubles with each relapse.
+///
+/// The assignment is a compare-and-swap on the shard's record under the leader's term. Its new
+/// revision fences the former holder.
 #pragma once
 
 #include <map>
+#include <optional>
 #include <set>
 
 #include "config/settings.hpp"
@@ -15,32 +25,55 @@
   ShardAssigner(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
                 Election& election);
 
+  /// Starts the timer. Nothing is assigned while this controller does not lead.
   void begin();
-  /// `witness` keeps getting reports from workers of the zone that can't reach the holder.
+  /// The controller `witness` keeps getting heartbeats from workers of the zone that can't reach
+  /// the shard's holder.
   void note_misrouted_heartbeat(const ZoneId& zone, const NodeId& witness);
 
  private:
-  void tick();
-  [[nodiscard]] std::optional<NodeId> choose(const ZoneId& zone, const ShardRecord* held);
-  [[nodiscard]] std::optional<NodeId> home(const ZoneId& zone, const ShardRecord* held) const;
+  struct MisroutedHeartbeat {
+    NodeId witness;
+    SteadyTime noted_at;
+  };
+  /// Since when this leader has seen the controller alive, in one incarnation.
+  struct NodeLife {
+    ProcessIncarnation incarnation;
+    SteadyTime alive_since;
+  };
+  /// For how long a shard stays away from its home node after a move for cause.
+  struct Absence {
+    SteadyTime since;
+    Duration length{};
+  };
+
+  void reconcile();
+  void begin_term();
+  void track_live_nodes();
+  void assign(const ZoneId& zone);
+  void commit_assignment(const ZoneId& zone, const Versioned<ShardRecord>* current,
+                         const NodeId& holder, ProcessIncarnation incarnation, LeaseId lease);
+
+  /// The controller that should hold the zone's shard; none when none is alive.
+  [[nodiscard]] std::optional<NodeId> choose_holder(const ZoneId& zone, const ShardRecord* held);
+  /// The witness of recent misrouted heartbeats, if the shard is to move to it.
+  std::optional<NodeId> take_witness(const ZoneId& zone, const ShardRecord* held, SteadyTime now);
+  [[nodiscard]] std::optional<NodeId> home_node(const ZoneId& zone, const ShardRecord* held) const;
+  [[nodiscard]] bool is_absent(const ZoneId& zone, SteadyTime now) const;
+  void begin_absence(const ZoneId& zone, SteadyTime now);
+  /// The live controller that holds the fewest other shards.
+  [[nodiscard]] std::optional<NodeId> least_loaded_node(const ZoneId& zone) const;
 
   const Clock& clock_;
   const Settings& settings_;
   WatchCache& cache_;
   Election& election_;
-  ModRevision term_;  // that the following is of
-  SteadyTime charge_since_{};
-  std::map<NodeId, std::pair<ProcessIncarnation, SteadyTime>> alive_since_;
-  std::map<ZoneId, std::pair<NodeId, SteadyTime>> misrouted_heartbeats_;
-  /// A shard that was moved since its holder did not get its workers' reports: not home again for a
-  /// while, and for longer each time.
-  struct Absence {
-    SteadyTime since;
-    Duration length{};
-  };
-  void note_absence(const ZoneId& zone, SteadyTime now);
+  ModRevision term_;  // of which `leading_since_` and `node_lives_` are
+  SteadyTime leading_since_{};
+  std::map<NodeId, NodeLife> node_lives_;
+  std::map<ZoneId, MisroutedHeartbeat> misrouted_heartbeats_;
   std::map<ZoneId, Absence> absences_;
-  std::set<ZoneId> busy_;
+  std::set<ZoneId> commits_in_flight_;
   Timer timer_;
 };
 
--- a/src/leader/starvation_check.cpp
+++ b/src/leader/starvation_check.cpp
@@ -8,13 +8,17 @@
 
 namespace {
 
-constexpr Duration kInterval{10'000};
-constexpr Duration kStarvedAfter{30'000};  // of waiting: no job may wait for 90 s beside free room
-constexpr Duration kConfirmTime{15'000};   // from the first check that finds it to the word of it
-constexpr Duration kLogInterval{60'000};   // between two words of one job
-constexpr Duration kMachineOutOfUse{60'000};
-constexpr std::size_t kMaxStarved = 32;
-constexpr Duration kUnsettledFor{5'000};  // a release: then it is a cause
+constexpr Duration kCheckInterval{10'000};
+/// Waiting time from which on a job counts as starved: none may wait for 90 s beside free room.
+constexpr Duration kMinStarvedWait{30'000};
+/// From the check that finds a job first to its log line: it may be about to start.
+constexpr Duration kConfirmTime{15'000};
+constexpr Duration kLogInterval{60'000};  // for one job
+/// Time out of use from which on a machine's room is looked at all the same.
+constexpr Duration kMinOutOfUse{60'000};
+constexpr std::size_t kMaxStarvedJobs = 32;
+/// Time without a definite answer from which on a release is given as the cause.
+constexpr Duration kMinUnsettledTime{5'000};
 
 }  // namespace
 
@@ -22,29 +26,28 @@
                                  const WatchCache& cache, const Releaser& releaser)
     : clock_(clock), settings_(settings), cache_(cache), releaser_(releaser) {}
 
-bool StarvationCheck::due() const { return clock_.steady() - last_run_ >= kInterval; }
+bool StarvationCheck::due() const { return clock_.steady() - last_run_ >= kCheckInterval; }
 
 bool StarvationCheck::run(const Planner& planner, const Reservations& reservations,
                           const std::set<ZoneId>& unreachable_zones) {
   last_run_ = clock_.steady();
   const Round round{planner, reservations, unreachable_zones};
-  const auto found = find_starved(cache_.records(), settings_, clock_.wall(), kStarvedAfter,
-                                  kMachineOutOfUse, kMaxStarved);
-  std::set<JobId> still;
+  const auto found = find_starved(cache_.records(), settings_, clock_.wall(), kMinStarvedWait,
+                                  kMinOutOfUse, kMaxStarvedJobs);
+  std::set<JobId> still_starved;
   bool profile_is_wrong = false;
   for (const StarvedJob& job : found) {
-    still.insert(job.job_id);
-    Since& since = waiting_.try_emplace(job.job_id, Since{last_run_, {}}).first->second;
-    // Found once, it may be about to start.
-    if (last_run_ - since.first < kConfirmTime) continue;
-    if (last_run_ - since.last_logged_at < kLogInterval) continue;
-    since.last_logged_at = last_run_;
+    still_starved.insert(job.job_id);
+    Waiting& waiting = waiting_.try_emplace(job.job_id, Waiting{last_run_, {}}).first->second;
+    if (last_run_ - waiting.first_found_at < kConfirmTime) continue;
+    if (last_run_ - waiting.last_logged_at < kLogInterval) continue;
+    waiting.last_logged_at = last_run_;
     const Cause cause = explain(job, round);
-    spdlog::warn("granting: {} has waited for {} s, though {} has room for it: {}",
-                 job.job_id.get(), whole_seconds(job.waited), job.machine_id.get(), cause.what);
+    spdlog::warn("leader: job_starved job={} waited_s={} free_machine={} cause=\"{}\"",
+                 job.job_id.get(), whole_seconds(job.waited), job.machine_id.get(), cause.text);
     profile_is_wrong = profile_is_wrong || cause.profile_is_wrong;
   }
-  std::erase_if(waiting_, [&](const auto& entry) { return !still.contains(entry.first); });
+  std::erase_if(waiting_, [&](const auto& entry) { return !still_starved.contains(entry.first); });
   return profile_is_wrong;
 }
 
@@ -55,7 +58,7 @@
   if (machine != machines.end() && round.unreachable_zones.contains(machine->second.record.zone)) {
     return {"its zone is out of reach"};
   }
-  if (const auto cause = unsettled_release(job)) return *cause;
+  if (const auto cause = find_unsettled_release(job)) return *cause;
   const auto& queue = round.planner.queue();
   const auto item = std::find_if(queue.begin(), queue.end(),
                                  [&](const QueueItem& i) { return i.job_id == job.job_id; });
@@ -64,7 +67,7 @@
   return explain_by_profile(job, *item, round);
 }
 
-std::optional<StarvationCheck::Cause> StarvationCheck::unsettled_release(
+std::optional<StarvationCheck::Cause> StarvationCheck::find_unsettled_release(
     const StarvedJob& job) const {
   const Records& records = cache_.records();
   const OpenReleases& open = releaser_.open();
@@ -75,7 +78,7 @@
     return Cause{*state == OpenReleases::State::offered ? "an offer has not been settled"
                                                         : "a release has not been settled"};
   }
-  for (const SliceKey& key : open.unsettled_for(kUnsettledFor, clock_.steady())) {
+  for (const SliceKey& key : open.unsettled_for(kMinUnsettledTime, clock_.steady())) {
     const JobRecord* other = records.job(key.job_id);
     if (other != nullptr && other->spec.team == spec.team) {
       return Cause{"a release of its team has not been settled"};
--- a/src/leader/starvation_check.hpp
+++ b/src/leader/starvation_check.hpp
@@ -1,8 +1,11 @@
-// The leader's regular look for jobs that wait beside a machine that fits: logs each with its
-// cause, and tells whether the profile is what keeps it waiting.
+/// The leader's regular check for starvation: jobs that wait although a machine has room for them.
+///
+/// `find_starved` finds them by the records alone. Each is logged with what keeps it waiting. Where
+/// the records show no reason, the planner's profile must be wrong, and the leader rebuilds it.
 #pragma once
 
 #include <map>
+#include <optional>
 #include <set>
 #include <string>
 
@@ -17,6 +20,7 @@
   StarvationCheck(const Clock& clock, const Settings& settings, const WatchCache& cache,
                   const Releaser& releaser);
 
+  /// Forgets what an earlier term has found.
   void begin_term() { waiting_.clear(); }
   [[nodiscard]] bool due() const;
   /// True when a job waits for no reason that the records show: the profile has gone wrong.
@@ -24,12 +28,14 @@
            const std::set<ZoneId>& unreachable_zones);
 
  private:
+  /// What keeps a job waiting.
   struct Cause {
-    std::string what;
-    bool profile_is_wrong = false;  // what is said is no reason by the records
+    std::string text;
+    /// The cause lies in the planner's profile: the records show no reason.
+    bool profile_is_wrong = false;
   };
-  struct Since {
-    SteadyTime first;
+  struct Waiting {
+    SteadyTime first_found_at;
     SteadyTime last_logged_at;
   };
   /// What the check looks at, beside the records.
@@ -39,7 +45,7 @@
     const std::set<ZoneId>& unreachable_zones;
   };
   [[nodiscard]] Cause explain(const StarvedJob& job, const Round& round) const;
-  [[nodiscard]] std::optional<Cause> unsettled_release(const StarvedJob& job) const;
+  [[nodiscard]] std::optional<Cause> find_unsettled_release(const StarvedJob& job) const;
   [[nodiscard]] Cause explain_by_profile(const StarvedJob& job, const QueueItem& item,
                                          const Round& round) const;
 
@@ -48,7 +54,7 @@
   const WatchCache& cache_;
   const Releaser& releaser_;
   SteadyTime last_run_{};
-  std::map<JobId, Since> waiting_;
+  std::map<JobId, Waiting> waiting_;
 };
 
 }  // namespace marblevale
--- a/src/leader/team_usage.cpp
+++ b/src/leader/team_quota_usage.cpp
@@ -1,4 +1,4 @@
-#include "leader/team_usage.hpp"
+#include "leader/team_quota_usage.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -11,7 +11,7 @@
   return slice != nullptr && index < slice->tasks.size() && slice->tasks[index].placed();
 }
 
-/// A task counts if any version of its slice that may be there has it placed.
+/// Counts a task if it is placed in any version of its slice that the state service may have.
 std::size_t count_placed(const SliceRecord* stored, const SliceRecord* open) {
   const std::size_t size = std::max(stored == nullptr ? 0 : stored->tasks.size(),
                                     open == nullptr ? 0 : open->tasks.size());
@@ -24,32 +24,33 @@
 
 }  // namespace
 
-void TeamUsage::sync(const Records& records, const OpenReleases& open) {
+void TeamQuotaUsage::sync(const Records& records, const OpenReleases& open) {
   if (std::exchange(all_dirty_, false)) {
     by_slice_.clear();
     by_team_.clear();
-    of_unreadable_jobs_.clear();
+    slices_of_unreadable_jobs_.clear();
     for (const auto& [key, slice] : records.slices) dirty_.insert(key);
     for (const auto& [key, slice] : open.slices()) dirty_.insert(key);
   }
-  for (const SliceKey& key : dirty_) count(key, records, open);
+  for (const SliceKey& key : dirty_) count_slice(key, records, open);
   dirty_.clear();
 }
 
-void TeamUsage::count(const SliceKey& key, const Records& records, const OpenReleases& open) {
+void TeamQuotaUsage::count_slice(const SliceKey& key, const Records& records,
+                                 const OpenReleases& open) {
   if (const auto old = by_slice_.find(key); old != by_slice_.end()) {
     Resources& team = by_team_[old->second.team];
     team = team - old->second.resources;
     by_slice_.erase(old);
   }
-  of_unreadable_jobs_.erase(key);
+  slices_of_unreadable_jobs_.erase(key);
   const auto* stored = records.slice(key.job_id, key.number);
   const JobRecord* job = records.job(key.job_id);
   std::size_t placed = count_placed(stored == nullptr ? nullptr : &stored->record, open.slice(key));
   if (job == nullptr) {
-    // The slices of a job that is over stay for a while; its tasks are proven gone.
+    // The slices of a job that has ended stay for a while; its tasks are proven gone.
     if (placed > 0 && records.unreadable.contains(keys::job(key.job_id))) {
-      of_unreadable_jobs_.insert(key);
+      slices_of_unreadable_jobs_.insert(key);
     }
     return;
   }
@@ -62,12 +63,12 @@
   by_team_[job->spec.team] += resources;
 }
 
-Resources TeamUsage::used_by(const TeamId& team) const {
+Resources TeamQuotaUsage::used_by(const TeamId& team) const {
   const auto it = by_team_.find(team);
   return it == by_team_.end() ? Resources{} : it->second;
 }
 
-Resources TeamUsage::used_by(const SliceKey& key) const {
+Resources TeamQuotaUsage::used_by(const SliceKey& key) const {
   const auto it = by_slice_.find(key);
   return it == by_slice_.end() ? Resources{} : it->second.resources;
 }
--- a/tests/open_releases_test.cpp
+++ b/tests/open_releases_test.cpp
@@ -3,7 +3,7 @@
 
 #include "helpers.hpp"
 #include "leader/quota_waits.hpp"
-#include "leader/team_usage.hpp"
+#include "leader/team_quota_usage.hpp"
 #include "scripted_store.hpp"
 
 namespace marblevale {
@@ -85,7 +85,8 @@
   answer(id, Outcome::unknown);
   for (int i = 0; i < 20; ++i) {
     time_.advance(Duration{5'000});
-    ASSERT_EQ(releases_.due(time_.steady()), std::vector<ReleaseId>{id}) << "it is sent again";
+    ASSERT_EQ(releases_.retry_due(time_.steady()), std::vector<ReleaseId>{id})
+        << "it is sent again";
     releases_.mark_sent(id, RecordSize{});
     answer(id, Outcome::refused);
     ASSERT_TRUE(open_after(Duration{0}));
@@ -102,7 +103,7 @@
     releases_.mark_sent(id, RecordSize{});
     answer(id, Outcome::refused);
     const SteadyTime begin = time_.steady();
-    while (releases_.due(time_.steady()).empty()) time_.advance(Duration{100});
+    while (releases_.retry_due(time_.steady()).empty()) time_.advance(Duration{100});
     pauses.push_back((time_.steady() - begin).count());
   }
   EXPECT_EQ(pauses, (std::vector<std::int64_t>{400, 800, 1'600, 3'200, 3'200, 3'200}));
@@ -168,9 +169,9 @@
 TEST_F(OpenReleasesTest, AnOfferIsCommittedWhenItIsNotBoundInTime) {
   const ReleaseId id = offered();
   EXPECT_TRUE(open_after(Duration{3'000}));
-  EXPECT_TRUE(releases_.due(time_.steady()).empty());
+  EXPECT_TRUE(releases_.retry_due(time_.steady()).empty());
   EXPECT_TRUE(open_after(Duration{600}));
-  ASSERT_EQ(releases_.due(time_.steady()), std::vector<ReleaseId>{id});
+  ASSERT_EQ(releases_.retry_due(time_.steady()), std::vector<ReleaseId>{id});
   releases_.mark_sent(id, RecordSize{});
   answer(id, Outcome::refused);
   EXPECT_TRUE(open_after(Duration{60'000})) << "the holder may still bind it";
@@ -204,7 +205,7 @@
     usage_.mark_dirty(kKey);
   }
 
-  TeamUsage usage_;
+  TeamQuotaUsage usage_;
 };
 
 TEST_F(TeamUsageTest, CountsRecordsAndOpenReleases) {
