--- a/src/leader/guarantee_writer.hpp
+++ b/src/leader/guarantee_writer.hpp
@@ -15,6 +15,7 @@
 
 namespace marblevale {
 
+/// Collects notes and changed guarantees, and commits at most one batch at a time.
 class GuaranteeWriter {
  public:
   GuaranteeWriter(const Clock& clock, WatchCache& cache, Election& election);
--- a/src/leader/job_cleanup.hpp
+++ b/src/leader/job_cleanup.hpp
@@ -20,6 +20,7 @@
   JobCleanup(const Clock& clock, const Settings& settings, WatchCache& cache, Election& election,
              Autoscaler& autoscaler);
 
+  /// Forgets commits that are in flight under an earlier term.
   void begin_term();
   /// The part of each round: cancelled jobs, jobs of several slices, machines, and leftovers.
   void run();
--- a/src/leader/leader_loop.hpp
+++ b/src/leader/leader_loop.hpp
@@ -30,6 +30,7 @@
 
 namespace marblevale {
 
+/// Owns the modules of a round and runs them in their order, each round on the loop's timer.
 class LeaderLoop {
  public:
   LeaderLoop(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
--- a/src/leader/machine_evacuator.hpp
+++ b/src/leader/machine_evacuator.hpp
@@ -8,6 +8,7 @@
 
 namespace marblevale {
 
+/// Runs in each round, before planning, so that what it stops is planned elsewhere early.
 class MachineEvacuator {
  public:
   MachineEvacuator(const Clock& clock, const WatchCache& cache, Releaser& releaser,
--- a/src/leader/planning_state.hpp
+++ b/src/leader/planning_state.hpp
@@ -13,6 +13,7 @@
 
 namespace marblevale {
 
+/// Belongs to one term of leadership; `begin_term` starts it again from the records.
 class PlanningState {
  public:
   /// Takes over the stored guarantees as reservations without a place; the next round finds places
@@ -44,6 +45,7 @@
   /// Ends the round: takes the profile back.
   void take_back(Planner& planner) { occupancy_.profile() = planner.take_profile(); }
 
+  /// By job; also the guarantees that `GuaranteeWriter` writes.
   [[nodiscard]] Reservations& reservations() { return reservations_; }
 
  private:
--- a/src/leader/preemptor.hpp
+++ b/src/leader/preemptor.hpp
@@ -19,6 +19,7 @@
 
 namespace marblevale {
 
+/// Runs at intervals of its own, since to look through all running tasks is expensive.
 class Preemptor {
  public:
   Preemptor(Metrics& metrics, const Clock& clock, const Settings& settings, const WatchCache& cache,
--- a/src/leader/quota_waits.hpp
+++ b/src/leader/quota_waits.hpp
@@ -41,7 +41,9 @@
   void begin_term() { noted_.clear(); }
   /// Forgets jobs that wait no longer: they get the note again should they wait once more.
   void retain_only(const std::unordered_set<JobId>& queued);
+  /// True when the last check was long enough ago.
   [[nodiscard]] bool due() const;
+  /// Looks through the queue and writes the notes.
   void run(const std::vector<QueueItem>& queue);
 
  private:
--- a/src/leader/releaser.hpp
+++ b/src/leader/releaser.hpp
@@ -27,6 +27,7 @@
 
 namespace marblevale {
 
+/// What the releaser reports to its owner.
 struct ReleaserEvents {
   /// A release or stop has got an answer: the next round may use it.
   std::function<void()> change_answered;
@@ -34,6 +35,7 @@
   std::function<void()> quota_exceeded;
 };
 
+/// Commits or offers the changes of one term; keeps at most one open change for each slice.
 class Releaser {
  public:
   Releaser(Metrics& metrics, const Clock& clock, const Settings& settings, WatchCache& cache,
@@ -42,6 +44,7 @@
   /// Has releases offered to shard holders by this channel; without it they are committed here.
   void offer_through(OfferChannel& channel) { channel_ = &channel; }
 
+  /// Drops the open changes of earlier terms, which fail by their guard.
   void begin_term();
   /// A slice has changed in the records.
   void mark_dirty(const SliceKey& key) { usage_.mark_dirty(key); }
@@ -61,6 +64,7 @@
 
   /// The budget for writes is short, here or at the holders that are to bind the open offers.
   [[nodiscard]] bool short_of_writes() const;
+  /// The changes whose outcome is open.
   [[nodiscard]] const OpenReleases& open() const { return open_; }
   /// The slice as the open changes would leave it, or else as it is recorded.
   [[nodiscard]] const SliceRecord* current(const JobId& job_id, std::uint32_t number) const;
--- a/src/leader/round_summary.hpp
+++ b/src/leader/round_summary.hpp
@@ -7,7 +7,7 @@
 
 namespace marblevale {
 
-/// Logs machines, idle GPUs, waiting work and the number of open releases.
+/// Logs the machines, idle GPUs, waiting work and the number of open releases.
 void log_round_summary(const Planner& planner, std::size_t open_releases, WallTime now);
 
 }  // namespace marblevale
--- a/src/leader/scale_out_planner.hpp
+++ b/src/leader/scale_out_planner.hpp
@@ -21,6 +21,7 @@
   ScaleOutPlanner(Metrics& metrics, const Clock& clock, const Settings& settings,
                   Autoscaler& autoscaler);
 
+  /// True when the last run was long enough ago, measured by what it took.
   [[nodiscard]] bool due() const;
   /// Passes unmet demands, the machines in use and what the teams may still use to the autoscaler.
   void plan(const Planner& planner, const Reservations& reservations);
--- a/src/leader/shard_assigner.hpp
+++ b/src/leader/shard_assigner.hpp
@@ -20,6 +20,7 @@
 
 namespace marblevale {
 
+/// Keeps what it knows of controllers' lives and absences in memory only; a new leader begins anew.
 class ShardAssigner {
  public:
   ShardAssigner(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
--- a/src/leader/starvation_check.hpp
+++ b/src/leader/starvation_check.hpp
@@ -15,6 +15,7 @@
 
 namespace marblevale {
 
+/// Remembers how long each job has been found starved: one is reported only once that is confirmed.
 class StarvationCheck {
  public:
   StarvationCheck(const Clock& clock, const Settings& settings, const WatchCache& cache,
@@ -22,6 +23,7 @@
 
   /// Forgets what an earlier term has found.
   void begin_term() { waiting_.clear(); }
+  /// True when the last check was long enough ago.
   [[nodiscard]] bool due() const;
   /// True when a job waits for no reason that the records show: the profile has gone wrong.
   bool run(const Planner& planner, const Reservations& reservations,
--- a/src/leader/team_quota_usage.hpp
+++ b/src/leader/team_quota_usage.hpp
@@ -13,6 +13,7 @@
 
 namespace marblevale {
 
+/// Usage by team and by slice, counted from records and open releases.
 class TeamQuotaUsage {
  public:
   /// A slice has changed, in the records or among the open releases.
--- a/src/leader/unreachable_zones.hpp
+++ b/src/leader/unreachable_zones.hpp
@@ -11,6 +11,7 @@
 
 namespace marblevale {
 
+/// Keeps the last report of each controller.
 class UnreachableZones {
  public:
   /// Replaces the controller's last report. A report says something of a zone only while its
