--- a/src/autoscaler/autoscaler.hpp
+++ b/src/autoscaler/autoscaler.hpp
@@ -37,7 +37,7 @@
     deletion_.set_overdue_machines(std::move(overdue_machines));
   }
   /// Machines that are provisioned and not yet in a record.
-  [[nodiscard]] std::vector<Booting> booting() const { return provisioner_.booting(); }
+  [[nodiscard]] std::vector<BootingMachine> booting() const { return provisioner_.booting(); }
 
   /// The demand that the last round left unmet, what each team may still use, and the machines that
   /// the plan has a use for.
--- a/src/autoscaler/provisioner.cpp
+++ b/src/autoscaler/provisioner.cpp
@@ -41,8 +41,8 @@
   team_resources_ = std::move(team_resources);
 }
 
-std::vector<Booting> Provisioner::booting() const {
-  std::vector<Booting> booting;
+std::vector<BootingMachine> Provisioner::booting() const {
+  std::vector<BootingMachine> booting;
   const Records& records = cache_.records();
   const WallTime now = clock_.wall();
   for (const auto& [name, stored] : records.provisioning_requests) {
--- a/src/autoscaler/provisioner.hpp
+++ b/src/autoscaler/provisioner.hpp
@@ -31,7 +31,7 @@
                   std::map<TeamId, Resources> team_resources);
 
   /// Machines that are provisioned and not yet in a record, with their expected boot.
-  [[nodiscard]] std::vector<Booting> booting() const;
+  [[nodiscard]] std::vector<BootingMachine> booting() const;
   /// Machines that are in no record within the boot timeout.
   [[nodiscard]] std::vector<MachineId> overdue_boots() const;
 
--- a/src/leader/guarantee_writer.cpp
+++ b/src/leader/guarantee_writer.cpp
@@ -77,7 +77,7 @@
 
 bool GuaranteeWriter::write_later(const JobId& job_id, const Reservation& reservation,
                                   WallTime now) const {
-  if (reservation.written != WallTime{}) return reservation.written + kRewriteInterval > now;
+  if (reservation.last_recorded) return *reservation.last_recorded + kRewriteInterval > now;
   const auto& jobs = cache_.records().jobs;
   const auto job = jobs.find(job_id);
   return job != jobs.end() && job->second.record.accepted + kMinRecordedWait > now;
@@ -114,13 +114,13 @@
   if (const auto it = reservations.find(job_id); it != reservations.end()) {
     Reservation& reservation = it->second;
     if (record.guarantees.empty()) {
-      const Duration wait = reservation.first - job.record.accepted;
+      const Duration wait = reservation.granted_start - job.record.accepted;
       record.note(clock_.wall(),
                   "granted a start " + std::to_string(whole_seconds(wait)) + " s after acceptance");
     }
-    record.guarantees = {{0, reservation.first, reservation.start, reservation.end}};
+    record.guarantees = {{0, reservation.granted_start, reservation.start, reservation.end}};
     reservation.changed = false;
-    reservation.written = now;
+    reservation.last_recorded = now;
   }
   std::vector<Note>& written = batch.notes[job_id];
   if (const auto queued = notes_.find(job_id); queued != notes_.end()) {
--- a/src/leader/leader_loop.cpp
+++ b/src/leader/leader_loop.cpp
@@ -213,7 +213,7 @@
 
 void LeaderLoop::restore_reservations(Planner& planner, SteadyTime round_begin) {
   const auto timed = metrics_.time(Duty::restore);
-  for (const Moved& moved : planner.restore(preemptor_.pins(round_begin))) {
+  for (const ReservationDelay& moved : planner.restore(preemptor_.pins(round_begin))) {
     guarantee_writer_.note(
         moved.job_id, "start moved " + std::to_string(whole_seconds(moved.to - moved.from)) +
                           " s later: tasks before it overran, a machine was lost or out of reach, "
--- a/src/leader/planning_state.cpp
+++ b/src/leader/planning_state.cpp
@@ -17,7 +17,7 @@
     if (stored.record.guarantees.empty()) continue;
     const Guarantee& guarantee = stored.record.guarantees.back();
     Reservation reservation;
-    reservation.first = guarantee.first;
+    reservation.granted_start = guarantee.first;
     reservation.start = guarantee.start;
     reservation.end = guarantee.end;
     reservation.changed = false;
@@ -38,8 +38,8 @@
 }
 
 void PlanningState::sync(const Records& records, const Settings& settings,
-                         const Occupancy::Slices& pending, const std::vector<Booting>& booting,
-                         WallTime now) {
+                         const Occupancy::Slices& pending,
+                         const std::vector<BootingMachine>& booting, WallTime now) {
   occupancy_.sync(records, settings.teams, pending, booting, now);
 }
 
--- a/src/leader/planning_state.hpp
+++ b/src/leader/planning_state.hpp
@@ -21,8 +21,10 @@
   void begin_term(const Records& records);
 
   /// Marks what has changed in the records; it is read again at the next `sync`.
-  void mark_slice_dirty(const SliceKey& key) { occupancy_.touch_slice(key); }
-  void mark_machine_dirty(const MachineId& machine_id) { occupancy_.touch_machine(machine_id); }
+  void mark_slice_dirty(const SliceKey& key) { occupancy_.mark_slice_dirty(key); }
+  void mark_machine_dirty(const MachineId& machine_id) {
+    occupancy_.mark_machine_dirty(machine_id);
+  }
   /// Has the profile rebuilt from all records at the next `sync`. Reservations stay.
   void reset_profile();
   /// As `reset_profile`, for a profile that disagrees with the records. False, and nothing is done,
@@ -31,7 +33,7 @@
 
   /// Brings the profile up to the records.
   void sync(const Records& records, const Settings& settings, const Occupancy::Slices& pending,
-            const std::vector<Booting>& booting, WallTime now);
+            const std::vector<BootingMachine>& booting, WallTime now);
   void set_unreachable_zones(const std::set<ZoneId>& zones, const Records& records) {
     occupancy_.set_unreachable_zones(zones, records);
   }
--- a/src/leader/preemptor.cpp
+++ b/src/leader/preemptor.cpp
@@ -56,8 +56,8 @@
 
 bool Preemptor::overdue(SteadyTime now) const { return now - last_run_ > kMaxInterval; }
 
-Pins Preemptor::pins(SteadyTime now) const {
-  Pins pins;
+PinnedMachines Preemptor::pins(SteadyTime now) const {
+  PinnedMachines pins;
   for (const auto& [job_id, freed] : freed_) {
     if (now - freed.freed_at < kRetryInterval) pins.emplace(job_id, freed.machine_ids);
   }
--- a/src/leader/preemptor.hpp
+++ b/src/leader/preemptor.hpp
@@ -33,7 +33,7 @@
   /// last run was a short while ago.
   void run(const Planner& planner, const Reservations& reservations);
   /// The machines that were freed recently, by the job that they were freed for.
-  [[nodiscard]] Pins pins(SteadyTime now) const;
+  [[nodiscard]] PinnedMachines pins(SteadyTime now) const;
 
  private:
   /// Machines on which tasks were stopped for a job.
--- a/src/leader/round_summary.cpp
+++ b/src/leader/round_summary.cpp
@@ -13,7 +13,7 @@
     // Still booting, or no longer in the profile.
     if (profile.machines()[i].ready > now) continue;
     ++up;
-    total += profile.timeline(i).whole();
+    total += profile.timeline(i).capacity();
     free += profile.timeline(i).free(now, now + Duration{1});
   }
   std::size_t tasks_waiting = 0;
--- a/src/leader/scale_out_planner.cpp
+++ b/src/leader/scale_out_planner.cpp
@@ -38,7 +38,7 @@
         return m.machine_id != MachineId{} && m.ready > now + kOverdueBoot;
       });
   std::vector<UnmetDemand> demands;
-  for (const auto& [item, plan] : outlook(planner, reservations)) {
+  for (const auto& [item, plan] : forecast(planner, reservations)) {
     if (!worth_scaling_out_for(*item)) continue;
     if (const auto demand = unmet_demand(*item, plan, profile, machines_booting, now)) {
       demands.push_back(*demand);
@@ -49,11 +49,11 @@
   last_run_took_ = clock_.steady() - last_run_;
 }
 
-ScaleOutPlanner::Outlook ScaleOutPlanner::outlook(const Planner& planner,
-                                                  const Reservations& reservations) {
+std::vector<ForecastEntry> ScaleOutPlanner::forecast(const Planner& planner,
+                                                     const Reservations& reservations) {
   // Reservations lag behind what has become possible since (holes are kept on purpose), so what is
   // missing is read from the plan that the queue would get if it were laid out anew.
-  Outlook out = planner.outlook(kMaxJobsPlaced);
+  std::vector<ForecastEntry> out = planner.forecast(kMaxJobsPlaced);
   // Jobs further back are taken by their reservations: to place a long queue anew is expensive.
   for (std::size_t i = out.size(); i < planner.queue().size(); ++i) {
     const QueueItem& item = planner.queue()[i];
@@ -66,7 +66,7 @@
         plan->placements.push_back({0, place.start, place.end});
       }
     }
-    out.emplace_back(&item, std::move(plan));
+    out.push_back({&item, std::move(plan)});
   }
   return out;
 }
@@ -97,9 +97,9 @@
                                                          const Profile& profile,
                                                          bool machines_booting, WallTime now) {
   const JobSpec& job = *item.demand.job;
-  const ResourceTimeline* quota = profile.team(job.team);
+  const ResourceTimeline* quota = profile.team_timeline(job.team);
   const double tasks_at_once = job.gang() ? item.demand.tasks : 1;
-  if (quota != nullptr && !fits(job.need * tasks_at_once, quota->whole() - quota->running())) {
+  if (quota != nullptr && !fits(job.need * tasks_at_once, quota->capacity() - quota->running())) {
     return std::nullopt;
   }
   std::uint32_t late_tasks = item.demand.tasks;
@@ -118,7 +118,7 @@
   Demand one = item.demand;
   one.tasks = 1;
   if (!machines_booting && waited > std::max(wait, kMaxStartDelay) &&
-      !profile.room_beside_running(one, now)) {
+      !profile.may_fit_beside_running(one, now)) {
     wait = waited;
     late_tasks = item.demand.tasks;
   }
@@ -130,7 +130,7 @@
   std::map<TeamId, Resources> resources;
   for (const Team& team : settings_.teams) {
     // Only what runs counts: reservations are what the machines are wanted for.
-    const ResourceTimeline* timeline = profile.team(team.name);
+    const ResourceTimeline* timeline = profile.team_timeline(team.name);
     if (timeline != nullptr) resources[team.name] = team.limit() - timeline->running();
   }
   return resources;
--- a/src/leader/scale_out_planner.hpp
+++ b/src/leader/scale_out_planner.hpp
@@ -28,9 +28,8 @@
 
  private:
   /// The waiting jobs, each with the plan that it would get; none: no machine can take it.
-  using Outlook = std::vector<std::pair<const QueueItem*, std::optional<Plan>>>;
-
-  [[nodiscard]] static Outlook outlook(const Planner& planner, const Reservations& reservations);
+  [[nodiscard]] static std::vector<ForecastEntry> forecast(const Planner& planner,
+                                                           const Reservations& reservations);
   /// Machines on which a reserved task starts so soon that they must not be returned.
   [[nodiscard]] std::set<MachineId> machines_in_use(const Reservations& reservations,
                                                     WallTime now) const;
--- a/src/leader/starvation_check.cpp
+++ b/src/leader/starvation_check.cpp
@@ -102,7 +102,7 @@
   const Profile& profile = round.planner.profile();
   const auto timeline = profile.find(job.machine_id);
   if (!timeline) return {"it is not in the profile", true};
-  if (!profile.timeline(*timeline).takes(item.demand.job->need, now, now + Duration{1})) {
+  if (!profile.timeline(*timeline).can_fit(item.demand.job->need, now, now + Duration{1})) {
     return {"its room is taken in the profile", true};
   }
   const auto reservation = round.reservations.find(job.job_id);
--- a/src/scheduling/job_queue.cpp
+++ b/src/scheduling/job_queue.cpp
@@ -150,7 +150,7 @@
   item.demand.tasks = static_cast<std::uint32_t>(item.task_indices.size());
   item.demand.run = std::max(kMinRun, spec.estimated_run - progress);
   if (spec.together && !zones.empty()) item.demand.zone = zones.begin()->first;
-  item.demand.elsewhere.assign(zones.begin(), zones.end());
+  for (const auto& [zone, tasks] : zones) item.demand.placed_tasks.push_back({zone, tasks});
   return item;
 }
 
@@ -173,10 +173,10 @@
         break;  // has a rank of its own
     }
     if (!start) continue;
-    item.missed = true;
+    item.objectives_missed = true;
     if (*start > now && (!item.target || *start < *item.target)) item.target = start;
   }
-  if (item.target) item.missed = false;
+  if (item.target) item.objectives_missed = false;
 }
 
 }  // namespace
@@ -195,12 +195,12 @@
     set_target(*item, job.record.spec, settings, now);
     if (gather && job.record.spec.shape == JobShape::array) {
       // Where most of it is; a new one anywhere, decided by its name, so that no zone is favoured.
-      const auto& there = item->demand.elsewhere;
-      const auto most =
-          std::max_element(there.begin(), there.end(),
-                           [](const auto& a, const auto& b) { return a.second < b.second; });
-      item->demand.lean = most != there.end()
-                              ? most->first
+      const auto& there = item->demand.placed_tasks;
+      const auto most = std::max_element(
+          there.begin(), there.end(),
+          [](const ZoneTaskCount& a, const ZoneTaskCount& b) { return a.tasks < b.tasks; });
+      item->demand.preferred_zone =
+          most != there.end() ? most->zone
                               : settings.zones[std::hash<JobId>{}(job_id) % settings.zones.size()];
     }
     queue.push_back(std::move(*item));
--- a/src/scheduling/occupancy.cpp
+++ b/src/scheduling/occupancy.cpp
@@ -18,19 +18,19 @@
 }
 }  // namespace
 
-void ImageGuess::used(const MachineId& machine_id, const ImageId& image, double gb,
-                      double cache_gb) {
+void ExpectedImages::used(const MachineId& machine_id, const ImageId& image, double gb,
+                          double cache_gb) {
   note_image(images_[machine_id], image, gb, cache_gb);
 }
 
-void ImageGuess::add_to(ImageSet& images, const MachineId& machine_id) const {
+void ExpectedImages::add_to(ImageSet& images, const MachineId& machine_id) const {
   const auto it = images_.find(machine_id);
   if (it == images_.end()) return;
   for (const auto& [image, gb] : it->second) images.insert(image);
 }
 
-WallTime likely_end(const TaskRecord& task, const JobSpec& job, const Records& records,
-                    WallTime now) {
+WallTime estimated_end(const TaskRecord& task, const JobSpec& job, const Records& records,
+                       WallTime now) {
   if (task.stop) return now + std::min(task.stop->grace_period, job.save_time) + kReached;
   WallTime begin = task.running;
   if (begin == WallTime{}) {
@@ -83,7 +83,7 @@
   return coming.size();
 }
 
-void Occupancy::touch_tasks_on(const MachineId& machine_id, const Records& records) {
+void Occupancy::mark_slices_on_dirty(const MachineId& machine_id, const Records& records) {
   const auto placed = records.placed.find(machine_id);
   if (placed == records.placed.end()) return;
   for (const auto& [id, attempt] : placed->second)
@@ -98,7 +98,7 @@
 }
 
 void Occupancy::sync_machine(const MachineId& machine_id, const Records& records, WallTime now) {
-  touch_tasks_on(machine_id, records);  // where they count, and how long their fetch takes
+  mark_slices_on_dirty(machine_id, records);  // where they count, and how long their fetch takes
   PlanMachine wanted;
   const auto record = records.machines.find(machine_id);
   const auto coming = booting_.find(machine_id);
@@ -167,7 +167,7 @@
   Plan running;
   for (const TaskRecord& task : slice->tasks) {
     if (!task.placed()) continue;
-    const WallTime end = likely_end(task, spec, records, now);
+    const WallTime end = estimated_end(task, spec, records, now);
     first = std::min(first, end);
     on_[key].insert(task.machine_id);
     fetching_.insert(task.machine_id);
@@ -178,10 +178,10 @@
         images_.used(task.machine_id, spec.image, spec.image_gb, type->cache_gb);
       }
     } else {
-      profile_.take_team(spec.team, {WallTime{}, end, spec.need, owner_of(key)});
+      profile_.allocate_team(spec.team, {WallTime{}, end, spec.need, owner_of(key)});
     }
   }
-  if (!running.placements.empty()) profile_.take(running, spec, owner_of(key));
+  if (!running.placements.empty()) profile_.allocate(running, spec, owner_of(key));
   if (on_.contains(key)) {
     end_of_[key] = first;
     ends_.emplace(first, key);
@@ -198,11 +198,11 @@
 }
 
 void Occupancy::sync(const Records& records, const std::vector<Team>& teams, const Slices& pending,
-                     const std::vector<Booting>& booting, WallTime now) {
-  if (whole_) {
-    whole_ = false;
+                     const std::vector<BootingMachine>& booting, WallTime now) {
+  if (rebuild_) {
+    rebuild_ = false;
     profile_ = Profile{};
-    for (const Team& team : teams) profile_.set_team(team.name, team.limit());
+    for (const Team& team : teams) profile_.add_team(team.name, team.limit());
     on_.clear();
     ends_.clear();
     end_of_.clear();
@@ -210,8 +210,8 @@
     for (const auto& [machine_id, machine] : booting_) machines_.insert(machine_id);
     for (const auto& [key, slice] : records.slices) slices_.insert(key);
   }
-  std::map<MachineId, Booting> coming;
-  for (const Booting& b : booting) coming.emplace(b.machine_id, b);
+  std::map<MachineId, BootingMachine> coming;
+  for (const BootingMachine& b : booting) coming.emplace(b.machine_id, b);
   for (const auto& [machine_id, b] : booting_) {
     if (!coming.contains(machine_id)) machines_.insert(machine_id);
   }
--- a/src/scheduling/occupancy.hpp
+++ b/src/scheduling/occupancy.hpp
@@ -14,7 +14,7 @@
 namespace marblevale {
 
 /// A machine that is rented and has not reported yet.
-struct Booting {
+struct BootingMachine {
   MachineId machine_id;
   std::string machine_type;
   ZoneId zone;
@@ -23,7 +23,7 @@
 };
 
 /// Images that machines are probably fetching: those of tasks that are bound there.
-class ImageGuess {
+class ExpectedImages {
  public:
   void used(const MachineId& machine_id, const ImageId& image, double gb, double cache_gb);
   void forget(const MachineId& machine_id) { images_.erase(machine_id); }
@@ -35,25 +35,25 @@
 
 /// When a placed task will likely end. An overrun stretches its end by a fifth of its estimate each
 /// time it is reached.
-WallTime likely_end(const TaskRecord& task, const JobSpec& job, const Records& records,
-                    WallTime now);
+WallTime estimated_end(const TaskRecord& task, const JobSpec& job, const Records& records,
+                       WallTime now);
 
 class Occupancy {
  public:
   using Slices = std::map<SliceKey, const SliceRecord*>;
 
   /// Marks what changed; it is looked up at the next `sync`.
-  void touch_machine(const MachineId& machine_id) { machines_.insert(machine_id); }
-  void touch_slice(const SliceKey& key) { slices_.insert(key); }
+  void mark_machine_dirty(const MachineId& machine_id) { machines_.insert(machine_id); }
+  void mark_slice_dirty(const SliceKey& key) { slices_.insert(key); }
   /// Everything is taken in anew at the next `sync`.
-  void reset() { whole_ = true; }
+  void reset() { rebuild_ = true; }
 
   /// Zones whose machines can't be reached: nothing is to be placed there meanwhile.
   void set_unreachable_zones(const std::set<ZoneId>& zones, const Records& records);
   /// Takes in what was touched. `pending` are slices as this controller has committed them, or is
   /// about to, and that the records may not show yet.
   void sync(const Records& records, const std::vector<Team>& teams, const Slices& pending,
-            const std::vector<Booting>& booting, WallTime now);
+            const std::vector<BootingMachine>& booting, WallTime now);
 
   /// Lent to a round's planner, which gives it back as it was.
   [[nodiscard]] Profile& profile() { return profile_; }
@@ -62,17 +62,17 @@
  private:
   void sync_machine(const MachineId& machine_id, const Records& records, WallTime now);
   void sync_slice(const SliceKey& key, const Records& records, const Slices& pending, WallTime now);
-  void touch_tasks_on(const MachineId& machine_id, const Records& records);
+  void mark_slices_on_dirty(const MachineId& machine_id, const Records& records);
   void refresh_images(const MachineId& machine_id, const Records& records);
   [[nodiscard]] std::size_t fetches_at(const MachineId& machine_id, const Records& records) const;
 
   Profile profile_;
-  ImageGuess images_;
-  bool whole_ = true;
+  ExpectedImages images_;
+  bool rebuild_ = true;
   std::set<ZoneId> unreachable_zones_;
   std::set<MachineId> machines_;
   std::set<SliceKey> slices_;
-  std::map<MachineId, Booting> booting_;
+  std::map<MachineId, BootingMachine> booting_;
   std::map<SliceKey, std::set<MachineId>> on_;  // machines on which the slice has tasks
   std::set<std::pair<WallTime, SliceKey>>
       ends_;                             // when the first of a slice's likely ends is reached
--- a/src/scheduling/placement_search.cpp
+++ b/src/scheduling/placement_search.cpp
@@ -56,36 +56,37 @@
   // in use already.
   const bool starves = job.need.gpus <= 0 && m.resources.gpus > 0;
   const double starved = starves ? free.gpus / m.resources.gpus : 0;
-  const double apart = demand.lean && *demand.lean != m.zone ? kApartSeconds : 0;
+  const double apart =
+      demand.preferred_zone && *demand.preferred_zone != m.zone ? kApartSeconds : 0;
   return apart + kWasteSeconds * (waste + starved) +
          to_seconds(fetch) * (job.deadline ? kPatientFetch : 1.0) +
          price_weight(share_of(job.need, m.resources), m) +
          share_of(free, m.resources) * (job.gang() ? 0.2 : 1.0) + static_cast<double>(draw) / 1e5;
 }
 
-bool PlacementSearch::team_takes(const Demand& demand, WallTime at) const {
+bool PlacementSearch::team_can_fit(const Demand& demand, WallTime at) const {
   const JobSpec& job = *demand.job;
-  const ResourceTimeline* team = profile_.team(job.team);
+  const ResourceTimeline* team = profile_.team_timeline(job.team);
   const double tasks = job.gang() ? demand.tasks : 1;
-  return team == nullptr || team->takes(job.need * tasks, at, at + demand.run);
+  return team == nullptr || team->can_fit(job.need * tasks, at, at + demand.run);
 }
 
-bool PlacementSearch::room_beside_running(const Demand& demand, WallTime at) const {
+bool PlacementSearch::may_fit_beside_running(const Demand& demand, WallTime at) const {
   const JobSpec& job = *demand.job;
   const std::uint32_t wanted = job.gang() ? demand.tasks : 1;
   std::vector<std::pair<ZoneId, std::uint32_t>> found;
   bool enough = false;
-  profile_.each_allowed(demand, demand.zone, [&](std::size_t i) {
+  profile_.for_each_allowed_machine(demand, demand.zone, [&](std::size_t i) {
     if (enough || profile_.machines()[i].ready > at ||
-        profile_.timeline(i).surely_full(job.need, at))
+        profile_.timeline(i).no_room_beside_running(job.need, at))
       return;
     const ZoneId key = job.together ? profile_.machines()[i].zone : ZoneId{};
     auto zone = std::find_if(found.begin(), found.end(),
                              [&](const auto& entry) { return entry.first == key; });
     if (zone == found.end()) zone = found.insert(found.end(), {key, 0});
     Resources sum = job.need;
-    while (zone->second < wanted && !profile_.timeline(i).surely_full(sum, at) &&
-           fits(sum, profile_.timeline(i).whole())) {
+    while (zone->second < wanted && !profile_.timeline(i).no_room_beside_running(sum, at) &&
+           fits(sum, profile_.timeline(i).capacity())) {
       ++zone->second;
       sum += job.need;
     }
@@ -106,13 +107,13 @@
     Duration least_run) const {
   const JobSpec& job = *demand.job;
   std::vector<Candidate> out;
-  profile_.each_allowed(demand, zone, [&](std::size_t i) {
+  profile_.for_each_allowed_machine(demand, zone, [&](std::size_t i) {
     const ResourceTimeline& timeline = profile_.timeline(i);
-    if (profile_.machines()[i].ready > at || timeline.surely_full(job.need, at)) return;
+    if (profile_.machines()[i].ready > at || timeline.no_room_beside_running(job.need, at)) return;
     const Duration fetch = profile_.fetch_time(job, profile_.machines()[i]);
     const Duration run = std::max(least_run, planned_run(demand, fetch));
     const Resources free = room == Room::unreserved ? timeline.free(at, at + run)
-                                                    : timeline.whole() - timeline.running();
+                                                    : timeline.capacity() - timeline.running();
     if (!fits(job.need, free)) return;
     out.push_back({i, free, score(demand, i, fetch, free), run});
   });
@@ -128,7 +129,9 @@
   std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(needed),
                     candidates.end(),
                     [](const Candidate& a, const Candidate& b) { return a.score < b.score; });
-  std::map<ZoneId, std::uint32_t> in_zone(demand.elsewhere.begin(), demand.elsewhere.end());
+  std::map<ZoneId, std::uint32_t> in_zone;
+  for (const ZoneTaskCount& placed : demand.placed_tasks)
+    in_zone.emplace(placed.zone, placed.tasks);
   const auto zone_of = [this](const Candidate& c) { return profile_.machines()[c.machine].zone; };
   Plan plan;
   Resources team_used{};
@@ -153,9 +156,9 @@
                                               const std::optional<ZoneId>& zone, bool partly,
                                               Duration least_run) const {
   const JobSpec& job = *demand.job;
-  if (!team_takes(demand, at)) return std::nullopt;
+  if (!team_can_fit(demand, at)) return std::nullopt;
   std::vector<Candidate> found = candidates(demand, at, zone, Room::unreserved, least_run);
-  const ResourceTimeline* team = profile_.team(job.team);
+  const ResourceTimeline* team = profile_.team_timeline(job.team);
   Duration longest = demand.run;
   for (const Candidate& c : found) longest = std::max(longest, c.run);
   const Resources team_free = team == nullptr ? kNoLimit : team->free(at, at + longest);
@@ -165,7 +168,7 @@
   // A gang runs from when its last task has its image, and ends together.
   const WallTime end = plan.end();
   for (Placement& spot : plan.placements) spot.end = end;
-  if (!partly && !profile_.holds(plan, job)) {
+  if (!partly && !profile_.still_fits(plan, job)) {
     // Machines with the image have room, but not for as long as the slowest fetch makes it.
     if (least_run >= end - at) return std::nullopt;
     return place_in(demand, at, zone, partly, end - at);
@@ -173,9 +176,9 @@
   return plan;
 }
 
-Plan PlacementSearch::beside_running(const Demand& demand, WallTime at) const {
-  const ResourceTimeline* team = profile_.team(demand.job->team);
-  const Resources team_free = team == nullptr ? kNoLimit : team->whole() - team->running();
+Plan PlacementSearch::fit_beside_running(const Demand& demand, WallTime at) const {
+  const ResourceTimeline* team = profile_.team_timeline(demand.job->team);
+  const Resources team_free = team == nullptr ? kNoLimit : team->capacity() - team->running();
   return assign(demand, at, candidates(demand, at, demand.zone, Room::beside_running, Duration{0}),
                 team_free);
 }
@@ -221,7 +224,7 @@
   return best;
 }
 
-Plan PlacementSearch::fit_some(const Demand& demand, WallTime at) const {
+Plan PlacementSearch::fit_partially(const Demand& demand, WallTime at) const {
   if (!demand.job->together || demand.zone) {
     return place_in(demand, at, demand.zone, true, Duration{0}).value_or(Plan{});
   }
@@ -250,13 +253,13 @@
   };
   std::vector<Open> opens;
   const auto ask = [&](Open& open, WallTime at) {
-    profile_.count_looked();
+    profile_.count_candidate();
     const WallTime begin = std::max(at, profile_.machines()[open.machine].ready);
     const auto next = profile_.timeline(open.machine)
-                          .next(job.need * static_cast<double>(open.nth), begin, open.run);
+                          .earliest_fit(job.need * static_cast<double>(open.nth), begin, open.run);
     open.next = next.value_or(kNever);
   };
-  profile_.each_allowed(demand, zone, [&](std::size_t i) {
+  profile_.for_each_allowed_machine(demand, zone, [&](std::size_t i) {
     const Duration run = planned_run(demand, profile_.fetch_time(job, profile_.machines()[i]));
     for (std::uint32_t nth = 1; nth <= demand.tasks; ++nth) {
       if (!fits(job.need * static_cast<double>(nth), profile_.machines()[i].resources)) break;
@@ -267,12 +270,12 @@
     }
   });
   if (opens.size() < demand.tasks || demand.tasks == 0) return std::nullopt;
-  const ResourceTimeline* limit = profile_.team(job.team);
+  const ResourceTimeline* limit = profile_.team_timeline(job.team);
   const Resources all = job.need * static_cast<double>(demand.tasks);
   WallTime at = from;
   for (std::size_t step = 0; step < kMaxSteps; ++step) {
     if (limit != nullptr) {
-      const auto open = limit->next(all, at, demand.run);
+      const auto open = limit->earliest_fit(all, at, demand.run);
       if (!open) return std::nullopt;
       at = *open;
     }
@@ -292,7 +295,7 @@
     WallTime later = kNever;
     for (const Open& open : opens) {
       if (open.next > at) later = std::min(later, open.next);
-      if (const auto change = profile_.timeline(open.machine).change_after(at)) {
+      if (const auto change = profile_.timeline(open.machine).next_change_after(at)) {
         later = std::min(later, *change);
       }
     }
@@ -317,27 +320,28 @@
   };
   std::priority_queue<Open, std::vector<Open>, std::greater<>> opens;
   std::unordered_map<std::size_t, ResourceTimeline> scratch;
-  const auto lane_of = [&](std::size_t i) -> const ResourceTimeline& {
+  const auto timeline_of = [&](std::size_t i) -> const ResourceTimeline& {
     const auto it = scratch.find(i);
     return it == scratch.end() ? profile_.timeline(i) : it->second;
   };
   const auto ask = [&](std::size_t i, Duration run, WallTime at) {
-    profile_.count_looked();
-    const ResourceTimeline& timeline = lane_of(i);
-    const auto next = timeline.next(job.need, std::max(at, profile_.machines()[i].ready), run);
+    profile_.count_candidate();
+    const ResourceTimeline& timeline = timeline_of(i);
+    const auto next =
+        timeline.earliest_fit(job.need, std::max(at, profile_.machines()[i].ready), run);
     if (!next) return;
-    const Resources left = timeline.whole() - timeline.running();
+    const Resources left = timeline.capacity() - timeline.running();
     opens.push({*next, score(demand, i, run - demand.run, left), i, run});
   };
-  profile_.each_allowed(demand, zone, [&](std::size_t i) {
+  profile_.for_each_allowed_machine(demand, zone, [&](std::size_t i) {
     ask(i, planned_run(demand, profile_.fetch_time(job, profile_.machines()[i])), from);
   });
   std::optional<ResourceTimeline> limit;
-  const ResourceTimeline* team = profile_.team(job.team);
+  const ResourceTimeline* team = profile_.team_timeline(job.team);
   if (team != nullptr) limit = *team;
   const std::uint32_t zone_most = max_tasks_in_zone(job);
   std::unordered_map<ZoneId, std::uint32_t> in_zone;
-  for (const auto& [name, n] : demand.elsewhere) in_zone[name] += n;
+  for (const auto& [name, count] : demand.placed_tasks) in_zone[name] += count;
   Plan plan;
   const std::size_t most_steps = kMaxSteps + 4 * std::size_t{demand.tasks};
   for (std::size_t step = 0; plan.placements.size() < demand.tasks; ++step) {
@@ -346,14 +350,14 @@
     opens.pop();
     if (job.spread && in_zone[profile_.machines()[open.machine].zone] >= zone_most) continue;
     const WallTime end = open.next + open.run;
-    if (limit && !limit->takes(job.need, open.next, end)) {
-      const auto later = limit->next(job.need, open.next, open.run);
+    if (limit && !limit->can_fit(job.need, open.next, end)) {
+      const auto later = limit->earliest_fit(job.need, open.next, open.run);
       if (later) ask(open.machine, open.run, *later);
       continue;
     }
     const Allocation allocation{open.next, end, job.need, Owner{}};
-    if (limit) limit->take(allocation);
-    scratch.try_emplace(open.machine, lane_of(open.machine)).first->second.take(allocation);
+    if (limit) limit->allocate(allocation);
+    scratch.try_emplace(open.machine, timeline_of(open.machine)).first->second.allocate(allocation);
     ++in_zone[profile_.machines()[open.machine].zone];
     plan.placements.push_back({open.machine, open.next, end});
     ask(open.machine, open.run, from);
--- a/src/scheduling/placement_search.hpp
+++ b/src/scheduling/placement_search.hpp
@@ -16,17 +16,17 @@
   /// All tasks at exactly `at`: for gangs, or to ask whether a slice can start whole.
   [[nodiscard]] std::optional<Plan> fit_at(const Demand& demand, WallTime at) const;
   /// As many tasks of an array as can start at `at`.
-  [[nodiscard]] Plan fit_some(const Demand& demand, WallTime at) const;
+  [[nodiscard]] Plan fit_partially(const Demand& demand, WallTime at) const;
   /// As many tasks as have room at `at` beside what runs, whatever is reserved there, in the zone
   /// of the job's other tasks if it has one.
-  [[nodiscard]] Plan beside_running(const Demand& demand, WallTime at) const;
+  [[nodiscard]] Plan fit_beside_running(const Demand& demand, WallTime at) const;
   /// The earliest plan from `from` on; nothing when no machine of the profile can ever take it.
   [[nodiscard]] std::optional<Plan> earliest(const Demand& demand, WallTime from) const;
   /// False: what runs leaves too little room for the demand at `at` whatever is reserved. Quick.
-  [[nodiscard]] bool room_beside_running(const Demand& demand, WallTime at) const;
+  [[nodiscard]] bool may_fit_beside_running(const Demand& demand, WallTime at) const;
 
   /// False: the team's limit leaves too little at `at`, for the gang or for one task of an array.
-  [[nodiscard]] bool team_takes(const Demand& demand, WallTime at) const;
+  [[nodiscard]] bool team_can_fit(const Demand& demand, WallTime at) const;
 
  private:
   /// What counts as free: what nobody has reserved, or all that nobody uses now.
--- a/src/scheduling/planner.cpp
+++ b/src/scheduling/planner.cpp
@@ -38,7 +38,7 @@
 }
 }  // namespace
 
-bool before(const QueueItem& a, const QueueItem& b) {
+bool has_higher_priority(const QueueItem& a, const QueueItem& b) {
   // What is overdue goes with the standard jobs at the least: low ones must begin some day, too. It
   // stops nobody for that.
   const auto rank = [](const QueueItem& item) {
@@ -52,7 +52,7 @@
   // A team without a guarantee gets what the others leave: its idle-only work filled the cluster
   // before the arrays of guaranteed teams, which are of the same urgency.
   if (a.of_guaranteed_team != b.of_guaranteed_team) return a.of_guaranteed_team;
-  if (a.missed != b.missed) return b.missed;
+  if (a.objectives_missed != b.objectives_missed) return b.objectives_missed;
   if (a.target != b.target) {
     // One without an objective waits behind those that still can meet theirs.
     if (!a.target || !b.target) return a.target.has_value();
@@ -68,10 +68,10 @@
     : profile_(std::move(profile)),
       queue_(std::move(queue)),
       reservations_(reservations),
-      failed_(failed),
+      failed_starts_(failed),
       now_(now),
       spent_(std::move(spent)) {
-  std::sort(queue_.begin(), queue_.end(), before);
+  std::sort(queue_.begin(), queue_.end(), has_higher_priority);
 }
 
 Plan Planner::plan_of(const Reservation& r) const {
@@ -84,8 +84,9 @@
   return plan;
 }
 
-bool Planner::holds(const Plan& plan, const Demand& demand) const {
-  return profile_.holds(plan, *demand.job) && profile_.satisfies_zone_constraints(plan, demand);
+bool Planner::still_fits(const Plan& plan, const Demand& demand) const {
+  return profile_.still_fits(plan, *demand.job) &&
+         profile_.satisfies_zone_constraints(plan, demand);
 }
 
 bool Planner::satisfies_zone_constraints(const Reservation& r, const Demand& demand) const {
@@ -94,26 +95,26 @@
          profile_.satisfies_zone_constraints(plan_of(r), demand);
 }
 
-void Planner::set(const QueueItem& item, const Plan& plan) {
+void Planner::reserve(const QueueItem& item, const Plan& plan) {
   auto [it, fresh] = reservations_.try_emplace(item.job_id);
   Reservation& r = it->second;
   r.places.clear();
   for (const Placement& s : plan.placements) {
     r.places.push_back({profile_.machines()[s.machine].machine_id, s.start, s.end});
   }
-  if (fresh) r.first = plan.start();
+  if (fresh) r.granted_start = plan.start();
   if (fresh || r.start != plan.start() || r.end != plan.end()) r.changed = true;
   r.start = plan.start();
   r.end = plan.end();
-  profile_.take(plan, *item.demand.job, item.owner);
+  profile_.allocate(plan, *item.demand.job, item.owner);
 }
 
-void Planner::hold_unplaced(const QueueItem& item) {
+void Planner::reserve_unplaced(const QueueItem& item) {
   auto [it, fresh] = reservations_.try_emplace(item.job_id);
   Reservation& r = it->second;
   r.places.clear();
   const WallTime start = now_ + kUnplacedDelay;
-  if (fresh) r.first = start;
+  if (fresh) r.granted_start = start;
   // Its time is pushed on only when it is reached: nothing is written while nothing changes.
   if (fresh || r.start <= now_) {
     r.start = start;
@@ -122,41 +123,43 @@
   }
 }
 
-void Planner::put_back(const QueueItem& item) {
+void Planner::reapply_reservation(const QueueItem& item) {
   const auto it = reservations_.find(item.job_id);
   if (it == reservations_.end()) return;
   const Plan plan = plan_of(it->second);
-  if (!plan.placements.empty()) profile_.take(plan, *item.demand.job, item.owner);
+  if (!plan.placements.empty()) profile_.allocate(plan, *item.demand.job, item.owner);
 }
 
 // Not split yet, issue 17.
 // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size)
-std::vector<Moved> Planner::restore(const Pins& pins) {
-  std::vector<Moved> moved;
+std::vector<ReservationDelay> Planner::restore(const PinnedMachines& pins) {
+  std::vector<ReservationDelay> moved;
   std::unordered_set<JobId> pinned;
   for (const QueueItem& item : queue_) {
     const auto pin = pins.find(item.job_id);
     if (pin == pins.end() || !reservations_.contains(item.job_id)) continue;
     Demand there = item.demand;
-    there.only = pin->second;
+    there.allowed_machines = pin->second;
     const Reservation& now = reservations_.at(item.job_id);
     const bool kept = std::all_of(now.places.begin(), now.places.end(), [&](const auto& place) {
-      return std::find(there.only.begin(), there.only.end(), place.machine_id) != there.only.end();
+      return std::find(there.allowed_machines.begin(), there.allowed_machines.end(),
+                       place.machine_id) != there.allowed_machines.end();
     });
     if (kept && now.places.size() == item.demand.tasks && first_of(now) >= now_ &&
-        profile_.intact(item.owner) && satisfies_zone_constraints(now, item.demand)) {
+        profile_.reservation_still_fits(item.owner) &&
+        satisfies_zone_constraints(now, item.demand)) {
       pinned.insert(item.job_id);
       continue;
     }
     profile_.release(item.owner);
     // Others' reservations on these machines give way, and are placed again below.
-    for (const MachineId& machine_id : there.only) {
+    for (const MachineId& machine_id : there.allowed_machines) {
       if (const auto machine = profile_.find(machine_id))
         profile_.release_reservations_on(*machine);
     }
     const auto plan = profile_.earliest(there, now_);
     if (!plan || plan->start() > reservations_.at(item.job_id).start) continue;
-    set(item, *plan);
+    reserve(item, *plan);
     pinned.insert(item.job_id);
   }
   std::vector<const QueueItem*> order;
@@ -168,7 +171,7 @@
   std::sort(order.begin(), order.end(), [this](const QueueItem* a, const QueueItem* b) {
     const Reservation& x = reservations_.at(a->job_id);
     const Reservation& y = reservations_.at(b->job_id);
-    return x.start != y.start ? x.start < y.start : before(*a, *b);
+    return x.start != y.start ? x.start < y.start : has_higher_priority(*a, *b);
   });
   bool disturbed = false;
   for (std::size_t i = 0; i < order.size(); ++i) {
@@ -176,7 +179,7 @@
     Reservation& r = reservations_.at(item->job_id);
     // Most stand in the profile since an earlier round, and nothing has come in their way.
     if (!disturbed && r.places.size() == item->demand.tasks && r.start > now_ &&
-        first_of(r) >= now_ && profile_.intact(item->owner) &&
+        first_of(r) >= now_ && profile_.reservation_still_fits(item->owner) &&
         satisfies_zone_constraints(r, item->demand)) {
       continue;
     }
@@ -191,30 +194,30 @@
     if (r.places.size() > item->demand.tasks) r.places.resize(item->demand.tasks);
     Plan plan = plan_of(r);
     if (plan.placements.size() == item->demand.tasks) {
-      slide_to_now(plan);
-      if (holds(plan, item->demand)) {
-        profile_.take(plan, *item->demand.job, item->owner);
+      shift_to_now(plan);
+      if (still_fits(plan, item->demand)) {
+        profile_.allocate(plan, *item->demand.job, item->owner);
         continue;
       }
     }
     if (spent_(kRestoreShare)) {
-      if (!plan.placements.empty()) profile_.take(plan, *item->demand.job, item->owner);
+      if (!plan.placements.empty()) profile_.allocate(plan, *item->demand.job, item->owner);
       continue;
     }
     const WallTime old = r.start;
     auto again = profile_.earliest(item->demand, now_);
     if (!again) {
-      hold_unplaced(*item);
+      reserve_unplaced(*item);
       continue;
     }
     const bool was_unplaced = r.places.empty();
-    set(*item, *again);
+    reserve(*item, *again);
     if (!was_unplaced && r.start > old) moved.push_back({item->job_id, old, r.start});
   }
   return moved;
 }
 
-void Planner::slide_to_now(Plan& plan) const {
+void Planner::shift_to_now(Plan& plan) const {
   // A start that is reached without having begun slides along with the present.
   const WallTime first = plan.first_start();
   if (first >= now_) return;
@@ -224,40 +227,40 @@
   }
 }
 
-bool Planner::repair(const QueueItem& item, std::vector<Moved>& moved) {
+bool Planner::repair(const QueueItem& item, std::vector<ReservationDelay>& moved) {
   Reservation& r = reservations_.at(item.job_id);
   profile_.release(item.owner);
   if (r.places.size() > item.demand.tasks) r.places.resize(item.demand.tasks);
   Plan plan = plan_of(r);
   if (plan.placements.size() == item.demand.tasks) {
-    slide_to_now(plan);
-    if (holds(plan, item.demand)) {
-      profile_.take(plan, *item.demand.job, item.owner);
+    shift_to_now(plan);
+    if (still_fits(plan, item.demand)) {
+      profile_.allocate(plan, *item.demand.job, item.owner);
       return true;
     }
   }
   if (spent_(kRestoreShare)) {
-    if (!plan.placements.empty()) profile_.take(plan, *item.demand.job, item.owner);
+    if (!plan.placements.empty()) profile_.allocate(plan, *item.demand.job, item.owner);
     return true;
   }
   const auto again = profile_.earliest(item.demand, now_);
   if (!again) {
-    hold_unplaced(item);
+    reserve_unplaced(item);
     return true;
   }
   const WallTime old = r.start;
   const Duration tolerated = queue_.size() > kShortQueue ? kHardlyLater : Duration{0};
   if (again->start() > std::max(old, now_) + tolerated) return false;
   const bool was_unplaced = r.places.empty();
-  set(item, *again);
+  reserve(item, *again);
   if (!was_unplaced && r.start > old) moved.push_back({item.job_id, old, r.start});
   return true;
 }
 
-void Planner::arrive(const QueueItem& item, bool move_others) {
+void Planner::admit(const QueueItem& item, bool move_others) {
   const auto tentative = profile_.earliest(item.demand, now_);
   if (!tentative) {
-    hold_unplaced(item);
+    reserve_unplaced(item);
     return;
   }
   const WallTime its_end = tentative->end();
@@ -271,37 +274,37 @@
     const auto it = reservations_.find(other.job_id);
     if (it == reservations_.end() || it->second.start <= now_ || other.not_before > now_) continue;
     ++tried;
-    const auto before = plan_of(it->second);
-    profile_.release_for_trial(other.owner);
+    const auto previous = plan_of(it->second);
+    profile_.release_tentatively(other.owner);
     auto plan = profile_.earliest(other.demand, now_);
     if (plan && plan->start() < it->second.start && plan->start() < its_end) {
-      for (const Placement& given_up : before.placements) profile_.note_opened(given_up.machine);
-      profile_.note_team_opened(other.demand.job->team);
-      set(other, *plan);
+      for (const Placement& given_up : previous.placements)
+        profile_.mark_capacity_freed(given_up.machine);
+      profile_.mark_team_capacity_freed(other.demand.job->team);
+      reserve(other, *plan);
       any = true;
     } else {
-      put_back(other);
+      reapply_reservation(other);
     }
   }
   const auto plan = any ? profile_.earliest(item.demand, now_) : tentative;
   if (plan) {
-    set(item, *plan);
+    reserve(item, *plan);
   } else {
-    hold_unplaced(item);
+    reserve_unplaced(item);
   }
 }
 
-std::vector<std::pair<const QueueItem*, std::optional<Plan>>> Planner::outlook(
-    std::size_t most) const {
-  std::vector<std::pair<const QueueItem*, std::optional<Plan>>> out;
+std::vector<ForecastEntry> Planner::forecast(std::size_t max_jobs) const {
+  std::vector<ForecastEntry> out;
   Profile scratch = profile_;
   for (const QueueItem& item : queue_) scratch.release(item.owner);
   for (const QueueItem& item : queue_) {
     if (item.demand.tasks == 0) continue;
-    if (out.size() >= most) break;
+    if (out.size() >= max_jobs) break;
     auto plan = scratch.earliest(item.demand, now_);
-    if (plan) scratch.take(*plan, *item.demand.job, item.owner);
-    out.emplace_back(&item, std::move(plan));
+    if (plan) scratch.allocate(*plan, *item.demand.job, item.owner);
+    out.push_back({&item, std::move(plan)});
   }
   return out;
 }
@@ -322,7 +325,7 @@
   });
   for (const QueueItem* item : fresh) {
     if (spent_(kLastArrivalShare)) return false;
-    arrive(*item, !spent_(kArrivalShare));
+    admit(*item, !spent_(kArrivalShare));
   }
   return true;
 }
@@ -339,10 +342,10 @@
           const PlanMachine& machine = profile_.machines()[s.machine];
           return profile_.fetch_time(*item.demand.job, machine) <= Duration{0};
         });
-    if (images && holds(reserved, item.demand)) return reserved;
+    if (images && still_fits(reserved, item.demand)) return reserved;
   }
   if (item.demand.job->gang()) return profile_.fit_at(item.demand, now_);
-  Plan some = profile_.fit_some(item.demand, now_);
+  Plan some = profile_.fit_partially(item.demand, now_);
   if (some.placements.empty()) return std::nullopt;
   return some;
 }
@@ -350,11 +353,11 @@
 std::optional<Plan> Planner::displace_reservations(const QueueItem& item) {
   const JobSpec& job = *item.demand.job;
   if (!job.endless()) return std::nullopt;
-  const Plan plan = profile_.beside_running(item.demand, now_);
+  const Plan plan = profile_.fit_beside_running(item.demand, now_);
   if (plan.placements.empty()) return std::nullopt;
-  const ResourceTimeline* team = profile_.team(job.team);
+  const ResourceTimeline* team = profile_.team_timeline(job.team);
   const Resources wanted = job.need * static_cast<double>(plan.placements.size());
-  if (team != nullptr && !team->takes(wanted, now_, plan.end())) return std::nullopt;
+  if (team != nullptr && !team->can_fit(wanted, now_, plan.end())) return std::nullopt;
   // Looked at before any gives way: a job that waits here for long must not break the reservations
   // of others in every round.
   const std::vector<const QueueItem*> in_the_way = reserved_on(plan, item.job_id);
@@ -364,7 +367,7 @@
   if (!all_lower) return std::nullopt;
   // The next round places them again, and notes what that costs them.
   for (const QueueItem* other : in_the_way) profile_.release(other->owner);
-  if (!holds(plan, item.demand)) return std::nullopt;
+  if (!still_fits(plan, item.demand)) return std::nullopt;
   return plan;
 }
 
@@ -390,7 +393,7 @@
   // As what runs: from the beginning of time, so that a full machine is seen at a glance.
   Plan running = plan;
   for (Placement& placement : running.placements) placement.start = WallTime{};
-  profile_.take(running, *item.demand.job, Owner{item.owner.get() | kStarted});
+  profile_.allocate(running, *item.demand.job, Owner{item.owner.get() | kStarted});
   started_.push_back(Owner{item.owner.get() | kStarted});
   const auto n = static_cast<std::ptrdiff_t>(plan.placements.size());
   item.task_indices.erase(item.task_indices.begin(), item.task_indices.begin() + n);
@@ -400,18 +403,18 @@
   }
   for (const Placement& s : plan.placements) {
     const ZoneId& zone = profile_.machines()[s.machine].zone;
-    auto& zones = item.demand.elsewhere;
+    auto& zones = item.demand.placed_tasks;
     const auto at = std::find_if(zones.begin(), zones.end(),
-                                 [&](const auto& entry) { return entry.first == zone; });
+                                 [&](const ZoneTaskCount& placed) { return placed.zone == zone; });
     if (at == zones.end()) {
-      zones.emplace_back(zone, 1);
+      zones.push_back({zone, 1});
     } else {
-      ++at->second;
+      ++at->tasks;
     }
   }
 }
 
-void Planner::keep_rest(const QueueItem& item) {
+void Planner::reserve_remaining_tasks(const QueueItem& item) {
   // The tasks that did not start keep the job's later places; the earliest are given up.
   Reservation& r = reservations_.at(item.job_id);
   std::sort(r.places.begin(), r.places.end(),
@@ -421,37 +424,38 @@
                                                             r.places.size() - item.demand.tasks));
   }
   const Plan rest = plan_of(r);
-  if (!rest.placements.empty() && holds(rest, item.demand)) {
-    profile_.take(rest, *item.demand.job, item.owner);
+  if (!rest.placements.empty() && still_fits(rest, item.demand)) {
+    profile_.allocate(rest, *item.demand.job, item.owner);
   } else if (const auto later = profile_.earliest(item.demand, now_)) {
-    set(item, *later);
+    reserve(item, *later);
   } else {
-    hold_unplaced(item);
+    reserve_unplaced(item);
   }
 }
 
-bool Planner::could_begin_on(const QueueItem& item,
+bool Planner::could_start_on(const QueueItem& item,
                              const std::vector<std::size_t>& timelines) const {
   return std::any_of(timelines.begin(), timelines.end(), [&](std::size_t timeline) {
     return Profile::allowed(*item.demand.job, profile_.machines()[timeline]) &&
-           profile_.timeline(timeline).takes(item.demand.job->need, now_, now_ + item.demand.run);
+           profile_.timeline(timeline).can_fit(item.demand.job->need, now_, now_ + item.demand.run);
   });
 }
 
 bool Planner::would_fail_again(const QueueItem& item) const {
-  const auto known = failed_.find(item.job_id);
-  if (known == failed_.end()) return false;
+  const auto known = failed_starts_.find(item.job_id);
+  if (known == failed_starts_.end()) return false;
   const FailedStart& failure = known->second;
   const Demand& demand = item.demand;
   const bool same = failure.tasks == demand.tasks && failure.run == demand.run &&
-                    failure.zone == demand.zone && demand.only.empty() && !demand.job->spread;
+                    failure.zone == demand.zone && demand.allowed_machines.empty() &&
+                    !demand.job->spread;
   if (!same || now_ - failure.at > kFailedStartMaxAge) return false;
   // Its own time has come: what kept the room for it until now was its own reservation.
   if (first_of(reservations_.at(item.job_id)) <= now_) return false;
   if (failure.at_team_limit) {
-    return !profile_.team_opened_since(demand.job->team, failure.version);
+    return !profile_.team_capacity_freed_since(demand.job->team, failure.version);
   }
-  return !profile_.opened_for(demand, failure.version, failure.at, now_);
+  return !profile_.capacity_freed_for(demand, failure.version, failure.at, now_);
 }
 
 void Planner::note_failed_start(const QueueItem& item) {
@@ -459,14 +463,14 @@
   const PlacementSearch search(profile_);
   Demand longest = demand;
   longest.run = demand.run + kLongestFetch;
-  const bool at_limit = !search.team_takes(demand, now_);
+  const bool at_limit = !search.team_can_fit(demand, now_);
   // Where only a longer run would meet the limit, it is not known which of the two was in the way.
-  if (!at_limit && !search.team_takes(longest, now_)) {
-    failed_.erase(item.job_id);
+  if (!at_limit && !search.team_can_fit(longest, now_)) {
+    failed_starts_.erase(item.job_id);
     return;
   }
-  failed_[item.job_id] = {profile_.version(), now_,        demand.tasks,
-                          demand.run,         demand.zone, at_limit};
+  failed_starts_[item.job_id] = {profile_.version(), now_,        demand.tasks,
+                                 demand.run,         demand.zone, at_limit};
 }
 
 // Not split yet, issue 17.
@@ -492,21 +496,21 @@
       blocked[i++] = true;
       continue;
     }
-    if (!profile_.room_beside_running(item.demand, now_)) {
+    if (!profile_.may_fit_beside_running(item.demand, now_)) {
       note_failed_start(item);
       gone[i++] = true;
       continue;
     }
-    profile_.release_for_trial(item.owner);
+    profile_.release_tentatively(item.owner);
     auto plan = start_now(item);
     if (!plan) plan = displace_reservations(item);
     if (!plan) {
       note_failed_start(item);
-      put_back(item);
+      reapply_reservation(item);
       blocked[i++] = true;
       continue;
     }
-    failed_.erase(item.job_id);
+    failed_starts_.erase(item.job_id);
     // Places that it gives up by starting now; those it starts on are not among them, unless they
     // were reserved for later.
     std::vector<std::size_t> opened;
@@ -516,25 +520,25 @@
                                     [&](const Placement& t) { return t.machine == s.machine; });
       if (!same) {
         opened.push_back(s.machine);
-        profile_.note_opened(s.machine);
+        profile_.mark_capacity_freed(s.machine);
       }
     }
     std::vector<std::uint32_t> task_indices(
         item.task_indices.begin(),
         item.task_indices.begin() + static_cast<std::ptrdiff_t>(plan->placements.size()));
     begin_now(item, *plan);
-    profile_.note_team_opened(item.demand.job->team);  // its reserved time is given up
+    profile_.mark_team_capacity_freed(item.demand.job->team);  // its reserved time is given up
     starts.push_back({item.job_id, *plan, std::move(task_indices)});
     if (item.demand.tasks == 0) {
       gone[i] = true;
     } else {
       blocked[i] = true;
-      keep_rest(item);
+      reserve_remaining_tasks(item);
     }
     // Back to the front of the queue (2.1): to the first that could use what was given up.
     std::size_t front = i + 1;
     for (std::size_t k = 0; k <= i && !opened.empty(); ++k) {
-      if (!blocked[k] || gone[k] || !could_begin_on(queue_[k], opened)) continue;
+      if (!blocked[k] || gone[k] || !could_start_on(queue_[k], opened)) continue;
       blocked[k] = false;
       front = std::min(front, k);
     }
--- a/src/scheduling/planner.hpp
+++ b/src/scheduling/planner.hpp
@@ -22,7 +22,7 @@
   WallTime accepted;
   WallTime not_before;             // after a fault: when it may be tried again
   std::optional<WallTime> target;  // the next start time that meets an objective of its class
-  bool missed = false;             // it has objectives, and all their start times have passed
+  bool objectives_missed = false;  // it has objectives, and all their start times have passed
   bool overdue = false;            // it has never begun, and has waited for too long
   bool of_guaranteed_team = true;  // its team has a guarantee, whether it fits into it or not
   bool failing = false;            // it failed again and again, and has worked nowhere
@@ -31,7 +31,7 @@
 /// Urgency (what is overdue counts as standard at the least), then work within its team's
 /// guarantee, then what is overdue, by acceptance, then work of teams that have a guarantee, then
 /// the nearest start that still meets an objective, then Shortest Job First, then acceptance.
-bool before(const QueueItem& a, const QueueItem& b);
+bool has_higher_priority(const QueueItem& a, const QueueItem& b);
 
 /// A job's reservation: machines are named, since the profile is built anew for each round.
 struct Reservation {
@@ -41,11 +41,11 @@
     WallTime end;
   };
   std::vector<Place> places;  // empty: no machine can take the job yet
-  WallTime first;             // the start granted at arrival
+  WallTime granted_start;     // at arrival; never moved later by an arrival
   WallTime start;
   WallTime end;
-  bool changed = true;  // not yet in the state service
-  WallTime written;     // when it was last recorded there; 0: never
+  bool changed = true;                    // not yet in the state service
+  std::optional<WallTime> last_recorded;  // when it was last written there
 };
 
 using Reservations = std::unordered_map<JobId, Reservation>;
@@ -64,7 +64,7 @@
 
 /// Machines on which room was made for a job by stopping others: its reservation is on just these,
 /// or what was stopped for it would be taken piece by piece by smaller jobs.
-using Pins = std::unordered_map<JobId, std::vector<MachineId>>;
+using PinnedMachines = std::unordered_map<JobId, std::vector<MachineId>>;
 
 struct Start {
   JobId job_id;
@@ -72,12 +72,18 @@
   std::vector<std::uint32_t> task_indices;  // as many as spots
 };
 
-struct Moved {
+struct ReservationDelay {
   JobId job_id;
   WallTime from;
   WallTime to;
 };
 
+/// A waiting job and the plan that it would get; no plan: no machine can take it.
+struct ForecastEntry {
+  const QueueItem* item = nullptr;
+  std::optional<Plan> plan;
+};
+
 class Planner {
  public:
   /// `spent` tells whether this share of the round's budget is used up.
@@ -88,7 +94,7 @@
   /// Puts the reservations into the profile, those for which room was made first. One that no
   /// longer holds (a task overran, a machine was lost) is placed again, and reported if that makes
   /// it later. What the budget leaves keeps its place and is looked at by the next round.
-  std::vector<Moved> restore(const Pins& pins = {});
+  std::vector<ReservationDelay> restore(const PinnedMachines& pins = {});
 
   /// The arrival step for jobs without a reservation (the paper's 2.2). False: budget used up.
   bool admit_arrivals();
@@ -97,10 +103,9 @@
   /// 2.2). `cursor` is where the last round stopped; it is 0 when the round is complete.
   std::vector<Start> compress(std::size_t& cursor);
 
-  /// What the queue's first `most` jobs would get if all were placed anew, by priority. Nothing is
-  /// changed by asking.
-  [[nodiscard]] std::vector<std::pair<const QueueItem*, std::optional<Plan>>> outlook(
-      std::size_t most) const;
+  /// What the queue's first `max_jobs` jobs would get if all were placed anew, by priority. Nothing
+  /// is changed by asking.
+  [[nodiscard]] std::vector<ForecastEntry> forecast(std::size_t max_jobs) const;
 
   /// Ends the round: the profile with the reservations, for the next one.
   Profile take_profile();
@@ -112,17 +117,17 @@
   [[nodiscard]] Plan plan_of(const Reservation& r) const;
   /// The plan fits into the profile, and its zones go together with those of the job's tasks that
   /// are placed already.
-  [[nodiscard]] bool holds(const Plan& plan, const Demand& demand) const;
+  [[nodiscard]] bool still_fits(const Plan& plan, const Demand& demand) const;
   [[nodiscard]] bool satisfies_zone_constraints(const Reservation& r, const Demand& demand) const;
-  void set(const QueueItem& item, const Plan& plan);
-  void put_back(const QueueItem& item);
+  void reserve(const QueueItem& item, const Plan& plan);
+  void reapply_reservation(const QueueItem& item);
   /// Keeps a reservation that broke, or places it again, where that moves nobody else and makes it
   /// hardly later. False: all that was granted a later start has to make way first.
-  bool repair(const QueueItem& item, std::vector<Moved>& moved);
-  void slide_to_now(Plan& plan) const;
+  bool repair(const QueueItem& item, std::vector<ReservationDelay>& moved);
+  void shift_to_now(Plan& plan) const;
   /// `move_others`: those of higher priority that could be delayed are tried at an earlier place.
-  void arrive(const QueueItem& item, bool move_others);
-  void hold_unplaced(const QueueItem& item);
+  void admit(const QueueItem& item, bool move_others);
+  void reserve_unplaced(const QueueItem& item);
   [[nodiscard]] std::optional<Plan> start_now(const QueueItem& item) const;
   /// A standing job never fits before reservations, as it has no end. It starts all the same where
   /// nothing runs, if only reservations of lower urgency are in its way: these are placed again.
@@ -134,14 +139,14 @@
   [[nodiscard]] bool would_fail_again(const QueueItem& item) const;
   void note_failed_start(const QueueItem& item);
   void begin_now(QueueItem& item, const Plan& plan);
-  void keep_rest(const QueueItem& item);
-  [[nodiscard]] bool could_begin_on(const QueueItem& item,
+  void reserve_remaining_tasks(const QueueItem& item);
+  [[nodiscard]] bool could_start_on(const QueueItem& item,
                                     const std::vector<std::size_t>& timelines) const;
 
   Profile profile_;
   std::vector<QueueItem> queue_;
   Reservations& reservations_;
-  FailedStarts& failed_;
+  FailedStarts& failed_starts_;
   WallTime now_;
   std::function<bool(double)> spent_;
   std::vector<Owner> started_;
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -15,9 +15,10 @@
 
 /// As many of the job's tasks as `spread` allows are in the zone already.
 bool zone_is_full(const Demand& demand, const ZoneId& zone) {
-  return std::any_of(demand.elsewhere.begin(), demand.elsewhere.end(), [&](const auto& placed) {
-    return placed.first == zone && placed.second >= max_tasks_in_zone(*demand.job);
-  });
+  return std::any_of(demand.placed_tasks.begin(), demand.placed_tasks.end(),
+                     [&](const ZoneTaskCount& placed) {
+                       return placed.zone == zone && placed.tasks >= max_tasks_in_zone(*demand.job);
+                     });
 }
 }  // namespace
 
--- a/src/scheduling/profile.cpp
+++ b/src/scheduling/profile.cpp
@@ -44,7 +44,7 @@
     unused_.pop_back();
   }
   timelines_[at] = ResourceTimeline(machine.resources);
-  note_opened(at);
+  mark_capacity_freed(at);
   tie_break_seeds_[at] = std::hash<MachineId>{}(machine.machine_id);
   index_[machine.machine_id] = at;
   auto group = std::find_if(groups_.begin(), groups_.end(), [&](const Group& g) {
@@ -75,19 +75,19 @@
   PlanMachine& known = machines_[machine];
   if (ready > known.ready) break_owners_on(machine);
   if (ready < known.ready || fetching < known.fetching || images != known.images) {
-    note_opened(machine);
+    mark_capacity_freed(machine);
   }
   known.ready = ready;
   known.images = std::move(images);
   known.fetching = fetching;
 }
 
-void Profile::note_opened(std::size_t machine) {
+void Profile::mark_capacity_freed(std::size_t machine) {
   next_version();
   opened_[machine] = version_;
 }
 
-void Profile::note_team_opened(const TeamId& team) {
+void Profile::mark_team_capacity_freed(const TeamId& team) {
   next_version();
   for (TeamTimeline& known : teams_) {
     if (known.name == team) known.opened = version_;
@@ -98,7 +98,7 @@
   for (const Allocation& t : timelines_[machine].allocations()) broken_.insert(t.owner);
 }
 
-void Profile::set_team(const TeamId& team, Resources limit) {
+void Profile::add_team(const TeamId& team, Resources limit) {
   teams_.push_back({team, ResourceTimeline(limit), {}});
 }
 
@@ -108,30 +108,30 @@
   return it->second;
 }
 
-const ResourceTimeline* Profile::team(const TeamId& team) const {
+const ResourceTimeline* Profile::team_timeline(const TeamId& team) const {
   for (const TeamTimeline& known : teams_) {
     if (known.name == team) return &known.timeline;
   }
   return nullptr;
 }
 
-void Profile::take(std::size_t machine, const TeamId& team, const Allocation& allocation) {
-  timelines_[machine].take(allocation);
+void Profile::allocate(std::size_t machine, const TeamId& team, const Allocation& allocation) {
+  timelines_[machine].allocate(allocation);
   auto& timelines = owners_[allocation.owner];
   if (std::find(timelines.begin(), timelines.end(), machine) == timelines.end())
     timelines.push_back(machine);
-  take_team(team, allocation);
+  allocate_team(team, allocation);
 }
 
-void Profile::take_team(const TeamId& team, const Allocation& allocation) {
+void Profile::allocate_team(const TeamId& team, const Allocation& allocation) {
   for (std::size_t i = 0; i < teams_.size(); ++i) {
     if (teams_[i].name != team) continue;
-    teams_[i].timeline.take(allocation);
+    teams_[i].timeline.allocate(allocation);
     team_of_[allocation.owner] = i;
   }
 }
 
-void Profile::take(const Plan& plan, const JobSpec& job, Owner owner) {
+void Profile::allocate(const Plan& plan, const JobSpec& job, Owner owner) {
   // Tasks of one place and time are one allocation: a timeline's cost follows their number.
   std::vector<Placement> sorted = plan.placements;
   const auto each_run = [&sorted](auto same, auto take_run) {
@@ -151,7 +151,7 @@
         return a.machine == b.machine && a.start == b.start && a.end == b.end;
       },
       [&](const Placement& first, double count) {
-        timelines_[first.machine].take({first.start, first.end, job.need * count, owner});
+        timelines_[first.machine].allocate({first.start, first.end, job.need * count, owner});
         if (timelines.empty() || timelines.back() != first.machine)
           timelines.push_back(first.machine);
       });
@@ -161,7 +161,7 @@
   each_run(
       [](const Placement& a, const Placement& b) { return a.start == b.start && a.end == b.end; },
       [&](const Placement& first, double count) {
-        take_team(job.team, {first.start, first.end, job.need * count, owner});
+        allocate_team(job.team, {first.start, first.end, job.need * count, owner});
       });
 }
 
@@ -186,25 +186,25 @@
     next_version();
     teams_[team->second].opened = version_;
   }
-  for (const std::size_t timeline : release_allocations(owner)) note_opened(timeline);
+  for (const std::size_t timeline : release_allocations(owner)) mark_capacity_freed(timeline);
 }
 
-void Profile::release_for_trial(Owner owner) { release_allocations(owner); }
+void Profile::release_tentatively(Owner owner) { release_allocations(owner); }
 
-bool Profile::opened_for(const Demand& demand, Version since, WallTime ready_since,
-                         WallTime now) const {
+bool Profile::capacity_freed_for(const Demand& demand, Version since, WallTime ready_since,
+                                 WallTime now) const {
   bool found = false;
-  each_allowed(demand, demand.zone, [&](std::size_t machine) {
+  for_each_allowed_machine(demand, demand.zone, [&](std::size_t machine) {
     if (found) return;
     const WallTime ready = machines_[machine].ready;
     const bool became_ready = ready > ready_since && ready <= now;
     if (opened_[machine] <= since && !became_ready) return;
-    found = ready <= now && timelines_[machine].takes(demand.job->need, now, now + demand.run);
+    found = ready <= now && timelines_[machine].can_fit(demand.job->need, now, now + demand.run);
   });
   return found;
 }
 
-bool Profile::team_opened_since(const TeamId& team, Version since) const {
+bool Profile::team_capacity_freed_since(const TeamId& team, Version since) const {
   return std::any_of(teams_.begin(), teams_.end(), [&](const TeamTimeline& known) {
     return known.name == team && known.opened > since;
   });
@@ -234,18 +234,19 @@
                       static_cast<double>(1 + machine.fetching));
 }
 
-bool Profile::intact(Owner owner) const {
+bool Profile::reservation_still_fits(Owner owner) const {
   const auto timelines = owners_.find(owner);
   const auto limit = team_of_.find(owner);
   if (timelines == owners_.end() || broken_.contains(owner)) return false;
-  if (limit != team_of_.end() && !teams_[limit->second].timeline.intact(owner)) return false;
+  if (limit != team_of_.end() && !teams_[limit->second].timeline.allocations_fit(owner))
+    return false;
   return std::all_of(timelines->second.begin(), timelines->second.end(), [&](std::size_t timeline) {
-    ++looked_;
-    return timelines_[timeline].intact(owner);
+    ++candidates_examined_;
+    return timelines_[timeline].allocations_fit(owner);
   });
 }
 
-bool Profile::holds(const Plan& plan, const JobSpec& job) const {
+bool Profile::still_fits(const Plan& plan, const JobSpec& job) const {
   for (const Placement& placement : plan.placements) {
     if (placement.machine >= machines_.size() ||
         machines_[placement.machine].ready > placement.start ||
@@ -253,8 +254,8 @@
       return false;
     }
   }
-  const ResourceTimeline* limit = team(job.team);
-  return machines_hold(plan, job) && (limit == nullptr || team_holds(plan, job, *limit));
+  const ResourceTimeline* limit = team_timeline(job.team);
+  return fits_machines(plan, job) && (limit == nullptr || fits_team_limit(plan, job, *limit));
 }
 
 bool Profile::has_tasks_elsewhere(const Demand& demand) {
@@ -266,7 +267,10 @@
   const JobSpec& job = *demand.job;
   if (!has_tasks_elsewhere(demand)) return true;
   std::map<ZoneId, std::uint32_t> counts;
-  if (job.spread) counts.insert(demand.elsewhere.begin(), demand.elsewhere.end());
+  if (job.spread) {
+    for (const ZoneTaskCount& placed : demand.placed_tasks)
+      counts.emplace(placed.zone, placed.tasks);
+  }
   std::optional<ZoneId> only = demand.zone;
   for (const Placement& placement : plan.placements) {
     const ZoneId& zone = machines_[placement.machine].zone;
@@ -277,26 +281,27 @@
   return true;
 }
 
-bool Profile::machines_hold(const Plan& plan, const JobSpec& job) const {
+bool Profile::fits_machines(const Plan& plan, const JobSpec& job) const {
   std::vector<Placement> sorted = plan.placements;
   std::sort(sorted.begin(), sorted.end(),
             [](const Placement& a, const Placement& b) { return a.machine < b.machine; });
   for (std::size_t i = 0; i < sorted.size();) {
     std::size_t next = i + 1;
     while (next < sorted.size() && sorted[next].machine == sorted[i].machine) ++next;
-    ++looked_;
-    if (!lane_holds(timelines_[sorted[i].machine], &sorted[i], next - i, job.need)) return false;
+    ++candidates_examined_;
+    if (!fit_on_timeline(timelines_[sorted[i].machine], &sorted[i], next - i, job.need))
+      return false;
     i = next;
   }
   return true;
 }
 
-bool Profile::team_holds(const Plan& plan, const JobSpec& job, const ResourceTimeline& limit) {
-  return lane_holds(limit, plan.placements.data(), plan.placements.size(), job.need);
+bool Profile::fits_team_limit(const Plan& plan, const JobSpec& job, const ResourceTimeline& limit) {
+  return fit_on_timeline(limit, plan.placements.data(), plan.placements.size(), job.need);
 }
 
-bool Profile::lane_holds(const ResourceTimeline& timeline, const Placement* placements,
-                         std::size_t count, const Resources& need) {
+bool Profile::fit_on_timeline(const ResourceTimeline& timeline, const Placement* placements,
+                              std::size_t count, const Resources& need) {
   // Quick and strict first: as if all ran for the whole time.
   WallTime first = kNever;
   WallTime last{};
@@ -304,12 +309,12 @@
     first = std::min(first, placements[i].start);
     last = std::max(last, placements[i].end);
   }
-  if (timeline.takes(need * static_cast<double>(count), first, last)) return true;
+  if (timeline.can_fit(need * static_cast<double>(count), first, last)) return true;
   if (count == 1) return false;
   ResourceTimeline trial = timeline;
   for (std::size_t i = 0; i < count; ++i) {
-    if (!trial.takes(need, placements[i].start, placements[i].end)) return false;
-    trial.take({placements[i].start, placements[i].end, need, Owner{}});
+    if (!trial.can_fit(need, placements[i].start, placements[i].end)) return false;
+    trial.allocate({placements[i].start, placements[i].end, need, Owner{}});
   }
   return true;
 }
@@ -318,20 +323,20 @@
   return PlacementSearch(*this).fit_at(demand, at);
 }
 
-Plan Profile::fit_some(const Demand& demand, WallTime at) const {
-  return PlacementSearch(*this).fit_some(demand, at);
+Plan Profile::fit_partially(const Demand& demand, WallTime at) const {
+  return PlacementSearch(*this).fit_partially(demand, at);
 }
 
 std::optional<Plan> Profile::earliest(const Demand& demand, WallTime from) const {
   return PlacementSearch(*this).earliest(demand, from);
 }
 
-Plan Profile::beside_running(const Demand& demand, WallTime at) const {
-  return PlacementSearch(*this).beside_running(demand, at);
+Plan Profile::fit_beside_running(const Demand& demand, WallTime at) const {
+  return PlacementSearch(*this).fit_beside_running(demand, at);
 }
 
-bool Profile::room_beside_running(const Demand& demand, WallTime at) const {
-  return PlacementSearch(*this).room_beside_running(demand, at);
+bool Profile::may_fit_beside_running(const Demand& demand, WallTime at) const {
+  return PlacementSearch(*this).may_fit_beside_running(demand, at);
 }
 
 }  // namespace marblevale
--- a/src/scheduling/profile.hpp
+++ b/src/scheduling/profile.hpp
@@ -32,15 +32,21 @@
   std::size_t fetching = 0;  // images on their way there: a further one shares the rate
 };
 
+/// How many of a job's tasks a zone has.
+struct ZoneTaskCount {
+  ZoneId zone;
+  std::uint32_t tasks = 0;
+};
+
 /// What is asked of the profile: tasks of one job that are still to be placed.
 struct Demand {
   const JobSpec* job = nullptr;
   std::uint32_t tasks = 1;
-  Duration run{};               // estimated run time of each
-  std::vector<MachineId> only;  // if given: no other machines
-  std::optional<ZoneId> zone;   // where the job's other tasks are, if `together`
-  std::optional<ZoneId> lean;   // where to go among equals: one zone costs fewer writes
-  std::vector<std::pair<ZoneId, std::uint32_t>> elsewhere;  // placed tasks per zone, for `spread`
+  Duration run{};                           // estimated run time of each
+  std::vector<MachineId> allowed_machines;  // if given: no other machines
+  std::optional<ZoneId> zone;               // where the job's other tasks are, if `together`
+  std::optional<ZoneId> preferred_zone;     // among equals: one zone costs fewer writes
+  std::vector<ZoneTaskCount> placed_tasks;  // the job's placed tasks per zone, for `spread`
 };
 
 struct Placement {
@@ -63,7 +69,7 @@
   std::size_t add_machine(PlanMachine machine);
   /// Its timeline and all that was taken there; its index may be used again.
   void remove_machine(std::size_t machine);
-  void set_team(const TeamId& team, Resources limit);
+  void add_team(const TeamId& team, Resources limit);
   /// What may change of a machine while it is in the profile.
   void update_machine(std::size_t machine, WallTime ready, ImageSet images, std::size_t fetching);
 
@@ -74,26 +80,27 @@
   [[nodiscard]] const ResourceTimeline& timeline(std::size_t machine) const {
     return timelines_[machine];
   }
-  [[nodiscard]] const ResourceTimeline* team(const TeamId& team) const;
+  [[nodiscard]] const ResourceTimeline* team_timeline(const TeamId& team) const;
 
-  void take(std::size_t machine, const TeamId& team, const Allocation& allocation);
+  void allocate(std::size_t machine, const TeamId& team, const Allocation& allocation);
   /// On a machine outside the profile: only the team's limit is touched.
-  void take_team(const TeamId& team, const Allocation& allocation);
-  void take(const Plan& plan, const JobSpec& job, Owner owner);
+  void allocate_team(const TeamId& team, const Allocation& allocation);
+  void allocate(const Plan& plan, const JobSpec& job, Owner owner);
   void release(Owner owner);
   /// As `release`, for what will be taken again as it was, unless something better is found: nobody
-  /// else is to look for room there meanwhile. `note_opened` follows where it is not taken again.
-  void release_for_trial(Owner owner);
-  void note_opened(std::size_t machine);
-  void note_team_opened(const TeamId& team);
+  /// else is to look for room there meanwhile. `mark_capacity_freed` follows where it is not taken
+  /// again.
+  void release_tentatively(Owner owner);
+  void mark_capacity_freed(std::size_t machine);
+  void mark_team_capacity_freed(const TeamId& team);
   /// Of all that have room there for later.
   void release_reservations_on(std::size_t machine);
 
   /// True when the owner has taken room, and nowhere is more taken during that time than there is.
-  [[nodiscard]] bool intact(Owner owner) const;
+  [[nodiscard]] bool reservation_still_fits(Owner owner) const;
   /// True when the plan still fits as it is.
-  [[nodiscard]] bool holds(const Plan& plan, const JobSpec& job) const;
-  [[nodiscard]] Plan beside_running(const Demand& demand, WallTime at) const;
+  [[nodiscard]] bool still_fits(const Plan& plan, const JobSpec& job) const;
+  [[nodiscard]] Plan fit_beside_running(const Demand& demand, WallTime at) const;
   /// The job's tasks start one by one, and where some are decides where others may be. A gang is
   /// placed whole, while none of its tasks is anywhere.
   [[nodiscard]] static bool has_tasks_elsewhere(const Demand& demand);
@@ -102,11 +109,11 @@
   /// All tasks at exactly `at`: for gangs, or to ask whether a slice can start whole.
   [[nodiscard]] std::optional<Plan> fit_at(const Demand& demand, WallTime at) const;
   /// As many tasks of an array as can start at `at`.
-  [[nodiscard]] Plan fit_some(const Demand& demand, WallTime at) const;
+  [[nodiscard]] Plan fit_partially(const Demand& demand, WallTime at) const;
   /// The earliest plan from `from` on; nothing when no machine of the profile can ever take it.
   [[nodiscard]] std::optional<Plan> earliest(const Demand& demand, WallTime from) const;
   /// False: what runs leaves too little room for the demand at `at` whatever is reserved. Quick.
-  [[nodiscard]] bool room_beside_running(const Demand& demand, WallTime at) const;
+  [[nodiscard]] bool may_fit_beside_running(const Demand& demand, WallTime at) const;
 
   /// True when the job's rules allow the machine.
   [[nodiscard]] static bool allowed(const JobSpec& job, const PlanMachine& machine);
@@ -116,11 +123,11 @@
   [[nodiscard]] Version version() const { return version_; }
   /// True when room on a machine that the demand's job may use was opened after `since`, or the
   /// machine became ready after `ready_since`, and one of its tasks could begin there `now`.
-  [[nodiscard]] bool opened_for(const Demand& demand, Version since, WallTime ready_since,
-                                WallTime now) const;
-  [[nodiscard]] bool team_opened_since(const TeamId& team, Version since) const;
+  [[nodiscard]] bool capacity_freed_for(const Demand& demand, Version since, WallTime ready_since,
+                                        WallTime now) const;
+  [[nodiscard]] bool team_capacity_freed_since(const TeamId& team, Version since) const;
   /// Lanes looked at so far: the cost of planning in steps.
-  [[nodiscard]] std::uint64_t looked() const { return looked_; }
+  [[nodiscard]] std::uint64_t candidates_examined() const { return candidates_examined_; }
 
   /// Machines of one type, zone and kind.
   struct Group {
@@ -130,16 +137,18 @@
   [[nodiscard]] const std::vector<Group>& groups() const { return groups_; }
   /// Calls `each` with every machine, by index, that the demand's job may use in the zone.
   template <typename Each>
-  void each_allowed(const Demand& demand, const std::optional<ZoneId>& zone, Each each) const {
+  void for_each_allowed_machine(const Demand& demand, const std::optional<ZoneId>& zone,
+                                Each each) const {
     for (const Group& group : groups_) {
       if (group.members.empty() || (zone && group.kind.zone != *zone)) continue;
       if (!allowed(*demand.job, group.kind)) continue;
       for (const std::size_t i : group.members) {
-        if (!demand.only.empty() && std::find(demand.only.begin(), demand.only.end(),
-                                              machines_[i].machine_id) == demand.only.end()) {
+        if (!demand.allowed_machines.empty() &&
+            std::find(demand.allowed_machines.begin(), demand.allowed_machines.end(),
+                      machines_[i].machine_id) == demand.allowed_machines.end()) {
           continue;
         }
-        ++looked_;
+        ++candidates_examined_;
         each(i);
       }
     }
@@ -150,7 +159,7 @@
   }
   /// The highest price of any machine that was ever in the profile.
   [[nodiscard]] double highest_price() const { return highest_price_; }
-  void count_looked() const { ++looked_; }
+  void count_candidate() const { ++candidates_examined_; }
 
  private:
   /// A team's limit over time.
@@ -162,13 +171,13 @@
   void break_owners_on(std::size_t machine);
   /// Takes the owner's room back; the machines where it was.
   std::vector<std::size_t> release_allocations(Owner owner);
-  [[nodiscard]] bool machines_hold(const Plan& plan, const JobSpec& job) const;
-  [[nodiscard]] static bool team_holds(const Plan& plan, const JobSpec& job,
-                                       const ResourceTimeline& limit);
+  [[nodiscard]] bool fits_machines(const Plan& plan, const JobSpec& job) const;
+  [[nodiscard]] static bool fits_team_limit(const Plan& plan, const JobSpec& job,
+                                            const ResourceTimeline& limit);
   /// True when the timeline takes these placements together, one after the other or at once.
-  [[nodiscard]] static bool lane_holds(const ResourceTimeline& timeline,
-                                       const Placement* placements, std::size_t count,
-                                       const Resources& need);
+  [[nodiscard]] static bool fit_on_timeline(const ResourceTimeline& timeline,
+                                            const Placement* placements, std::size_t count,
+                                            const Resources& need);
   void next_version() { version_ = Version(version_.get() + 1); }
 
   std::vector<PlanMachine> machines_;
@@ -185,7 +194,7 @@
   std::unordered_map<Owner, std::vector<std::size_t>> owners_;  // timelines where it has taken room
   std::unordered_map<Owner, std::size_t> team_of_;
   std::unordered_set<Owner> broken_;  // a machine that they counted on is gone, or comes later
-  mutable std::uint64_t looked_ = 0;
+  mutable std::uint64_t candidates_examined_ = 0;
 };
 
 }  // namespace marblevale
--- a/src/scheduling/resource_timeline.cpp
+++ b/src/scheduling/resource_timeline.cpp
@@ -53,7 +53,7 @@
   }
 }
 
-void ResourceTimeline::take(const Allocation& allocation) {
+void ResourceTimeline::allocate(const Allocation& allocation) {
   allocations_.push_back(allocation);
   add(allocation, 1);
   if (allocation.from == WallTime{}) {
@@ -91,28 +91,28 @@
   std::size_t i = step_at(from);
   if (i == steps_.size()) i = 0;
   for (; i < steps_.size() && steps_[i].from < to; ++i) most = most_of(most, steps_[i].used);
-  return whole_ - most;
+  return capacity_ - most;
 }
 
-bool ResourceTimeline::takes(const Resources& need, WallTime from, WallTime to) const {
-  if (fits(need + total_, whole_)) return true;
+bool ResourceTimeline::can_fit(const Resources& need, WallTime from, WallTime to) const {
+  if (fits(need + total_, capacity_)) return true;
   std::size_t i = step_at(from);
   if (i == steps_.size()) i = 0;
   for (; i < steps_.size() && steps_[i].from < to; ++i) {
-    if (!fits(need + steps_[i].used, whole_)) return false;
+    if (!fits(need + steps_[i].used, capacity_)) return false;
   }
   return true;
 }
 
-std::optional<WallTime> ResourceTimeline::next(const Resources& need, WallTime from,
-                                               Duration run) const {
-  if (!fits(need, whole_)) return std::nullopt;
-  if (fits(need + total_, whole_)) return from;
+std::optional<WallTime> ResourceTimeline::earliest_fit(const Resources& need, WallTime from,
+                                                       Duration run) const {
+  if (!fits(need, capacity_)) return std::nullopt;
+  if (fits(need + total_, capacity_)) return from;
   WallTime begin = from;
   std::size_t i = step_at(from);
   if (i == steps_.size()) i = 0;
   for (; i < steps_.size() && steps_[i].from < begin + run; ++i) {
-    if (fits(need + steps_[i].used, whole_)) continue;
+    if (fits(need + steps_[i].used, capacity_)) continue;
     // Too much is used here: not before the next step.
     if (i + 1 == steps_.size()) return std::nullopt;  // cannot be: the last step uses nothing
     begin = steps_[i + 1].from;
@@ -120,14 +120,14 @@
   return begin;
 }
 
-bool ResourceTimeline::intact(Owner owner) const {
-  if (fits(total_, whole_)) return true;
+bool ResourceTimeline::allocations_fit(Owner owner) const {
+  if (fits(total_, capacity_)) return true;
   return std::all_of(allocations_.begin(), allocations_.end(), [&](const Allocation& t) {
-    return t.owner != owner || takes(Resources{}, t.from, t.to);
+    return t.owner != owner || can_fit(Resources{}, t.from, t.to);
   });
 }
 
-std::optional<WallTime> ResourceTimeline::change_after(WallTime at) const {
+std::optional<WallTime> ResourceTimeline::next_change_after(WallTime at) const {
   const auto after = std::upper_bound(steps_.begin(), steps_.end(), at,
                                       [](WallTime t, const Step& step) { return t < step.from; });
   if (after == steps_.end()) return std::nullopt;
--- a/src/scheduling/resource_timeline.hpp
+++ b/src/scheduling/resource_timeline.hpp
@@ -25,24 +25,24 @@
 /// the steps that it touches, once.
 class ResourceTimeline {
  public:
-  explicit ResourceTimeline(Resources whole) : whole_(whole) {}
-  void take(const Allocation& allocation);
+  explicit ResourceTimeline(Resources whole) : capacity_(whole) {}
+  void allocate(const Allocation& allocation);
   void release(Owner owner);
-  [[nodiscard]] const Resources& whole() const { return whole_; }
+  [[nodiscard]] const Resources& capacity() const { return capacity_; }
   [[nodiscard]] const std::vector<Allocation>& allocations() const { return allocations_; }
   /// The least that is free at any moment of [from, to).
   [[nodiscard]] Resources free(WallTime from, WallTime to) const;
-  [[nodiscard]] bool takes(const Resources& need, WallTime from, WallTime to) const;
+  [[nodiscard]] bool can_fit(const Resources& need, WallTime from, WallTime to) const;
   /// The first moment from `from` on at which `need` fits for `run`.
-  [[nodiscard]] std::optional<WallTime> next(const Resources& need, WallTime from,
-                                             Duration run) const;
+  [[nodiscard]] std::optional<WallTime> earliest_fit(const Resources& need, WallTime from,
+                                                     Duration run) const;
   /// True when what the owner has taken fits along with all else.
-  [[nodiscard]] bool intact(Owner owner) const;
+  [[nodiscard]] bool allocations_fit(Owner owner) const;
   /// The first moment after `at` at which something changes.
-  [[nodiscard]] std::optional<WallTime> change_after(WallTime at) const;
+  [[nodiscard]] std::optional<WallTime> next_change_after(WallTime at) const;
   /// Quick and certain: what runs at `at` leaves no room for `need`, whatever is reserved.
-  [[nodiscard]] bool surely_full(const Resources& need, WallTime at) const {
-    return at < running_until_ && !fits(need, whole_ - running_);
+  [[nodiscard]] bool no_room_beside_running(const Resources& need, WallTime at) const {
+    return at < running_until_ && !fits(need, capacity_ - running_);
   }
   /// What runs now.
   [[nodiscard]] const Resources& running() const { return running_; }
@@ -59,8 +59,9 @@
   std::size_t cut_at(WallTime at);
   [[nodiscard]] std::size_t step_at(WallTime at) const;
 
-  // First what `surely_full` reads, so that a search over a cluster touches little memory.
-  Resources whole_;
+  // First what `no_room_beside_running` reads, so that a search over a cluster touches little
+  // memory.
+  Resources capacity_;
   Resources running_{};     // of what has begun
   WallTime running_until_;  // when the first of that ends; 0: nothing has begun
   Resources total_{};       // of all that is taken, at whatever time
--- a/tests/failed_start_test.cpp
+++ b/tests/failed_start_test.cpp
@@ -34,7 +34,7 @@
  public:
   Cluster(unsigned seed, bool remembers) : random_(seed), remembers_(remembers) {
     for (const TeamId& team : {TeamId("crew"), TeamId("other")})
-      profile_.set_team(team, {500, 20, 5000});
+      profile_.add_team(team, {500, 20, 5000});
     for (int i = 0; i < 10; ++i) {
       profile_.add_machine(machine(numbered("m", static_cast<std::uint64_t>(i)), i % 2 == 0 ? 4 : 8,
                                    i % 3 == 0 ? "a" : "b"));
@@ -89,7 +89,7 @@
     // Ends drift from their estimates in both directions.
     const double end = now_ + 1 + static_cast<double>((runs_ * 7919) % 60);
     runs_by_owner_[owner] = {running, entry->demand.job, end};
-    profile_.take(running, *entry->demand.job, owner);
+    profile_.allocate(running, *entry->demand.job, owner);
     entry->demand.tasks -= static_cast<std::uint32_t>(start.task_indices.size());
     entry->task_indices.resize(entry->demand.tasks);
     if (entry->demand.tasks == 0) {
@@ -114,7 +114,7 @@
         for (Placement& placement : run.plan.placements) {
           placement.end = std::max(placement.end, at(now_ + 6));
         }
-        profile_.take(run.plan, *run.job, it->first);
+        profile_.allocate(run.plan, *run.job, it->first);
       }
       ++it;
     }
--- a/tests/guest_work_test.cpp
+++ b/tests/guest_work_test.cpp
@@ -36,7 +36,7 @@
 std::vector<std::string> order(const Records& records, double now) {
   const auto none = [](const JobId&, std::uint32_t) -> const SliceRecord* { return nullptr; };
   auto queue = build_queue(records, two_teams(), none, at(now), false);
-  std::sort(queue.begin(), queue.end(), before);
+  std::sort(queue.begin(), queue.end(), has_higher_priority);
   std::vector<std::string> out;
   out.reserve(queue.size());
   for (const QueueItem& entry : queue) out.push_back(entry.job_id.get());
@@ -104,7 +104,7 @@
   Profile profile;
   profile.add_machine(machine("idle", 2));
   const auto busy = profile.add_machine(machine("busy", 2));
-  profile.take(busy, TeamId("crew"), {WallTime{}, at(1000), {0, 2, 0}, Owner(1)});
+  profile.allocate(busy, TeamId("crew"), {WallTime{}, at(1000), {0, 2, 0}, Owner(1)});
   for (int i = 0; i < 8; ++i) {
     const JobSpec probe = low("req-" + std::to_string(i), "guest", 10);
     QueueItem asked = item(probe, 2);
@@ -112,7 +112,7 @@
     without.need = {0.25, 0, 1};
     asked.demand.job = &without;
     asked.demand.tasks = 1;
-    const Plan plan = profile.fit_some(asked.demand, at(10));
+    const Plan plan = profile.fit_partially(asked.demand, at(10));
     ASSERT_EQ(plan.placements.size(), 1U);
     EXPECT_EQ(plan.placements[0].machine, busy);
   }
--- a/tests/occupancy_test.cpp
+++ b/tests/occupancy_test.cpp
@@ -35,7 +35,7 @@
 
   void change_machine() {
     const MachineId machine_id("vm-" + std::to_string(draw(kMachines)));
-    occupancy_.touch_machine(machine_id);
+    occupancy_.mark_machine_dirty(machine_id);
     if (draw(5) == 0) {
       records_.machines.erase(machine_id);
       return;
@@ -79,7 +79,7 @@
   }
 
   void forget(const SliceKey& key) {
-    occupancy_.touch_slice(key);
+    occupancy_.mark_slice_dirty(key);
     const auto old = records_.slices.find(key);
     if (old == records_.slices.end()) return;
     for (std::size_t i = 0; i < old->second.record.tasks.size(); ++i) {
@@ -99,7 +99,7 @@
 };
 
 TEST_P(OccupancyTest, IsWhatOneMadeAnewWouldBe) {
-  std::vector<Booting> booting;
+  std::vector<BootingMachine> booting;
   for (int step = 0; step < 60; ++step) {
     for (std::size_t n = draw(6); n > 0; --n) change_machine();
     for (std::size_t n = draw(6); n > 0; --n) change_slice();
@@ -132,8 +132,8 @@
     }
     for (int s = 0; s < 200; s += 7) {
       const WallTime from = now_ + Duration{std::int64_t{s} * 1000};
-      ASSERT_NEAR(kept.team(TeamId("crew"))->free(from, from + Duration{5000}).gpus,
-                  anew.team(TeamId("crew"))->free(from, from + Duration{5000}).gpus, 1e-6);
+      ASSERT_NEAR(kept.team_timeline(TeamId("crew"))->free(from, from + Duration{5000}).gpus,
+                  anew.team_timeline(TeamId("crew"))->free(from, from + Duration{5000}).gpus, 1e-6);
     }
   }
 }
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -22,7 +22,7 @@
   Reservation r;
   for (const auto& machine_id : machine_ids)
     r.places.push_back({MachineId(machine_id), at(start), at(end)});
-  r.first = r.start = at(start);
+  r.granted_start = r.start = at(start);
   r.end = at(end);
   r.changed = false;
   return r;
@@ -65,7 +65,7 @@
   const JobSpec low = gang("req-low", 1, 2, 9);
   Reservations r{{high.job_id, reserved(20, 28)}, {low.job_id, reserved(2, 11)}};
   Profile p = one_machine(3);
-  p.take(0, TeamId("x"), {at(0), at(1), {0, 0, 0}, Owner{77}});
+  p.allocate(0, TeamId("x"), {at(0), at(1), {0, 0, 0}, Owner{77}});
   Planner planner(std::move(p), {item(high, 1), item(low, 2)}, r, testing::no_failed_starts(),
                   at(0), never);
   planner.restore();
@@ -80,7 +80,7 @@
   const JobSpec f = gang("req-f", 1, 3, 10);
   Reservations r{{d.job_id, reserved(6, 16)}, {f.job_id, reserved(16, 26)}};
   Profile p = one_machine(3);
-  p.take(0, TeamId("x"), {at(0), at(4), {0, 1, 0}, Owner{99}});  // C still runs until 4
+  p.allocate(0, TeamId("x"), {at(0), at(4), {0, 1, 0}, Owner{99}});  // C still runs until 4
   Planner planner(std::move(p), {item(d, 1), item(f, 2)}, r, testing::no_failed_starts(), at(0),
                   never);
   planner.restore();
@@ -96,7 +96,7 @@
   const JobSpec fresh = gang("req-new", 1, 3, 8);
   Reservations r{{f.job_id, reserved(16, 26)}};
   Profile p = one_machine(3);
-  p.take(0, TeamId("x"), {at(0), at(4), {0, 1, 0}, Owner{99}});
+  p.allocate(0, TeamId("x"), {at(0), at(4), {0, 1, 0}, Owner{99}});
   Planner planner(std::move(p), {item(f, 1), item(fresh, 2)}, r, testing::no_failed_starts(), at(0),
                   never);
   planner.restore();
@@ -111,7 +111,7 @@
   fresh.urgency = Urgency::urgent;
   Reservations r{{f.job_id, reserved(16, 26)}};
   Profile p = one_machine(3);
-  p.take(0, TeamId("x"), {at(0), at(4), {0, 1, 0}, Owner{99}});
+  p.allocate(0, TeamId("x"), {at(0), at(4), {0, 1, 0}, Owner{99}});
   Planner planner(std::move(p), {item(f, 1), item(fresh, 2)}, r, testing::no_failed_starts(), at(0),
                   never);
   planner.restore();
@@ -137,7 +137,7 @@
   const JobSpec a = gang("req-a", 1, 2, 10);
   Reservations r{{a.job_id, reserved(5, 15)}};
   Profile p = one_machine(2);
-  p.take(0, TeamId("x"), {at(0), at(8), {0, 2, 0}, Owner{99}});
+  p.allocate(0, TeamId("x"), {at(0), at(8), {0, 2, 0}, Owner{99}});
   Planner planner(std::move(p), {item(a, 1)}, r, testing::no_failed_starts(), at(0), never);
   const auto moved = planner.restore();
   ASSERT_EQ(moved.size(), 1U);
@@ -152,13 +152,13 @@
   const JobSpec b = gang("req-b", 1, 2, 10);
   Reservations r{{a.job_id, reserved(5, 15)}, {b.job_id, reserved(15, 25)}};
   Profile p = one_machine(2);
-  p.take(0, TeamId("x"), {at(0), at(5), {0, 2, 0}, Owner{99}});
+  p.allocate(0, TeamId("x"), {at(0), at(5), {0, 2, 0}, Owner{99}});
   Planner before(std::move(p), {item(a, 1), item(b, 2)}, r, testing::no_failed_starts(), at(1),
                  never);
   EXPECT_TRUE(before.restore().empty());
   p = before.take_profile();
   p.release(Owner{99});
-  p.take(0, TeamId("x"), {at(0), at(8), {0, 2, 0}, Owner{99}});  // it overruns
+  p.allocate(0, TeamId("x"), {at(0), at(8), {0, 2, 0}, Owner{99}});  // it overruns
   Planner after(std::move(p), {item(a, 1), item(b, 2)}, r, testing::no_failed_starts(), at(2),
                 never);
   after.restore();
@@ -182,9 +182,9 @@
   other.urgency = Urgency::urgent;
   Profile p = one_machine(2);
   p.add_machine(machine("n", 2));
-  p.take(0, TeamId("x"),
-         {at(0), at(6), {0, 1, 0}, Owner{98}});  // being stopped; its place is half free
-  p.take(1, TeamId("x"), {at(0), at(3), {0, 2, 0}, Owner{99}});  // predicted to end sooner
+  p.allocate(0, TeamId("x"),
+             {at(0), at(6), {0, 1, 0}, Owner{98}});  // being stopped; its place is half free
+  p.allocate(1, TeamId("x"), {at(0), at(3), {0, 2, 0}, Owner{99}});  // predicted to end sooner
   Reservations r{{wide.job_id, reserved(40, 100)}, {other.job_id, reserved(30, 90)}};
   Planner planner(std::move(p), {item(wide, 1), item(other, 2)}, r, testing::no_failed_starts(),
                   at(0), never);
@@ -227,7 +227,7 @@
   auto g = item(within, 1);
   g.guaranteed = true;
   std::vector<QueueItem> queue{item(lengthy, 2), item(brief, 3), g, item(urgent, 4)};
-  std::sort(queue.begin(), queue.end(), before);
+  std::sort(queue.begin(), queue.end(), has_higher_priority);
   EXPECT_EQ(queue[0].job_id, urgent.job_id);
   EXPECT_EQ(queue[1].job_id, within.job_id);
   EXPECT_EQ(queue[2].job_id, brief.job_id);
@@ -259,7 +259,7 @@
     return stored == nullptr ? nullptr : &stored->record;
   };
   auto queue = build_queue(records, settings, current, at(200), false);
-  std::sort(queue.begin(), queue.end(), before);
+  std::sort(queue.begin(), queue.end(), has_higher_priority);
   ASSERT_EQ(queue.size(), 3U);
   EXPECT_EQ(queue[0].job_id.get(), "req-old");
   EXPECT_EQ(queue[1].job_id.get(), "req-new");
@@ -267,10 +267,10 @@
   // A low one that is overdue goes before standard ones that are not.
   records.jobs[JobId("req-old")].record.spec.urgency = Urgency::low;
   queue = build_queue(records, settings, current, at(200), false);
-  std::sort(queue.begin(), queue.end(), before);
+  std::sort(queue.begin(), queue.end(), has_higher_priority);
   EXPECT_EQ(queue[0].job_id.get(), "req-old");
   queue = build_queue(records, settings, current, at(100), false);
-  std::sort(queue.begin(), queue.end(), before);
+  std::sort(queue.begin(), queue.end(), has_higher_priority);
   EXPECT_EQ(queue[2].job_id.get(), "req-old") << "not yet";
 }
 
@@ -351,8 +351,8 @@
 TEST(Profile, TheTeamsLimitIsADimension) {
   const JobSpec a = gang("req-a", 1, 3, 10);
   Profile p = one_machine(8);
-  p.set_team(TeamId("crew"), {1e12, 4, 1e12});
-  p.take(0, TeamId("crew"), {at(0), at(7), {0, 2, 0}, Owner{99}});
+  p.add_team(TeamId("crew"), {1e12, 4, 1e12});
+  p.allocate(0, TeamId("crew"), {at(0), at(7), {0, 2, 0}, Owner{99}});
   const auto plan = p.earliest(item(a, 1).demand, at(0));
   ASSERT_TRUE(plan);
   EXPECT_EQ(plan->start(), at(7));
@@ -367,10 +367,10 @@
   const std::size_t first = p.add_machine(lean);
   const std::size_t second = p.add_machine(broad);
   // The lean one is the fuller, which would decide between equals.
-  p.take(first, TeamId("crew"), {WallTime{}, at(100), {6, 1, 24}, Owner{99}});
+  p.allocate(first, TeamId("crew"), {WallTime{}, at(100), {6, 1, 24}, Owner{99}});
   JobSpec job = batch("req-a", 1, 1, 60);
   job.need = {6, 1, 48};
-  const Plan plan = p.fit_some(item(job, 1).demand, at(0));
+  const Plan plan = p.fit_partially(item(job, 1).demand, at(0));
   ASSERT_EQ(plan.placements.size(), 1U);
   EXPECT_EQ(plan.placements[0].machine, second)
       << "two of these fill the lean one and leave GPUs idle";
@@ -443,7 +443,7 @@
   QueueItem waiting = item(job, 1);
   waiting.task_indices = {1, 2, 3};
   waiting.demand.tasks = 3;
-  waiting.demand.elsewhere = {{ZoneId("b"), 1}};
+  waiting.demand.placed_tasks = {{ZoneId("b"), 1}};
   Reservations reservations{{job.job_id, reserved(90, 150, {"b1", "b2", "a1"})}};
   EXPECT_LE(zones.started_in_b(waiting, reservations), 1U);
 }
@@ -455,7 +455,7 @@
   QueueItem waiting = item(job, 1);
   waiting.task_indices = {2, 3};
   waiting.demand.tasks = 2;
-  waiting.demand.elsewhere = {{ZoneId("b"), 2}};
+  waiting.demand.placed_tasks = {{ZoneId("b"), 2}};
   Reservations reservations{{job.job_id, reserved(200, 260, {"b1", "b2"})}};
   Planner planner(std::move(zones.profile), {waiting}, reservations, testing::no_failed_starts(),
                   at(100), never);
@@ -473,7 +473,7 @@
   waiting.task_indices = {1};
   waiting.demand.tasks = 1;
   waiting.demand.zone = ZoneId("b");
-  waiting.demand.elsewhere = {{ZoneId("b"), 1}};
+  waiting.demand.placed_tasks = {{ZoneId("b"), 1}};
   Reservations reservations{{job.job_id, reserved(90, 150, {"a1"})}};
   EXPECT_EQ(zones.started_in_b(waiting, reservations), 1U);
 }
@@ -502,7 +502,7 @@
     Profile p;
     for (const auto& machine_id : machine_ids_) p.add_machine(machine(machine_id, 4));
     for (const auto& [machine_id, allocation] : running_)
-      p.take(*p.find(machine_id), TeamId("x"), allocation);
+      p.allocate(*p.find(machine_id), TeamId("x"), allocation);
     Planner planner(std::move(p), queue_, reservations_, testing::no_failed_starts(), at(now_),
                     never);
     planner.restore();
@@ -527,7 +527,7 @@
     now_ += 1;
   }
   [[nodiscard]] double granted(const std::string& job_id) const {
-    return to_seconds(reservations_.at(JobId(job_id)).first.time_since_epoch());
+    return to_seconds(reservations_.at(JobId(job_id)).granted_start.time_since_epoch());
   }
   [[nodiscard]] std::optional<double> began(const std::string& job_id) const {
     const auto it = began_.find(job_id);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -63,7 +63,7 @@
   Planner planner(large_cluster(), queue, r, testing::no_failed_starts(), at(100), never);
   EXPECT_TRUE(planner.admit_arrivals());
   EXPECT_EQ(r.size(), jobs.size());
-  const auto admitted = planner.profile().looked();
+  const auto admitted = planner.profile().candidates_examined();
   // A place is looked for among the machines once, not once for each moment: a few timelines per
   // machine and job, however full the profile is.
   EXPECT_LT(admitted, kMaxLooked);
@@ -71,7 +71,7 @@
   const auto starts = planner.compress(cursor);
   EXPECT_EQ(cursor, 0U);
   EXPECT_GT(starts.size(), kJobs / 10);
-  EXPECT_LT(planner.profile().looked() - admitted, kMaxLooked);
+  EXPECT_LT(planner.profile().candidates_examined() - admitted, kMaxLooked);
 }
 
 }  // namespace
--- a/tests/standing_jobs_test.cpp
+++ b/tests/standing_jobs_test.cpp
@@ -263,19 +263,19 @@
     Plan running{{{0, WallTime{}, testing::at(150)}}};
     JobSpec running_job = testing::gang("req-0", 1, 8, 150);
     running_job.need.cpus = 60;
-    profile_.take(running, running_job, Owner{99});
+    profile_.allocate(running, running_job, Owner{99});
     later_ = testing::gang("req-later", 1, 1, 60);
     later_.need.cpus = 100;
     Reservation r;
     r.places = {{MachineId("m"), testing::at(150), testing::at(210)}};
-    r.first = r.start = testing::at(150);
+    r.granted_start = r.start = testing::at(150);
     r.end = testing::at(210);
     r.changed = false;
     reservations_[later_.job_id] = r;
     replica_ = standing("req-live", 1, 0);
   }
 
-  std::vector<Start> round(std::vector<Moved>* moved = nullptr) {
+  std::vector<Start> round(std::vector<ReservationDelay>* moved = nullptr) {
     std::vector<QueueItem> queue{testing::item(replica_, 1, 100), testing::item(later_, 2, 50)};
     if (started_) queue.erase(queue.begin());
     Planner planner(std::move(profile_), queue, reservations_, failed_, testing::at(100),
@@ -293,7 +293,7 @@
       profile_.release(Owner{1});
       Plan running = starts.front().plan;
       for (Placement& place : running.placements) place.start = WallTime{};
-      profile_.take(running, replica_, Owner{98});
+      profile_.allocate(running, replica_, Owner{98});
     }
     return starts;
   }
@@ -312,7 +312,7 @@
   const auto starts = round();
   ASSERT_EQ(starts.size(), 1U);
   EXPECT_EQ(starts[0].job_id, replica_.job_id);
-  std::vector<Moved> moved;
+  std::vector<ReservationDelay> moved;
   EXPECT_TRUE(round(&moved).empty());
   EXPECT_TRUE(reservations_.at(later_.job_id).places.empty() ||
               reservations_.at(later_.job_id).start > testing::at(150))
@@ -333,7 +333,7 @@
   Reservation r = reservations_.at(later_.job_id);
   r.places[0].start = testing::at(210);
   r.places[0].end = testing::at(270);
-  r.first = r.start = testing::at(210);
+  r.granted_start = r.start = testing::at(210);
   r.end = testing::at(270);
   reservations_[equal.job_id] = r;
   std::vector<QueueItem> queue{testing::item(replica_, 1, 100), testing::item(later_, 2, 50),
@@ -345,8 +345,8 @@
   std::size_t cursor = 0;
   EXPECT_TRUE(planner.compress(cursor).empty());
   profile_ = planner.take_profile();
-  EXPECT_TRUE(profile_.intact(Owner{2})) << "its reservation stands as before";
-  EXPECT_TRUE(profile_.intact(Owner{3}));
+  EXPECT_TRUE(profile_.reservation_still_fits(Owner{2})) << "its reservation stands as before";
+  EXPECT_TRUE(profile_.reservation_still_fits(Owner{3}));
 }
 
 TEST_F(StandingPlanTest, WithoutRoomBesideWhatRunsItWaits) {
@@ -364,7 +364,7 @@
   const auto none = [](const JobId&, std::uint32_t) -> const SliceRecord* { return nullptr; };
   const auto queue = build_queue(records, settings, none, WallTime{Duration{1'000}}, true);
   ASSERT_EQ(queue.size(), 1U);
-  EXPECT_FALSE(queue[0].demand.lean);
+  EXPECT_FALSE(queue[0].demand.preferred_zone);
 }
 
 }  // namespace
