--- /dev/null
+++ b/src/scheduling/queue_item.cpp
@@ -0,0 +1,39 @@
+#include "scheduling/queue_item.hpp"
+
+#include <algorithm>
+
+namespace marblevale {
+
+namespace {
+
+/// What is overdue goes with the standard jobs at the least: low ones must begin some day, too. It
+/// preempts nobody for that.
+Urgency effective_urgency(const QueueItem& item) {
+  const Urgency urgency = item.demand.job->urgency;
+  return item.overdue ? std::max(urgency, Urgency::standard) : urgency;
+}
+
+}  // namespace
+
+bool has_higher_priority(const QueueItem& a, const QueueItem& b) {
+  const Urgency urgency_of_a = effective_urgency(a);
+  const Urgency urgency_of_b = effective_urgency(b);
+  if (urgency_of_a != urgency_of_b) return urgency_of_a > urgency_of_b;
+  if (a.guaranteed != b.guaranteed) return a.guaranteed;
+  if (a.overdue != b.overdue) return a.overdue;
+  if (a.overdue && a.accepted != b.accepted) return a.accepted < b.accepted;
+  // A team without a guarantee gets what the others leave: otherwise its idle-only work fills the
+  // cluster before the arrays of guaranteed teams, which are of the same urgency.
+  if (a.of_guaranteed_team != b.of_guaranteed_team) return a.of_guaranteed_team;
+  if (a.objectives_missed != b.objectives_missed) return b.objectives_missed;
+  if (a.target != b.target) {
+    // One without an objective waits behind those that can still meet theirs.
+    if (!a.target || !b.target) return a.target.has_value();
+    return *a.target < *b.target;
+  }
+  if (a.demand.run != b.demand.run) return a.demand.run < b.demand.run;
+  if (a.accepted != b.accepted) return a.accepted < b.accepted;
+  return a.job_id < b.job_id;
+}
+
+}  // namespace marblevale
--- /dev/null
+++ b/src/scheduling/reservation_restore.cpp
@@ -0,0 +1,137 @@
+#include "scheduling/reservation_restore.hpp"
+
+#include <algorithm>
+
+namespace marblevale {
+
+namespace {
+// Of the round's budget: what placing again may use up, so that each step has its turn.
+constexpr double kRestoreShare = 0.4;
+// In a long queue a reservation that broke may begin this much later rather than have all later
+// ones make way. In a short one that costs little, and without it a gang that is due is pushed
+// behind jobs that were granted later starts, a few seconds at a time.
+constexpr Duration kMaxRepairDelay{5'000};
+}  // namespace
+
+std::vector<ReservationDelay> ReservationRestore::run(const PinnedMachines& pins) {
+  delays_.clear();
+  const std::vector<const QueueItem*> order = by_granted_start(restore_pinned(pins));
+  bool later_ones_released = false;
+  for (std::size_t i = 0; i < order.size(); ++i) {
+    const QueueItem& item = *order[i];
+    if (!later_ones_released) {
+      // Most stand in the profile since an earlier round, and nothing has come in their way.
+      const Reservation& reservation = round_.reservations.at(item.job_id);
+      if (reservation.start > round_.now && round_.is_valid(reservation, item)) continue;
+      if (repair(item)) continue;
+      // From the first that has to move on, all are placed again in their order: what is granted a
+      // later start must not stand in the way of an earlier one.
+      later_ones_released = true;
+      for (std::size_t k = i; k < order.size(); ++k) round_.profile.release(order[k]->owner);
+    }
+    place_again(item, std::nullopt);
+  }
+  return std::move(delays_);
+}
+
+std::unordered_set<JobId> ReservationRestore::restore_pinned(const PinnedMachines& pins) {
+  std::unordered_set<JobId> pinned;
+  if (pins.empty()) return pinned;
+  for (const QueueItem& item : round_.queue) {
+    const auto pin = pins.find(item.job_id);
+    if (pin == pins.end() || !round_.reservations.contains(item.job_id)) continue;
+    if (restore_on(item, pin->second)) pinned.insert(item.job_id);
+  }
+  return pinned;
+}
+
+bool ReservationRestore::restore_on(const QueueItem& item,
+                                    const std::vector<MachineId>& machine_ids) {
+  const Reservation& reservation = round_.reservations.at(item.job_id);
+  const bool is_there = std::all_of(
+      reservation.places.begin(), reservation.places.end(), [&](const Reservation::Place& place) {
+        return std::find(machine_ids.begin(), machine_ids.end(), place.machine_id) !=
+               machine_ids.end();
+      });
+  if (is_there && round_.is_valid(reservation, item)) return true;
+  round_.profile.release(item.owner);
+  // Others' reservations on these machines give way, and are placed again with the rest.
+  for (const MachineId& machine_id : machine_ids) {
+    if (const auto machine = round_.profile.find(machine_id)) {
+      round_.profile.release_reservations_on(*machine);
+    }
+  }
+  Demand demand = item.demand;
+  demand.allowed_machines = machine_ids;
+  const auto plan = round_.profile.earliest(demand, round_.now);
+  if (!plan || plan->start() > reservation.start) return false;
+  round_.reserve(item, *plan);
+  return true;
+}
+
+std::vector<const QueueItem*> ReservationRestore::by_granted_start(
+    const std::unordered_set<JobId>& pinned) const {
+  std::vector<const QueueItem*> order;
+  for (const QueueItem& item : round_.queue) {
+    if (!round_.reservations.contains(item.job_id) || pinned.contains(item.job_id)) continue;
+    order.push_back(&item);
+  }
+  std::sort(order.begin(), order.end(), [this](const QueueItem* a, const QueueItem* b) {
+    const WallTime start_of_a = round_.reservations.at(a->job_id).start;
+    const WallTime start_of_b = round_.reservations.at(b->job_id).start;
+    return start_of_a != start_of_b ? start_of_a < start_of_b : has_higher_priority(*a, *b);
+  });
+  return order;
+}
+
+bool ReservationRestore::repair(const QueueItem& item) {
+  round_.profile.release(item.owner);
+  const bool long_queue = round_.queue.size() > kShortQueue;
+  return place_again(item, long_queue ? kMaxRepairDelay : Duration{0});
+}
+
+bool ReservationRestore::place_again(const QueueItem& item, std::optional<Duration> max_delay) {
+  Reservation& reservation = round_.reservations.at(item.job_id);
+  // Tasks of a slice that have started, or come back, change how many places it needs.
+  if (reservation.places.size() > item.demand.tasks) reservation.places.resize(item.demand.tasks);
+  Plan plan = round_.plan_of(reservation);
+  if (plan.placements.size() == item.demand.tasks) {
+    shift_to_now(plan);
+    if (round_.still_fits(plan, item.demand)) {
+      round_.profile.allocate(plan, *item.demand.job, item.owner);
+      return true;
+    }
+  }
+  if (round_.budget_spent(kRestoreShare)) {
+    // It keeps its place until a later round looks at it.
+    if (!plan.placements.empty()) round_.profile.allocate(plan, *item.demand.job, item.owner);
+    return true;
+  }
+  const auto earliest = round_.earliest_plan(item);
+  if (!earliest) {
+    round_.reserve_unplaced(item);
+    return true;
+  }
+  const WallTime previous_start = reservation.start;
+  if (max_delay && earliest->start() > std::max(previous_start, round_.now) + *max_delay) {
+    return false;
+  }
+  const bool was_unplaced = reservation.places.empty();
+  round_.reserve(item, *earliest);
+  if (!was_unplaced && reservation.start > previous_start) {
+    delays_.push_back({item.job_id, previous_start, reservation.start});
+  }
+  return true;
+}
+
+void ReservationRestore::shift_to_now(Plan& plan) const {
+  // A start that is reached without having begun moves along with the present.
+  const WallTime first = plan.first_start();
+  if (first >= round_.now) return;
+  for (Placement& placement : plan.placements) {
+    placement.start = placement.start + (round_.now - first);
+    placement.end = placement.end + (round_.now - first);
+  }
+}
+
+}  // namespace marblevale
