--- a/src/scheduling/job_queue.hpp
+++ b/src/scheduling/job_queue.hpp
@@ -1,5 +1,5 @@
-// The compression queue as the records give it: which jobs wait, with which tasks, and how they
-// rank. Pure.
+/// The compression queue as the records give it: which jobs wait, with which tasks, and how they
+/// rank. Pure.
 #pragma once
 
 #include <functional>
@@ -8,7 +8,7 @@
 
 #include "config/settings.hpp"
 #include "records/record_set.hpp"
-#include "scheduling/planner.hpp"
+#include "scheduling/queue_item.hpp"
 
 namespace marblevale {
 
@@ -21,8 +21,9 @@
 /// Jobs that fit into their team's guarantee along with the team's earlier unfinished jobs.
 std::unordered_set<JobId> guaranteed_jobs(const Records& records, const Settings& settings);
 
-/// `gather`: arrays keep to one zone where they can, since each holder's binding is a write.
+/// The waiting jobs, in no order. `prefer_one_zone`: arrays keep to one zone where they can, since
+/// each shard holder's binding is a write.
 std::vector<QueueItem> build_queue(const Records& records, const Settings& settings,
-                                   const CurrentSlice& current, WallTime now, bool gather);
+                                   const CurrentSlice& current, WallTime now, bool prefer_one_zone);
 
 }  // namespace marblevale
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -1,18 +1,51 @@
 #include "scheduling/preemption.hpp"
 
 #include <algorithm>
-#include <map>
 
 namespace marblevale {
 
 namespace {
+// Losses are in seconds of work.
 constexpr double kImpatientLoss = 60;  // of a victim without a deadline: its start was the point
 constexpr Duration kFreshStart{30'000};
-constexpr double kFreshLoss = 15;  // of a victim that has hardly begun
+constexpr double kFreshLoss = 15;     // of a victim that has hardly begun
+constexpr double kPerVictimLoss = 5;  // of any stop
+constexpr double kRefetchChance = 0.5;
+// Room that can be used later, after an image fetch, is worth less.
+constexpr double kFetchWeight = 2;
 // What a victim of a team without a guarantee counts for: a part of its loss. Adding to the loss of
-// the others instead made one gang cheaper to stop than the four small tasks beside it.
+// the others instead would make one gang cheaper to stop than the four small tasks beside it.
 constexpr double kGuestShare = 0.5;
 
+/// A running task that may be stopped.
+struct VictimTask {
+  TaskId id;
+  Resources resources;
+  double loss;
+};
+
+/// A machine on which the job could run, if victims are stopped there.
+struct CandidateMachine {
+  MachineId machine_id;
+  ZoneId zone;
+  Resources free;
+  double fetch_seconds = 0;         // until the job's image is there
+  std::vector<VictimTask> victims;  // the least loss first
+};
+
+/// The cheapest way to make room for one task.
+struct TaskRoom {
+  std::size_t candidate = 0;
+  double cost = 0;
+  std::size_t victim_count = 0;  // the first ones of the candidate's victims
+};
+
+/// Room for all tasks.
+struct JobRoom {
+  Preemption preemption;
+  double cost = 0;
+};
+
 /// As many of the job's tasks as `spread` allows are in the zone already.
 bool zone_is_full(const Demand& demand, const ZoneId& zone) {
   return std::any_of(demand.placed_tasks.begin(), demand.placed_tasks.end(),
@@ -20,153 +53,205 @@
                        return placed.zone == zone && placed.tasks >= max_tasks_in_zone(*demand.job);
                      });
 }
-}  // namespace
 
-// Not split yet, issue 17.
-// NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size)
-std::optional<Preemption> select_victims(const QueueItem& item,
-                                         const std::unordered_set<JobId>& guaranteed,
-                                         const Records& records, const Settings& settings,
-                                         const Profile& profile, WallTime now,
-                                         const std::set<MachineId>& others) {
-  const JobSpec& spec = *item.demand.job;
-  const Team* team = settings.team(spec.team);
-  struct VictimTask {
-    TaskId id;
-    Resources resources;
-    double loss;
-  };
-  struct Place {
-    MachineId machine_id;
-    ZoneId zone;
-    Resources free;
-    double fetch = 0;  // seconds until the job's image is there
-    std::vector<VictimTask> victims;
-  };
-  Resources team_used{};
-  std::vector<Place> places;
-  for (const auto& [machine_id, stored] : records.machines) {
-    const MachineRecord& m = stored.record;
-    const MachineType* type = records.type(m.machine_type);
+/// Collects the machines on which a job could run, with their possible victims.
+class CandidateSearch {
+ public:
+  CandidateSearch(const QueueItem& item, const std::unordered_set<JobId>& guaranteed,
+                  const Records& records, const Settings& settings, const Profile& profile,
+                  WallTime now)
+      : item_(item),
+        spec_(*item.demand.job),
+        guaranteed_(guaranteed),
+        records_(records),
+        settings_(settings),
+        profile_(profile),
+        now_(now) {}
+
+  std::vector<CandidateMachine> run(const std::set<MachineId>& excluded);
+  /// What the job's team uses, on any machine. Known after `run`.
+  [[nodiscard]] const Resources& team_used() const { return team_used_; }
+
+ private:
+  [[nodiscard]] bool is_usable(const MachineRecord& machine, const MachineType& type) const;
+  void add_placed_tasks(CandidateMachine& candidate, const MachineType& type);
+  [[nodiscard]] bool may_preempt(const JobId& job_id, const JobSpec& other) const;
+  [[nodiscard]] double loss_of(const JobSpec& other, const TaskRecord& task,
+                               const MachineType& type) const;
+
+  const QueueItem& item_;
+  const JobSpec& spec_;
+  const std::unordered_set<JobId>& guaranteed_;
+  const Records& records_;
+  const Settings& settings_;
+  const Profile& profile_;
+  WallTime now_;
+  Resources team_used_{};
+};
+
+std::vector<CandidateMachine> CandidateSearch::run(const std::set<MachineId>& excluded) {
+  std::vector<CandidateMachine> candidates;
+  for (const auto& [machine_id, stored] : records_.machines) {
+    const MachineRecord& machine = stored.record;
+    const MachineType* type = records_.type(machine.machine_type);
     if (type == nullptr) continue;
-    Place place{machine_id, m.zone, type->resources, 0, {}};
-    const auto timeline = profile.find(machine_id);
-    if (timeline) {
-      place.fetch = to_seconds(profile.fetch_time(spec, profile.machines()[*timeline]));
-    }
-    if (const auto placed = records.placed.find(machine_id); placed != records.placed.end()) {
-      for (const auto& [id, attempt] : placed->second) {
-        const JobRecord* other = records.job(id.job_id);
-        const TaskRecord* task = records.task(id);
-        if (other == nullptr || task == nullptr) continue;
-        place.free -= other->spec.need;
-        if (other->spec.team == spec.team) team_used += other->spec.need;
-        // Room that is being vacated already counts as free: no second victim for it.
-        if (task->stop) {
-          place.free += other->spec.need;
-          continue;
-        }
-        const bool lower = other->spec.urgency < spec.urgency;
-        const bool beyond =
-            item.guaranteed && other->spec.team != spec.team && !guaranteed.contains(id.job_id);
-        if ((!lower && !beyond) || (other->spec.gang() && other->spec.task_count > 1)) continue;
-        const Duration ran = task->running == WallTime{} ? Duration{0} : now - task->running;
-        // What a restart costs: the unsaved work, another image fetch perhaps, and its own wait.
-        double lost = other->spec.checkpoint_interval > Duration{0}
-                          ? to_seconds(other->spec.save_time)
-                          : to_seconds(ran);
-        lost += (type->pull_gb_per_s > 0 ? other->spec.image_gb / type->pull_gb_per_s : 0) * 0.5;
-        if (!other->spec.deadline) lost += kImpatientLoss;
-        if (ran < kFreshStart) lost += kFreshLoss;
-        const Team* other_team = settings.team(other->spec.team);
-        if (other_team != nullptr && !other_team->has_guarantee()) lost *= kGuestShare;
-        place.victims.push_back({id, other->spec.need, lost});
-      }
+    CandidateMachine candidate{machine_id, machine.zone, type->resources, 0, {}};
+    const auto index = profile_.find(machine_id);
+    if (index) {
+      candidate.fetch_seconds = to_seconds(profile_.fetch_time(spec_, profile_.machines()[*index]));
     }
-    PlanMachine rules;
-    rules.machine_type = m.machine_type;
-    rules.zone = m.zone;
-    rules.spot = m.spot;
-    rules.resources = type->resources;
-    const bool usable = timeline && !others.contains(machine_id) && m.state == MachineState::up &&
-                        !m.reclaim_at && Profile::allowed(spec, rules) &&
-                        (!item.demand.zone || *item.demand.zone == m.zone);
-    if (!usable || zone_is_full(item.demand, m.zone)) continue;
-    // Those that lose least first.
-    std::sort(place.victims.begin(), place.victims.end(),
+    add_placed_tasks(candidate, *type);
+    if (!index || excluded.contains(machine_id) || !is_usable(machine, *type)) continue;
+    std::sort(candidate.victims.begin(), candidate.victims.end(),
               [](const VictimTask& a, const VictimTask& b) { return a.loss < b.loss; });
-    places.push_back(std::move(place));
-  }
-  const Resources all = spec.need * static_cast<double>(item.demand.tasks);
-  const std::uint32_t tasks = spec.gang() ? item.demand.tasks : 1;
-  if (team != nullptr && !fits(team_used + (spec.gang() ? all : spec.need), team->limit())) {
-    return std::nullopt;
+    candidates.push_back(std::move(candidate));
   }
+  return candidates;
+}
 
-  // For each zone (or for all at once), the places that cost least until every task has one.
-  std::vector<std::optional<ZoneId>> zones;
-  if (spec.together) {
-    for (const ZoneId& zone : settings.zones) zones.emplace_back(zone);
-  } else {
-    zones.emplace_back(std::nullopt);
-  }
-  std::vector<TaskId> best;
-  std::vector<MachineId> best_machine_ids;
-  double best_loss = 0;
-  for (const auto& zone : zones) {
-    std::vector<TaskId> chosen;
-    std::vector<MachineId> machine_ids;
-    double loss = 0;
-    std::uint32_t found = 0;
-    std::vector<Place> open;
-    for (const Place& place : places) {
-      if (!zone || place.zone == *zone) open.push_back(place);
-    }
-    while (found < tasks) {
-      std::size_t cheapest = open.size();
-      double least_cost = 0;
-      std::vector<std::size_t> least_victims;
-      for (std::size_t p = 0; p < open.size(); ++p) {
-        Resources free = open[p].free;
-        double cost = open[p].fetch * 2;  // room that can be used later is worth less
-        std::vector<std::size_t> victims;
-        for (std::size_t v = 0; v < open[p].victims.size() && !fits(spec.need, free); ++v) {
-          free += open[p].victims[v].resources;
-          cost += open[p].victims[v].loss + 5;
-          victims.push_back(v);
-        }
-        if (!fits(spec.need, free)) continue;
-        if (cheapest == open.size() || cost < least_cost) {
-          cheapest = p;
-          least_cost = cost;
-          least_victims = victims;
-        }
-      }
-      if (cheapest == open.size()) break;
-      Place& place = open[cheapest];
-      std::sort(least_victims.rbegin(), least_victims.rend());
-      for (const std::size_t v : least_victims) {
-        chosen.push_back(place.victims[v].id);
-        place.free += place.victims[v].resources;
-        place.victims.erase(place.victims.begin() + static_cast<std::ptrdiff_t>(v));
-      }
-      place.free -= spec.need;
-      machine_ids.push_back(place.machine_id);
-      loss += least_cost;
-      ++found;
-    }
-    if (found < tasks || chosen.empty()) {
-      if (found == tasks) return std::nullopt;  // room is being vacated already
+bool CandidateSearch::is_usable(const MachineRecord& machine, const MachineType& type) const {
+  if (machine.state != MachineState::up || machine.reclaim_at) return false;
+  PlanMachine properties;
+  properties.machine_type = machine.machine_type;
+  properties.zone = machine.zone;
+  properties.spot = machine.spot;
+  properties.resources = type.resources;
+  if (!Profile::allowed(spec_, properties)) return false;
+  if (item_.demand.zone && *item_.demand.zone != machine.zone) return false;
+  return !zone_is_full(item_.demand, machine.zone);
+}
+
+void CandidateSearch::add_placed_tasks(CandidateMachine& candidate, const MachineType& type) {
+  const auto placed = records_.placed.find(candidate.machine_id);
+  if (placed == records_.placed.end()) return;
+  for (const auto& [id, attempt] : placed->second) {
+    const JobRecord* other = records_.job(id.job_id);
+    const TaskRecord* task = records_.task(id);
+    if (other == nullptr || task == nullptr) continue;
+    candidate.free -= other->spec.need;
+    if (other->spec.team == spec_.team) team_used_ += other->spec.need;
+    // Room that is being vacated already counts as free: no second victim for it.
+    if (task->stop) {
+      candidate.free += other->spec.need;
       continue;
     }
-    if (best.empty() || loss < best_loss) {
-      best = std::move(chosen);
-      best_machine_ids = std::move(machine_ids);
-      best_loss = loss;
+    if (!may_preempt(id.job_id, other->spec)) continue;
+    candidate.victims.push_back({id, other->spec.need, loss_of(other->spec, *task, type)});
+  }
+}
+
+bool CandidateSearch::may_preempt(const JobId& job_id, const JobSpec& other) const {
+  if (other.gang() && other.task_count > 1) return false;
+  if (other.urgency < spec_.urgency) return true;
+  return item_.guaranteed && other.team != spec_.team && !guaranteed_.contains(job_id);
+}
+
+double CandidateSearch::loss_of(const JobSpec& other, const TaskRecord& task,
+                                const MachineType& type) const {
+  // What a restart costs: the unsaved work, another image fetch perhaps, and its own wait.
+  const Duration ran = task.running == WallTime{} ? Duration{0} : now_ - task.running;
+  double loss =
+      other.checkpoint_interval > Duration{0} ? to_seconds(other.save_time) : to_seconds(ran);
+  loss += (type.pull_gb_per_s > 0 ? other.image_gb / type.pull_gb_per_s : 0) * kRefetchChance;
+  if (!other.deadline) loss += kImpatientLoss;
+  if (ran < kFreshStart) loss += kFreshLoss;
+  const Team* team = settings_.team(other.team);
+  if (team != nullptr && !team->has_guarantee()) loss *= kGuestShare;
+  return loss;
+}
+
+/// What it costs to make room for one task; nothing when all victims together leave too little.
+std::optional<TaskRoom> cost_of_room(const CandidateMachine& candidate, const Resources& need) {
+  TaskRoom room;
+  Resources free = candidate.free;
+  room.cost = candidate.fetch_seconds * kFetchWeight;
+  for (const VictimTask& victim : candidate.victims) {
+    if (fits(need, free)) break;
+    free += victim.resources;
+    room.cost += victim.loss + kPerVictimLoss;
+    ++room.victim_count;
+  }
+  if (!fits(need, free)) return std::nullopt;
+  return room;
+}
+
+std::optional<TaskRoom> cheapest_room(const std::vector<CandidateMachine>& candidates,
+                                      const Resources& need) {
+  std::optional<TaskRoom> cheapest;
+  for (std::size_t i = 0; i < candidates.size(); ++i) {
+    auto room = cost_of_room(candidates[i], need);
+    if (!room || (cheapest && room->cost >= cheapest->cost)) continue;
+    cheapest = room;
+    cheapest->candidate = i;
+  }
+  return cheapest;
+}
+
+/// Makes room for as many tasks, each where that costs least. Nothing when not all have room.
+std::optional<JobRoom> make_room(std::vector<CandidateMachine> candidates, const Resources& need,
+                                 std::uint32_t tasks) {
+  JobRoom out;
+  for (std::uint32_t task = 0; task < tasks; ++task) {
+    const auto room = cheapest_room(candidates, need);
+    if (!room) return std::nullopt;
+    CandidateMachine& candidate = candidates[room->candidate];
+    for (std::size_t n = room->victim_count; n-- > 0;) {
+      const VictimTask& victim = candidate.victims[n];
+      out.preemption.victims.push_back(victim.id);
+      candidate.free += victim.resources;
     }
+    candidate.victims.erase(
+        candidate.victims.begin(),
+        candidate.victims.begin() + static_cast<std::ptrdiff_t>(room->victim_count));
+    candidate.free -= need;
+    out.preemption.machine_ids.push_back(candidate.machine_id);
+    out.cost += room->cost;
   }
-  if (best.empty()) return std::nullopt;
-  return Preemption{std::move(best), std::move(best_machine_ids)};
+  return out;
+}
+
+std::vector<CandidateMachine> in_zone(const std::vector<CandidateMachine>& candidates,
+                                      const ZoneId& zone) {
+  std::vector<CandidateMachine> out;
+  for (const CandidateMachine& candidate : candidates) {
+    if (candidate.zone == zone) out.push_back(candidate);
+  }
+  return out;
+}
+
+/// The zone in which room for all tasks costs least. Nothing when one has room without a victim.
+std::optional<Preemption> make_room_in_one_zone(const std::vector<CandidateMachine>& candidates,
+                                                const std::vector<ZoneId>& zones,
+                                                const Resources& need, std::uint32_t tasks) {
+  std::optional<JobRoom> best;
+  for (const ZoneId& zone : zones) {
+    auto room = make_room(in_zone(candidates, zone), need, tasks);
+    if (!room) continue;
+    if (room->preemption.victims.empty()) return std::nullopt;  // it is being vacated already
+    if (!best || room->cost < best->cost) best = std::move(room);
+  }
+  if (!best) return std::nullopt;
+  return std::move(best->preemption);
+}
+
+}  // namespace
+
+std::optional<Preemption> select_victims(const QueueItem& item,
+                                         const std::unordered_set<JobId>& guaranteed,
+                                         const Records& records, const Settings& settings,
+                                         const Profile& profile, WallTime now,
+                                         const std::set<MachineId>& excluded) {
+  const JobSpec& spec = *item.demand.job;
+  CandidateSearch search(item, guaranteed, records, settings, profile, now);
+  std::vector<CandidateMachine> candidates = search.run(excluded);
+  const std::uint32_t tasks = spec.gang() ? item.demand.tasks : 1;
+  const Team* team = settings.team(spec.team);
+  const Resources all = spec.need * static_cast<double>(tasks);
+  if (team != nullptr && !fits(search.team_used() + all, team->limit())) return std::nullopt;
+  if (spec.together) return make_room_in_one_zone(candidates, settings.zones, spec.need, tasks);
+  auto room = make_room(std::move(candidates), spec.need, tasks);
+  if (!room || room->preemption.victims.empty()) return std::nullopt;
+  return std::move(room->preemption);
 }
 
 }  // namespace marblevale
