--- /dev/null
+++ b/src/scheduling/placement_score.cpp
@@ -0,0 +1,76 @@
+#include "scheduling/placement_score.hpp"
+
+namespace marblevale {
+
+namespace {
+
+// Each in seconds of waiting that avoiding it is worth.
+constexpr double kPriceSeconds = 30;     // the dearest machine, used whole
+constexpr double kStrandedSeconds = 30;  // a whole machine's stranded accelerators
+constexpr double kApartSeconds = 10;     // leaving the preferred zone
+// A job with a deadline can rather wait for its image than take what others can't do without.
+constexpr double kPatientFetchWeight = 0.3;
+constexpr double kGangFullnessWeight = 0.2;
+constexpr Duration kPlanningStep{1000};
+
+/// The finalizer of splitmix64: spreads what differs in a few bits.
+std::uint64_t mix_bits(std::uint64_t x) {
+  x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
+  x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
+  return x ^ (x >> 31);
+}
+
+double price_weight(const Profile& profile, double share, const PlanMachine& machine) {
+  return profile.highest_price() > 0
+             ? kPriceSeconds * share * machine.price / profile.highest_price()
+             : 0;
+}
+
+/// The share of a machine's accelerators that the task leaves without what they need.
+double stranded_share(const JobSpec& job, const PlanMachine& machine, const Resources& free) {
+  // What it takes of memory or CPUs beyond its share of the accelerators strands the rest of them,
+  // on ordinary machines for jobs that may use no others.
+  const bool strands = !machine.spot && job.need.gpus > 0 && machine.resources.gpus > 0;
+  const double waste =
+      strands ? share_of(job.need, machine.resources) - job.need.gpus / machine.resources.gpus : 0;
+  // One that takes no accelerators leaves those of its machine without CPUs: rather where they are
+  // in use already.
+  const bool starves = job.need.gpus <= 0 && machine.resources.gpus > 0;
+  const double starved = starves ? free.gpus / machine.resources.gpus : 0;
+  return waste + starved;
+}
+
+}  // namespace
+
+Duration planned_run(const Demand& demand, Duration fetch) {
+  return round_up(demand.run + fetch, kPlanningStep);
+}
+
+double placement_score(const Profile& profile, const Demand& demand, std::size_t machine,
+                       Duration fetch, const Resources& free) {
+  const JobSpec& job = *demand.job;
+  const PlanMachine& m = profile.machines()[machine];
+  const std::uint64_t draw =
+      mix_bits(profile.tie_break_seed(machine) ^ std::hash<JobId>{}(job.job_id)) % 997;
+  const double apart =
+      demand.preferred_zone && *demand.preferred_zone != m.zone ? kApartSeconds : 0;
+  return apart + kStrandedSeconds * stranded_share(job, m, free) +
+         to_seconds(fetch) * (job.deadline ? kPatientFetchWeight : 1.0) +
+         price_weight(profile, share_of(job.need, m.resources), m) +
+         share_of(free, m.resources) * (job.gang() ? kGangFullnessWeight : 1.0) +
+         static_cast<double>(draw) / 1e5;
+}
+
+double plan_cost(const Profile& profile, const Demand& demand, const Plan& plan,
+                 const ZoneId& zone) {
+  double cost = 0;
+  for (const Placement& placement : plan.placements) {
+    const PlanMachine& m = profile.machines()[placement.machine];
+    cost += price_weight(profile, share_of(demand.job->need, m.resources), m) / demand.tasks;
+  }
+  const std::uint64_t draw =
+      mix_bits(std::hash<JobId>{}(demand.job->job_id) ^ std::hash<ZoneId>{}(zone)) % 997;
+  return cost + static_cast<double>(draw) / 1e4;
+}
+
+}  // namespace marblevale
--- a/src/scheduling/placement_search.hpp
+++ b/src/scheduling/placement_search.hpp
@@ -1,4 +1,5 @@
-// Where tasks of a job fit in the profile: at one moment, or as early as can be. Looks only.
+/// Where the tasks of a job fit in the profile: at one moment, or as early as can be. It changes
+/// nothing.
 #pragma once
 
 #include <optional>
@@ -8,6 +9,9 @@
 
 namespace marblevale {
 
+/// Moments that a search for the earliest plan tries for one demand.
+inline constexpr std::size_t kMaxSearchSteps = 200;
+
 /// Asks one profile, which must not change while the search lives.
 class PlacementSearch {
  public:
@@ -15,6 +19,11 @@
 
   /// All tasks at exactly `at`: for gangs, or to ask whether a slice can start whole.
   [[nodiscard]] std::optional<Plan> fit_at(const Demand& demand, WallTime at) const;
+  enum class Completeness { all_tasks, as_many_as_fit };
+  /// The tasks at exactly `at`, in the given zone or anywhere.
+  [[nodiscard]] std::optional<Plan> fit_in_zone(const Demand& demand, WallTime at,
+                                                const std::optional<ZoneId>& zone,
+                                                Completeness completeness) const;
   /// As many tasks of an array as can start at `at`.
   [[nodiscard]] Plan fit_partially(const Demand& demand, WallTime at) const;
   /// As many tasks as have room at `at` beside what runs, whatever is reserved there, in the zone
@@ -33,23 +42,19 @@
   enum class Room { unreserved, beside_running };
   /// A machine that has room for a task.
   struct Candidate;
-  [[nodiscard]] std::vector<Candidate> candidates(const Demand& demand, WallTime at,
-                                                  const std::optional<ZoneId>& zone, Room room,
-                                                  Duration least_run) const;
+  [[nodiscard]] std::vector<Candidate> find_candidates(const Demand& demand, WallTime at,
+                                                       const std::optional<ZoneId>& zone, Room room,
+                                                       Duration min_run) const;
   /// Places tasks on the best candidates, as far as these, the spread and the team's limit go.
   [[nodiscard]] Plan assign(const Demand& demand, WallTime at, std::vector<Candidate> candidates,
                             const Resources& team_free) const;
-  std::optional<Plan> place_in(const Demand& demand, WallTime at, const std::optional<ZoneId>& zone,
-                               bool partly, Duration least_run) const;
-  std::optional<Plan> gang_in(const Demand& demand, WallTime from,
-                              const std::optional<ZoneId>& zone) const;
-  std::optional<Plan> array_in(const Demand& demand, WallTime from,
-                               const std::optional<ZoneId>& zone) const;
-  [[nodiscard]] double score(const Demand& demand, std::size_t machine, Duration fetch,
-                             const Resources& free) const;
-  [[nodiscard]] double price_weight(double share, const PlanMachine& machine) const;
+  /// As many tasks as fit. `min_run`: for how long each has to have room at the least.
+  [[nodiscard]] Plan plan_at(const Demand& demand, WallTime at, const std::optional<ZoneId>& zone,
+                             Duration min_run) const;
+  [[nodiscard]] std::optional<Plan> earliest_in_zone(const Demand& demand, WallTime from,
+                                                     const std::optional<ZoneId>& zone) const;
+  /// Those that have machines.
   [[nodiscard]] std::vector<ZoneId> zones() const;
-  [[nodiscard]] double plan_cost(const Demand& demand, const Plan& plan, const ZoneId& zone) const;
 
   const Profile& profile_;
 };
