--- a/src/scheduling/array_search.cpp
+++ b/src/scheduling/array_search.cpp
@@ -24,7 +24,7 @@
 std::optional<Plan> ArraySearch::earliest(WallTime from) {
   const JobSpec& job = *demand_.job;
   profile_.for_each_allowed_machine(demand_, zone_, [&](std::size_t machine) {
-    const Duration fetch = profile_.fetch_time(job, profile_.machines()[machine]);
+    const Duration fetch = Profile::fetch_time(job, profile_.machines()[machine]);
     push_slot(machine, planned_run(demand_, fetch), from);
   });
   const std::size_t max_steps = kMaxSearchSteps + kExtraStepsPerTask * demand_.tasks;
--- a/src/scheduling/compression.cpp
+++ b/src/scheduling/compression.cpp
@@ -89,7 +89,7 @@
   const bool has_images = std::all_of(
       reserved.placements.begin(), reserved.placements.end(), [&](const Placement& placement) {
         const PlanMachine& machine = round_.profile.machines()[placement.machine];
-        return round_.profile.fetch_time(*item.demand.job, machine) <= Duration{0};
+        return Profile::fetch_time(*item.demand.job, machine) <= Duration{0};
       });
   if (!has_images || !round_.still_fits(reserved, item.demand)) return std::nullopt;
   return reserved;
--- a/src/scheduling/gang_search.cpp
+++ b/src/scheduling/gang_search.cpp
@@ -45,7 +45,7 @@
   const JobSpec& job = *demand_.job;
   profile_.for_each_allowed_machine(demand_, zone_, [&](std::size_t machine) {
     const PlanMachine& properties = profile_.machines()[machine];
-    const Duration run = planned_run(demand_, profile_.fetch_time(job, properties));
+    const Duration run = planned_run(demand_, Profile::fetch_time(job, properties));
     for (std::uint32_t nth = 1; nth <= demand_.tasks; ++nth) {
       if (!fits(job.need * static_cast<double>(nth), properties.resources)) break;
       Slot slot{kNever, machine, nth, run};
--- a/src/scheduling/image_set.hpp
+++ b/src/scheduling/image_set.hpp
@@ -1,5 +1,5 @@
-// The images that a machine holds, as placement asks for them: for every machine of a cluster,
-// again and again.
+/// The images that a machine holds, in a form that placement can query for every machine of a
+/// cluster, many times a second.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 inline ImageKey key_of(const ImageId& image) { return ImageKey(std::hash<ImageId>{}(image)); }
 
-/// A small set, by key.
+/// A small sorted set of image keys.
 class ImageSet {
  public:
   void insert(const ImageId& image) {
--- a/src/scheduling/machine_evacuation.hpp
+++ b/src/scheduling/machine_evacuation.hpp
@@ -1,4 +1,4 @@
-// Which tasks have to leave machines that are about to go, ahead of the loss.
+/// Graceful eviction: which tasks have to leave machines that are about to go, ahead of the loss.
 #pragma once
 
 #include <map>
@@ -16,9 +16,10 @@
   const char* reason = "";  // for the members
 };
 
-/// Tasks that can save their progress are stopped as late as saving allows, a gang whole. Replicas
-/// of standing jobs leave machines that the cloud takes back as soon as that is known, and those
-/// that are drained or quarantined one replica of a job at a time: they would stay there for ever.
+/// Tasks that can write a checkpoint are stopped as late as writing it allows, a gang whole.
+/// Replicas of service jobs leave machines that the cloud takes back as soon as that is known, and
+/// those that are drained or quarantined one replica of a job at a time: they would stay there for
+/// ever.
 std::map<JobId, Evacuation> find_evacuations(const Records& records, WallTime now);
 
 }  // namespace marblevale
--- a/src/scheduling/occupancy.cpp
+++ b/src/scheduling/occupancy.cpp
@@ -59,7 +59,7 @@
   return out;
 }
 
-std::size_t Occupancy::fetches_at(const MachineId& machine_id, const Records& records) const {
+std::size_t Occupancy::fetches_at(const MachineId& machine_id, const Records& records) {
   const auto placed = records.placed.find(machine_id);
   const auto machine = records.machines.find(machine_id);
   if (placed == records.placed.end() || machine == records.machines.end()) return 0;
--- a/src/scheduling/occupancy.hpp
+++ b/src/scheduling/occupancy.hpp
@@ -1,5 +1,5 @@
-// What runs where, kept up in a profile from one change of the records to the next. A profile made
-// anew from all records at the same moment would be the same; a test holds the two together.
+/// What runs where: updates a profile incrementally from one change of the records to the next. A
+/// profile built from all records at the same moment would be equal; a test compares the two.
 #pragma once
 
 #include <map>
@@ -13,13 +13,13 @@
 
 namespace marblevale {
 
-/// A machine that is rented and has not reported yet.
+/// A machine that is provisioned and has not sent a heartbeat yet.
 struct BootingMachine {
   MachineId machine_id;
   std::string machine_type;
   ZoneId zone;
   bool spot = false;
-  WallTime ready;  // likely
+  WallTime ready;  // estimated
 };
 
 /// Images that machines are probably fetching: those of tasks that are bound there.
@@ -33,25 +33,26 @@
   std::unordered_map<MachineId, std::vector<CachedImage>> images_;
 };
 
-/// When a placed task will likely end. An overrun stretches its end by a fifth of its estimate each
-/// time it is reached.
+/// The estimated end of a placed task. Each time an overrunning task reaches it, it is extended by
+/// a fifth of the estimated run.
 WallTime estimated_end(const TaskRecord& task, const JobSpec& job, const Records& records,
                        WallTime now);
 
+/// Owns the profile, and the marks of what has changed since the last `sync`.
 class Occupancy {
  public:
   using Slices = std::map<SliceKey, const SliceRecord*>;
 
-  /// Marks what changed; it is looked up at the next `sync`.
+  /// Marks what changed; the next `sync` reads it again.
   void mark_machine_dirty(const MachineId& machine_id) { machines_.insert(machine_id); }
   void mark_slice_dirty(const SliceKey& key) { slices_.insert(key); }
-  /// Everything is taken in anew at the next `sync`.
+  /// The next `sync` rebuilds the profile from all records.
   void reset() { rebuild_ = true; }
 
   /// Zones whose machines can't be reached: nothing is to be placed there meanwhile.
   void set_unreachable_zones(const std::set<ZoneId>& zones, const Records& records);
-  /// Takes in what was touched. `pending` are slices as this controller has committed them, or is
-  /// about to, and that the records may not show yet.
+  /// Brings the profile up to date with what was marked. `pending` are slices as this controller
+  /// has committed them, or is about to, and that the records may not show yet.
   void sync(const Records& records, const std::vector<Team>& teams, const Slices& pending,
             const std::vector<BootingMachine>& booting, WallTime now);
 
@@ -64,7 +65,7 @@
   void sync_slice(const SliceKey& key, const Records& records, const Slices& pending, WallTime now);
   void mark_slices_on_dirty(const MachineId& machine_id, const Records& records);
   void refresh_images(const MachineId& machine_id, const Records& records);
-  [[nodiscard]] std::size_t fetches_at(const MachineId& machine_id, const Records& records) const;
+  [[nodiscard]] static std::size_t fetches_at(const MachineId& machine_id, const Records& records);
 
   Profile profile_;
   ExpectedImages images_;
--- a/src/scheduling/placement_search.cpp
+++ b/src/scheduling/placement_search.cpp
@@ -61,7 +61,7 @@
     const ResourceTimeline& timeline = profile_.timeline(machine);
     const PlanMachine& properties = profile_.machines()[machine];
     if (properties.ready > at || timeline.no_room_beside_running(job.need, at)) return;
-    const Duration fetch = profile_.fetch_time(job, properties);
+    const Duration fetch = Profile::fetch_time(job, properties);
     const Duration run = std::max(min_run, planned_run(demand, fetch));
     const Resources free = room == Room::unreserved ? timeline.free(at, at + run)
                                                     : timeline.capacity() - timeline.running();
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -98,7 +98,7 @@
     CandidateMachine candidate{machine_id, machine.zone, type->resources, 0, {}};
     const auto index = profile_.find(machine_id);
     if (index) {
-      candidate.fetch_seconds = to_seconds(profile_.fetch_time(spec_, profile_.machines()[*index]));
+      candidate.fetch_seconds = to_seconds(Profile::fetch_time(spec_, profile_.machines()[*index]));
     }
     add_placed_tasks(candidate, *type);
     if (!index || excluded.contains(machine_id) || !is_usable(machine, *type)) continue;
--- a/src/scheduling/preemption.hpp
+++ b/src/scheduling/preemption.hpp
@@ -1,4 +1,5 @@
-// Which running tasks to stop so that a job of higher rank can start: those that lose least. Pure.
+/// Preemption: which running tasks to stop so that a job of higher rank can start. It chooses those
+/// that lose least. Pure.
 #pragma once
 
 #include <optional>
--- a/src/scheduling/profile.cpp
+++ b/src/scheduling/profile.cpp
@@ -38,7 +38,7 @@
     machines_.emplace_back();
     tie_break_seeds_.push_back(0);
     timelines_.emplace_back(Resources{});
-    opened_.emplace_back();
+    freed_at_.emplace_back();
   } else {
     at = unused_.back();
     unused_.pop_back();
@@ -63,7 +63,7 @@
 void Profile::remove_machine(std::size_t machine) {
   for (Group& group : groups_) std::erase(group.members, machine);
   index_.erase(machines_[machine].machine_id);
-  break_owners_on(machine);
+  invalidate_owners_on(machine);
   timelines_[machine] = ResourceTimeline(Resources{});
   machines_[machine] = PlanMachine{};
   machines_[machine].ready = kNever;
@@ -73,7 +73,7 @@
 void Profile::update_machine(std::size_t machine, WallTime ready, ImageSet images,
                              std::size_t fetching) {
   PlanMachine& known = machines_[machine];
-  if (ready > known.ready) break_owners_on(machine);
+  if (ready > known.ready) invalidate_owners_on(machine);
   if (ready < known.ready || fetching < known.fetching || images != known.images) {
     mark_capacity_freed(machine);
   }
@@ -84,18 +84,18 @@
 
 void Profile::mark_capacity_freed(std::size_t machine) {
   next_version();
-  opened_[machine] = version_;
+  freed_at_[machine] = version_;
 }
 
 void Profile::mark_team_capacity_freed(const TeamId& team) {
   next_version();
   for (TeamTimeline& known : teams_) {
-    if (known.name == team) known.opened = version_;
+    if (known.name == team) known.freed_at = version_;
   }
 }
 
-void Profile::break_owners_on(std::size_t machine) {
-  for (const Allocation& t : timelines_[machine].allocations()) broken_.insert(t.owner);
+void Profile::invalidate_owners_on(std::size_t machine) {
+  for (const Allocation& t : timelines_[machine].allocations()) invalidated_.insert(t.owner);
 }
 
 void Profile::add_team(const TeamId& team, Resources limit) {
@@ -166,7 +166,7 @@
 }
 
 std::vector<std::size_t> Profile::release_allocations(Owner owner) {
-  broken_.erase(owner);
+  invalidated_.erase(owner);
   std::vector<std::size_t> timelines;
   if (const auto it = owners_.find(owner); it != owners_.end()) {
     timelines = std::move(it->second);
@@ -184,7 +184,7 @@
   const auto team = team_of_.find(owner);
   if (team != team_of_.end()) {
     next_version();
-    teams_[team->second].opened = version_;
+    teams_[team->second].freed_at = version_;
   }
   for (const std::size_t timeline : release_allocations(owner)) mark_capacity_freed(timeline);
 }
@@ -198,7 +198,7 @@
     if (found) return;
     const WallTime ready = machines_[machine].ready;
     const bool became_ready = ready > ready_since && ready <= now;
-    if (opened_[machine] <= since && !became_ready) return;
+    if (freed_at_[machine] <= since && !became_ready) return;
     found = ready <= now && timelines_[machine].can_fit(demand.job->need, now, now + demand.run);
   });
   return found;
@@ -206,7 +206,7 @@
 
 bool Profile::team_capacity_freed_since(const TeamId& team, Version since) const {
   return std::any_of(teams_.begin(), teams_.end(), [&](const TeamTimeline& known) {
-    return known.name == team && known.opened > since;
+    return known.name == team && known.freed_at > since;
   });
 }
 
@@ -228,7 +228,7 @@
   return fits(job.need, machine.resources);
 }
 
-Duration Profile::fetch_time(const JobSpec& job, const PlanMachine& machine) const {
+Duration Profile::fetch_time(const JobSpec& job, const PlanMachine& machine) {
   if (machine.pull_gb_per_s <= 0 || machine.images.contains(key_of(job.image))) return Duration{0};
   return from_seconds(job.image_gb / machine.pull_gb_per_s *
                       static_cast<double>(1 + machine.fetching));
@@ -237,7 +237,7 @@
 bool Profile::reservation_still_fits(Owner owner) const {
   const auto timelines = owners_.find(owner);
   const auto limit = team_of_.find(owner);
-  if (timelines == owners_.end() || broken_.contains(owner)) return false;
+  if (timelines == owners_.end() || invalidated_.contains(owner)) return false;
   if (limit != team_of_.end() && !teams_[limit->second].timeline.allocations_fit(owner))
     return false;
   return std::all_of(timelines->second.begin(), timelines->second.end(), [&](std::size_t timeline) {
--- a/src/scheduling/resource_timeline.hpp
+++ b/src/scheduling/resource_timeline.hpp
@@ -1,4 +1,4 @@
-// Room over time on one machine, or within one team's limit, as a function of steps. Pure.
+/// Capacity over time of one machine, or of one team's limit, as a step function. Pure.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +11,11 @@
 
 namespace marblevale {
 
+/// Names whose allocations they are: a job's reservation, or what runs of a slice.
 using Owner = StrongType<struct OwnerTag, std::uint64_t>;
 
-/// Room that is taken for a while. What runs now has begun at time 0.
+/// Capacity that is in use for a while. What runs now has begun at time 0: it then compares as
+/// begun at every moment, without a further member in a type of which there are very many.
 struct Allocation {
   WallTime from;
   WallTime to;
@@ -21,26 +23,28 @@
   Owner owner;
 };
 
-/// One machine, or one team's limit, over time: a function of steps, so that a question walks over
-/// the steps that it touches, once.
+/// The allocations of one machine, or of one team, over time. A step function: a query walks once
+/// over the steps that it touches.
 class ResourceTimeline {
  public:
-  explicit ResourceTimeline(Resources whole) : capacity_(whole) {}
+  explicit ResourceTimeline(Resources capacity) : capacity_(capacity) {}
   void allocate(const Allocation& allocation);
   void release(Owner owner);
   [[nodiscard]] const Resources& capacity() const { return capacity_; }
   [[nodiscard]] const std::vector<Allocation>& allocations() const { return allocations_; }
   /// The least that is free at any moment of [from, to).
   [[nodiscard]] Resources free(WallTime from, WallTime to) const;
+  /// True when `need` is free during all of [from, to).
   [[nodiscard]] bool can_fit(const Resources& need, WallTime from, WallTime to) const;
   /// The first moment from `from` on at which `need` fits for `run`.
   [[nodiscard]] std::optional<WallTime> earliest_fit(const Resources& need, WallTime from,
                                                      Duration run) const;
-  /// True when what the owner has taken fits along with all else.
+  /// True when the owner's allocations fit along with all others.
   [[nodiscard]] bool allocations_fit(Owner owner) const;
   /// The first moment after `at` at which something changes.
   [[nodiscard]] std::optional<WallTime> next_change_after(WallTime at) const;
-  /// Quick and certain: what runs at `at` leaves no room for `need`, whatever is reserved.
+  /// True: what runs at `at` leaves no room for `need`, whatever is reserved. Quick; false says
+  /// nothing.
   [[nodiscard]] bool no_room_beside_running(const Resources& need, WallTime at) const {
     return at < running_until_ && !fits(need, capacity_ - running_);
   }
@@ -62,9 +66,10 @@
   // First what `no_room_beside_running` reads, so that a search over a cluster touches little
   // memory.
   Resources capacity_;
-  Resources running_{};     // of what has begun
-  WallTime running_until_;  // when the first of that ends; 0: nothing has begun
-  Resources total_{};       // of all that is taken, at whatever time
+  Resources running_{};  // of what has begun
+  WallTime
+      running_until_;  // when the first of that ends; 0, and so never later than any time: none
+  Resources total_{};  // of all allocations, at whatever time
   std::vector<Allocation> allocations_;
   std::vector<Step> steps_;  // by time; before the first and after the last nothing is used
 };
--- a/src/scheduling/scale_out.cpp
+++ b/src/scheduling/scale_out.cpp
@@ -7,96 +7,159 @@
 namespace {
 
 // A new machine must save at least this much waiting beyond its boot.
-constexpr Duration kWorthwhile{5'000};
+constexpr Duration kMinTimeSaved{5'000};
 constexpr std::uint32_t kMinPerRound = 16;
-constexpr double kPerRound = 0.15;  // of the machines that there are
+constexpr double kMaxShareOfFleet = 0.15;  // of the machines that there are, per round
+// Weighs a zone's machines against the price: zones are taken in turn.
+constexpr double kZoneLoadWeight = 0.01;
 
-struct Virtual {
-  MachineOffering offer;
-  Resources left;
+/// A machine that this round wants to be provisioned.
+struct PlannedMachine {
+  MachineOffering offering;
+  Resources free;
 };
 
-PlanMachine as_machine(const MachineType& type, const MachineOffering& offer) {
-  PlanMachine m;
-  m.machine_type = type.name;
-  m.zone = offer.zone;
-  m.spot = offer.spot;
-  m.resources = type.resources;
-  return m;
+struct PricedOffering {
+  double cost = 0;
+  MachineOffering offering;
+  auto operator<=>(const PricedOffering&) const = default;
+};
+
+PlanMachine as_machine(const MachineType& type, const MachineOffering& offering) {
+  PlanMachine machine;
+  machine.machine_type = type.name;
+  machine.zone = offering.zone;
+  machine.spot = offering.spot;
+  machine.resources = type.resources;
+  return machine;
 }
 
-}  // namespace
+/// Packs the tasks of one demand after the other into the machines planned so far, and plans
+/// further ones.
+class ScaleOut {
+ public:
+  ScaleOut(const std::vector<MachineType>& types,
+           const std::function<bool(const MachineOffering&)>& available,
+           const std::map<ZoneId, std::uint32_t>& machines_in_zone,
+           std::map<TeamId, Resources> team_resources)
+      : types_(types),
+        available_(available),
+        machines_in_zone_(machines_in_zone),
+        team_resources_(std::move(team_resources)) {
+    double total = 0;
+    for (const auto& [zone, count] : machines_in_zone) total += count;
+    max_machines_ = std::max(kMinPerRound, static_cast<std::uint32_t>(total * kMaxShareOfFleet));
+  }
 
-// Not split yet, issue 17.
-// NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size)
-std::map<MachineOffering, std::uint32_t> plan_scale_out(
-    const std::vector<UnmetDemand>& unmet_demands, const std::vector<MachineType>& types,
-    const std::function<bool(const MachineOffering&)>& available,
-    const std::map<ZoneId, std::uint32_t>& in_zone, std::map<TeamId, Resources> team_resources) {
-  std::vector<Virtual> provisioned;
-  std::uint32_t total = 0;
-  double known = 0;
-  for (const auto& [zone, n] : in_zone) known += n;
-  const auto most = std::max(kMinPerRound, static_cast<std::uint32_t>(known * kPerRound));
-  const auto zone_load = [&](const ZoneId& zone) {
-    const auto it = in_zone.find(zone);
-    double n = it == in_zone.end() ? 0 : it->second;
-    for (const Virtual& v : provisioned) n += v.offer.zone == zone ? 1 : 0;
-    return n;
-  };
-
-  for (const UnmetDemand& w : unmet_demands) {
-    // Offers that the job allows, the cheapest for its share first; zones are taken in turn.
-    std::vector<std::pair<double, MachineOffering>> offers;
-    for (const MachineType& type : types) {
-      for (const ZoneId& zone : type.zones) {
-        for (const bool spot : {true, false}) {
-          const MachineOffering offer{type.name, zone, spot};
-          if (!Profile::allowed(*w.job, as_machine(type, offer)) || !available(offer)) continue;
-          if (w.zone && *w.zone != zone) continue;
-          if (w.wait < type.boot + kWorthwhile) continue;
-          const double cost = share_of(w.job->need, type.resources) * type.price_of(spot);
-          offers.emplace_back(cost + 0.01 * zone_load(zone), offer);
-        }
-      }
-    }
-    std::sort(offers.begin(), offers.end());
-    std::optional<ZoneId> zone = w.zone;
-    for (std::uint32_t task = 0; task < w.tasks; ++task) {
-      auto resources = team_resources.find(w.job->team);
-      if (resources != team_resources.end() && !fits(w.job->need, resources->second)) break;
-      Virtual* place = nullptr;
-      for (Virtual& v : provisioned) {
-        if (!fits(w.job->need, v.left) || (zone && v.offer.zone != *zone)) continue;
-        const bool suits = std::any_of(offers.begin(), offers.end(),
-                                       [&](const auto& o) { return o.second == v.offer; });
-        if (suits) {
-          place = &v;
-          break;
-        }
-      }
-      if (place == nullptr && total < most) {
-        for (const auto& entry : offers) {
-          const auto& offer = entry.second;
-          if (zone && offer.zone != *zone) continue;
-          const auto type = std::find_if(types.begin(), types.end(), [&](const MachineType& t) {
-            return t.name == offer.machine_type;
-          });
-          provisioned.push_back({offer, type->resources});
-          place = &provisioned.back();
-          ++total;
-          break;
-        }
+  void add(const UnmetDemand& demand);
+  [[nodiscard]] std::map<MachineOffering, std::uint32_t> counts() const;
+
+ private:
+  /// What the demand's job allows, the cheapest for its share first.
+  [[nodiscard]] std::vector<PricedOffering> offerings_for(const UnmetDemand& demand) const;
+  [[nodiscard]] bool is_suitable(const UnmetDemand& demand, const MachineType& type,
+                                 const MachineOffering& offering) const;
+  [[nodiscard]] double zone_load(const ZoneId& zone) const;
+  /// A planned machine with room for a task, or a new one; null when there is none.
+  PlannedMachine* find_or_plan(const Resources& need, const std::optional<ZoneId>& zone,
+                               const std::vector<PricedOffering>& offerings);
+  PlannedMachine* plan_machine(const std::optional<ZoneId>& zone,
+                               const std::vector<PricedOffering>& offerings);
+
+  const std::vector<MachineType>& types_;
+  const std::function<bool(const MachineOffering&)>& available_;
+  const std::map<ZoneId, std::uint32_t>& machines_in_zone_;
+  std::map<TeamId, Resources> team_resources_;  // left for each team
+  std::size_t max_machines_ = 0;
+  std::vector<PlannedMachine> planned_;
+};
+
+double ScaleOut::zone_load(const ZoneId& zone) const {
+  const auto known = machines_in_zone_.find(zone);
+  double load = known == machines_in_zone_.end() ? 0 : known->second;
+  for (const PlannedMachine& machine : planned_) load += machine.offering.zone == zone ? 1 : 0;
+  return load;
+}
+
+bool ScaleOut::is_suitable(const UnmetDemand& demand, const MachineType& type,
+                           const MachineOffering& offering) const {
+  if (!Profile::allowed(*demand.job, as_machine(type, offering))) return false;
+  if (!available_(offering)) return false;
+  if (demand.zone && *demand.zone != offering.zone) return false;
+  return demand.wait >= type.boot + kMinTimeSaved;
+}
+
+std::vector<PricedOffering> ScaleOut::offerings_for(const UnmetDemand& demand) const {
+  std::vector<PricedOffering> offerings;
+  for (const MachineType& type : types_) {
+    for (const ZoneId& zone : type.zones) {
+      for (const bool spot : {true, false}) {
+        const MachineOffering offering{type.name, zone, spot};
+        if (!is_suitable(demand, type, offering)) continue;
+        const double cost = share_of(demand.job->need, type.resources) * type.price_of(spot);
+        offerings.push_back({cost + kZoneLoadWeight * zone_load(zone), offering});
       }
-      if (place == nullptr) break;
-      place->left -= w.job->need;
-      if (resources != team_resources.end()) resources->second -= w.job->need;
-      if (w.job->together) zone = place->offer.zone;
     }
   }
+  std::sort(offerings.begin(), offerings.end());
+  return offerings;
+}
+
+PlannedMachine* ScaleOut::find_or_plan(const Resources& need, const std::optional<ZoneId>& zone,
+                                       const std::vector<PricedOffering>& offerings) {
+  for (PlannedMachine& machine : planned_) {
+    if (!fits(need, machine.free) || (zone && machine.offering.zone != *zone)) continue;
+    const bool is_allowed = std::any_of(
+        offerings.begin(), offerings.end(),
+        [&](const PricedOffering& priced) { return priced.offering == machine.offering; });
+    if (is_allowed) return &machine;
+  }
+  return planned_.size() < max_machines_ ? plan_machine(zone, offerings) : nullptr;
+}
+
+PlannedMachine* ScaleOut::plan_machine(const std::optional<ZoneId>& zone,
+                                       const std::vector<PricedOffering>& offerings) {
+  const auto priced = std::find_if(
+      offerings.begin(), offerings.end(),
+      [&](const PricedOffering& candidate) { return !zone || candidate.offering.zone == *zone; });
+  if (priced == offerings.end()) return nullptr;
+  const auto type = std::find_if(types_.begin(), types_.end(), [&](const MachineType& candidate) {
+    return candidate.name == priced->offering.machine_type;
+  });
+  planned_.push_back({priced->offering, type->resources});
+  return &planned_.back();
+}
+
+void ScaleOut::add(const UnmetDemand& demand) {
+  const JobSpec& job = *demand.job;
+  const std::vector<PricedOffering> offerings = offerings_for(demand);
+  std::optional<ZoneId> zone = demand.zone;
+  const auto team = team_resources_.find(job.team);
+  for (std::uint32_t task = 0; task < demand.tasks; ++task) {
+    if (team != team_resources_.end() && !fits(job.need, team->second)) break;
+    PlannedMachine* machine = find_or_plan(job.need, zone, offerings);
+    if (machine == nullptr) break;
+    machine->free -= job.need;
+    if (team != team_resources_.end()) team->second -= job.need;
+    if (job.together) zone = machine->offering.zone;
+  }
+}
+
+std::map<MachineOffering, std::uint32_t> ScaleOut::counts() const {
   std::map<MachineOffering, std::uint32_t> out;
-  for (const Virtual& v : provisioned) ++out[v.offer];
+  for (const PlannedMachine& machine : planned_) ++out[machine.offering];
   return out;
 }
 
+}  // namespace
+
+std::map<MachineOffering, std::uint32_t> plan_scale_out(
+    const std::vector<UnmetDemand>& unmet_demands, const std::vector<MachineType>& types,
+    const std::function<bool(const MachineOffering&)>& available,
+    const std::map<ZoneId, std::uint32_t>& in_zone, std::map<TeamId, Resources> team_resources) {
+  ScaleOut scale_out(types, available, in_zone, std::move(team_resources));
+  for (const UnmetDemand& demand : unmet_demands) scale_out.add(demand);
+  return scale_out.counts();
+}
+
 }  // namespace marblevale
--- a/src/scheduling/scale_out.hpp
+++ b/src/scheduling/scale_out.hpp
@@ -1,9 +1,9 @@
-// What to rent for the work that waits. Pure.
+/// Scale-out: which machines to provision for the work that waits. Pure.
 #pragma once
 
 #include <functional>
 #include <map>
-#include <tuple>
+#include <string>
 #include <vector>
 
 #include "protocol/cloud.hpp"
@@ -11,7 +11,7 @@
 
 namespace marblevale {
 
-/// A kind of machine that can be rented.
+/// A kind of machine that the cloud offers.
 struct MachineOffering {
   std::string machine_type;
   ZoneId zone;
@@ -28,8 +28,9 @@
   std::optional<ZoneId> zone;  // where it must be
 };
 
-/// How many machines of each offer to rent. `available` says whether the cloud may have any;
-/// `in_zone` counts the machines that each zone has; `team_room` is what each team may still take.
+/// How many machines of each offering to provision. `available` says whether the cloud may have
+/// any; `in_zone` counts the machines that each zone has; `team_resources` is what each team may
+/// still use.
 std::map<MachineOffering, std::uint32_t> plan_scale_out(
     const std::vector<UnmetDemand>& unmet_demands, const std::vector<MachineType>& types,
     const std::function<bool(const MachineOffering&)>& available,
--- a/src/scheduling/starvation.cpp
+++ b/src/scheduling/starvation.cpp
@@ -1,8 +1,6 @@
 #include "scheduling/starvation.hpp"
 
 #include <algorithm>
-#include <cmath>
-#include <limits>
 #include <map>
 
 #include "scheduling/profile.hpp"
@@ -11,47 +9,60 @@
 
 namespace {
 
+/// A machine that is up, or should be.
 struct Candidate {
-  PlanMachine rules;  // what the job's rules look at
+  PlanMachine properties;  // as far as a job's rules ask for them
   Resources free;
   MachineState state;
 };
 
-struct Waiting {
+/// A job that has tasks to place.
+struct WaitingJob {
   const JobRecord* job;
   WallTime since;
-  std::map<ZoneId, std::uint32_t> placed;  // its other tasks
+  std::map<ZoneId, std::uint32_t> placed_tasks;  // its other tasks
 };
 
-std::vector<Candidate> candidates_of(const Records& records, WallTime now, Duration out_of_use) {
+bool is_candidate(const MachineRecord& machine, WallTime now, Duration min_out_of_service) {
+  if (machine.reclaim_at || machine.state == MachineState::gone) return false;
+  return machine.state == MachineState::up || now - machine.since >= min_out_of_service;
+}
+
+Resources free_on(const MachineId& machine_id, const MachineType& type, const Records& records) {
+  Resources free = type.resources;
+  const auto placed = records.placed.find(machine_id);
+  if (placed == records.placed.end()) return free;
+  for (const auto& [id, attempt] : placed->second) {
+    if (const JobRecord* job = records.job(id.job_id)) free -= job->spec.need;
+  }
+  return free;
+}
+
+/// Those that are up come first.
+std::vector<Candidate> find_candidates(const Records& records, WallTime now,
+                                       Duration min_out_of_service) {
   std::vector<Candidate> out;
   for (const auto& [machine_id, stored] : records.machines) {
-    const MachineRecord& m = stored.record;
-    const MachineType* type = records.type(m.machine_type);
-    const bool up = m.state == MachineState::up;
-    if (type == nullptr || m.reclaim_at || m.state == MachineState::gone) continue;
-    if (!up && now - m.since < out_of_use) continue;
-    Candidate c;
-    c.rules.machine_id = machine_id;
-    c.rules.machine_type = m.machine_type;
-    c.rules.zone = m.zone;
-    c.rules.spot = m.spot;
-    c.rules.resources = type->resources;
-    c.free = type->resources;
-    c.state = m.state;
-    if (const auto placed = records.placed.find(machine_id); placed != records.placed.end()) {
-      for (const auto& [id, attempt] : placed->second) {
-        if (const JobRecord* job = records.job(id.job_id)) c.free -= job->spec.need;
-      }
-    }
-    out.push_back(std::move(c));
+    const MachineRecord& machine = stored.record;
+    const MachineType* type = records.type(machine.machine_type);
+    if (type == nullptr || !is_candidate(machine, now, min_out_of_service)) continue;
+    Candidate candidate;
+    candidate.properties.machine_id = machine_id;
+    candidate.properties.machine_type = machine.machine_type;
+    candidate.properties.zone = machine.zone;
+    candidate.properties.spot = machine.spot;
+    candidate.properties.resources = type->resources;
+    candidate.free = free_on(machine_id, *type, records);
+    candidate.state = machine.state;
+    out.push_back(std::move(candidate));
   }
-  std::stable_partition(out.begin(), out.end(),
-                        [](const Candidate& c) { return c.state == MachineState::up; });
+  std::stable_partition(out.begin(), out.end(), [](const Candidate& candidate) {
+    return candidate.state == MachineState::up;
+  });
   return out;
 }
 
-std::map<TeamId, Resources> team_use(const Records& records) {
+std::map<TeamId, Resources> used_by_team(const Records& records) {
   std::map<TeamId, Resources> out;
   for (const auto& [machine_id, placed] : records.placed) {
     for (const auto& [id, attempt] : placed) {
@@ -61,99 +72,128 @@
   return out;
 }
 
-// Not split yet, issue 17.
-// NOLINTNEXTLINE(readability-function-cognitive-complexity)
-std::optional<Waiting> waiting(const JobId& job_id, const JobRecord& job, const Records& records) {
-  Waiting out{&job, WallTime::max(), {}};
+/// When the last task of the gang ended: it starts whole, after proof of all its tasks.
+WallTime last_end(const JobId& job_id, const JobRecord& gang, const Records& records) {
+  WallTime last = gang.accepted;
+  for (std::uint32_t number = 0; number < slice_count(gang.spec); ++number) {
+    const auto* slice = records.slice(job_id, number);
+    if (slice == nullptr) continue;
+    for (const TaskRecord& task : slice->record.tasks) last = std::max(last, task.since);
+  }
+  return last;
+}
+
+/// Adds the slice's tasks to the job's; how many of them are idle.
+std::uint32_t add_slice(WaitingJob& waiting, const SliceRecord& slice) {
   std::uint32_t idle = 0;
-  for (std::uint32_t n = 0; n < slice_count(job.spec); ++n) {
-    const auto* slice = records.slice(job_id, n);
-    if (slice == nullptr) {
-      idle += slice_size(job.spec, n);
-      out.since = std::min(out.since, job.accepted);
-      if (job.spec.gang()) continue;
-      break;  // the later ones have not begun either
-    }
-    for (const TaskRecord& task : slice->record.tasks) {
-      if (task.placed()) ++out.placed[task.zone];
-      if (task.state != TaskState::idle) continue;
-      ++idle;
-      out.since = std::min(out.since, std::max(job.accepted, task.since));
+  for (const TaskRecord& task : slice.tasks) {
+    if (task.placed()) ++waiting.placed_tasks[task.zone];
+    if (task.state != TaskState::idle) continue;
+    ++idle;
+    waiting.since = std::min(waiting.since, std::max(waiting.job->accepted, task.since));
+  }
+  return idle;
+}
+
+/// Nothing when the job has no task that could be placed.
+std::optional<WaitingJob> find_waiting(const JobId& job_id, const JobRecord& job,
+                                       const Records& records) {
+  WaitingJob waiting{&job, WallTime::max(), {}};
+  std::uint32_t idle = 0;
+  for (std::uint32_t number = 0; number < slice_count(job.spec); ++number) {
+    const auto* slice = records.slice(job_id, number);
+    if (slice != nullptr) {
+      idle += add_slice(waiting, slice->record);
+      continue;
     }
+    idle += slice_size(job.spec, number);
+    waiting.since = std::min(waiting.since, job.accepted);
+    if (!job.spec.gang()) break;  // the later ones have not begun either
   }
   if (idle == 0) return std::nullopt;
   if (job.spec.gang()) {
-    // It starts whole, after proof of all its tasks: the last end counts.
     if (idle != job.spec.task_count) return std::nullopt;
-    out.since = job.accepted;
-    for (std::uint32_t n = 0; n < slice_count(job.spec); ++n) {
-      const auto* slice = records.slice(job_id, n);
-      if (slice == nullptr) continue;
-      for (const TaskRecord& task : slice->record.tasks)
-        out.since = std::max(out.since, task.since);
-    }
+    waiting.since = last_end(job_id, job, records);
   }
-  return out;
+  return waiting;
+}
+
+/// The jobs that have waited longest, these first.
+std::vector<WaitingJob> find_longest_waiting(const Records& records, WallTime now,
+                                             Duration min_wait, std::size_t max_jobs) {
+  std::vector<WaitingJob> jobs;
+  for (const auto& [job_id, stored] : records.jobs) {
+    if (stored.record.cancelled || now - stored.record.accepted < min_wait) continue;
+    auto waiting = find_waiting(job_id, stored.record, records);
+    if (waiting && now - waiting->since >= min_wait) jobs.push_back(std::move(*waiting));
+  }
+  std::sort(jobs.begin(), jobs.end(), [](const WaitingJob& a, const WaitingJob& b) {
+    return a.since != b.since ? a.since < b.since : a.job->spec.job_id < b.job->spec.job_id;
+  });
+  if (jobs.size() > max_jobs) jobs.resize(max_jobs);
+  return jobs;
 }
 
-std::uint32_t how_many(const Resources& need, const Resources& free, std::uint32_t most) {
+/// How many tasks fit, up to `max_count`.
+std::uint32_t count_fitting(const Resources& need, const Resources& free, std::uint32_t max_count) {
   Resources sum = need;
   std::uint32_t count = 0;
-  while (count < most && fits(sum, free)) {
+  while (count < max_count && fits(sum, free)) {
     ++count;
     sum += need;
   }
   return count;
 }
 
-/// The machine that made it fit.
-const Candidate* place_for(const Waiting& w, const std::vector<Candidate>& machines) {
-  const JobSpec& job = w.job->spec;
+/// The machine with which the job's next task (of a gang: all tasks) fits; null when it does not.
+const Candidate* find_fitting(const WaitingJob& waiting, const std::vector<Candidate>& candidates) {
+  const JobSpec& job = waiting.job->spec;
   const std::uint32_t wanted = job.gang() ? job.task_count : 1;
-  const std::uint32_t most_in_zone = max_tasks_in_zone(job);
-  std::map<ZoneId, std::uint32_t> zones = w.placed;
+  const std::uint32_t max_in_zone = max_tasks_in_zone(job);
+  std::map<ZoneId, std::uint32_t> in_zone = waiting.placed_tasks;
   std::uint32_t found = 0;
-  for (const Candidate& c : machines) {
-    if (!Profile::allowed(job, c.rules) || !fits(job.need, c.free)) continue;
-    const ZoneId& zone = c.rules.zone;
-    if (job.together && !w.placed.empty() && !w.placed.contains(zone)) continue;
-    std::uint32_t& here = zones[zone];
+  for (const Candidate& candidate : candidates) {
+    if (!Profile::allowed(job, candidate.properties) || !fits(job.need, candidate.free)) continue;
+    const ZoneId& zone = candidate.properties.zone;
+    const auto& placed_tasks = waiting.placed_tasks;
+    if (job.together && !placed_tasks.empty() && !placed_tasks.contains(zone)) continue;
+    std::uint32_t& here = in_zone[zone];
+    const std::uint32_t left_in_zone = max_in_zone - std::min(here, max_in_zone);
     const std::uint32_t fitting =
-        how_many(job.need, c.free, std::min(wanted, most_in_zone - std::min(here, most_in_zone)));
+        count_fitting(job.need, candidate.free, std::min(wanted, left_in_zone));
     here += fitting;
     found += fitting;
-    if ((job.gang() && job.together ? here : found) >= wanted) return &c;
+    if ((job.gang() && job.together ? here : found) >= wanted) return &candidate;
   }
   return nullptr;
 }
 
+/// The job's next task (of a gang: all tasks) keeps the team within its limit.
+bool is_within_team_limit(const JobSpec& job, const Settings& settings,
+                          const std::map<TeamId, Resources>& used_by_team) {
+  const Team* team = settings.team(job.team);
+  if (team == nullptr) return true;
+  const auto used = used_by_team.find(job.team);
+  const Resources left = used == used_by_team.end() ? team->limit() : team->limit() - used->second;
+  return fits(job.need * static_cast<double>(job.gang() ? job.task_count : 1), left);
+}
+
 }  // namespace
 
 std::vector<StarvedJob> find_starved(const Records& records, const Settings& settings, WallTime now,
-                                     Duration patience, Duration out_of_use, std::size_t most) {
-  std::vector<Waiting> jobs;
-  for (const auto& [job_id, stored] : records.jobs) {
-    if (stored.record.cancelled || now - stored.record.accepted < patience) continue;
-    auto found = waiting(job_id, stored.record, records);
-    if (found && now - found->since >= patience) jobs.push_back(std::move(*found));
-  }
+                                     Duration min_wait, Duration min_out_of_service,
+                                     std::size_t max_jobs) {
+  const auto jobs = find_longest_waiting(records, now, min_wait, max_jobs);
   if (jobs.empty()) return {};
-  std::sort(jobs.begin(), jobs.end(), [](const Waiting& a, const Waiting& b) {
-    return a.since != b.since ? a.since < b.since : a.job->spec.job_id < b.job->spec.job_id;
-  });
-  if (jobs.size() > most) jobs.resize(most);
-  const auto machines = candidates_of(records, now, out_of_use);
-  const auto used = team_use(records);
+  const auto candidates = find_candidates(records, now, min_out_of_service);
+  const auto used = used_by_team(records);
   std::vector<StarvedJob> out;
-  for (const Waiting& w : jobs) {
-    const JobSpec& job = w.job->spec;
-    if (const Team* team = settings.team(job.team)) {
-      const auto use = used.find(job.team);
-      const Resources left = use == used.end() ? team->limit() : team->limit() - use->second;
-      if (!fits(job.need * static_cast<double>(job.gang() ? job.task_count : 1), left)) continue;
-    }
-    if (const Candidate* place = place_for(w, machines)) {
-      out.push_back({job.job_id, now - w.since, place->rules.machine_id, place->state});
+  for (const WaitingJob& waiting : jobs) {
+    const JobSpec& job = waiting.job->spec;
+    if (!is_within_team_limit(job, settings, used)) continue;
+    if (const Candidate* machine = find_fitting(waiting, candidates)) {
+      out.push_back(
+          {job.job_id, now - waiting.since, machine->properties.machine_id, machine->state});
     }
   }
   return out;
--- a/src/scheduling/starvation.hpp
+++ b/src/scheduling/starvation.hpp
@@ -1,5 +1,5 @@
-// Jobs that wait beside a machine that fits: read from the records alone, not from the profile, so
-// that a profile that has gone wrong is found out. Pure.
+/// Starvation: jobs that wait though a machine fits. It is read from the records alone, not from
+/// the profile, so that a wrong profile is found out. Pure.
 #pragma once
 
 #include <vector>
@@ -9,6 +9,7 @@
 
 namespace marblevale {
 
+/// A job that waits without need, and a machine that it could use.
 struct StarvedJob {
   JobId job_id;
   Duration waited{};
@@ -16,10 +17,12 @@
   MachineState state = MachineState::up;
 };
 
-/// Of the `most` oldest jobs that have waited for `patience`, those whose next task (of a gang: all
-/// tasks) fits on machines that are up, while the team is under its limit. Where none fits,
-/// machines that have been out of use for longer than `out_of_use` are looked at as well.
+/// Of the `max_jobs` jobs that have waited longest, and for `min_wait` at the least, those whose
+/// next task (of a gang: all tasks) fits on machines that are up, while the team is under its
+/// limit. Where none fits, machines that have been out of service for `min_out_of_service` count as
+/// well.
 std::vector<StarvedJob> find_starved(const Records& records, const Settings& settings, WallTime now,
-                                     Duration patience, Duration out_of_use, std::size_t most);
+                                     Duration min_wait, Duration min_out_of_service,
+                                     std::size_t max_jobs);
 
 }  // namespace marblevale
