--- a/src/autoscaler/machine_health.cpp
+++ b/src/autoscaler/machine_health.cpp
@@ -18,7 +18,6 @@
 constexpr std::size_t kMassSilenceMachines = 10;
 constexpr Duration kLeaseExpiryMargin{1'000};     // clock error, and the latency of the last answer
 constexpr Duration kUnlistedGracePeriod{5'000};   // more than clocks differ
-constexpr int kListReorderingLags = 2;            // a list describes a moment this old at most
 constexpr double kUnrecordedTimeoutFactor = 1.5;  // boot timeouts
 
 }  // namespace
@@ -110,7 +109,7 @@
   // and can't find it silent. The record has to be older than what the list describes.
   const Duration list_age = snapshot.steady_now - inventory_.last_list_requested_at();
   const Duration listable_for =
-      snapshot.wall_now - machine.since - list_age - settings_.list_lag * kListReorderingLags;
+      snapshot.wall_now - machine.since - list_age - inventory_.max_list_age();
   return listable_for > kUnlistedGracePeriod;
 }
 
--- a/src/autoscaler/machine_inventory.cpp
+++ b/src/autoscaler/machine_inventory.cpp
@@ -11,8 +11,7 @@
 constexpr double kRefreshIntervalLags = 0.5;  // in lags of the list
 /// Of the cloud's request rate: provisioning and deletions must not wait for lists.
 constexpr double kListRateShare = 0.3;
-/// A list may be older than the one before it, by up to twice the lag.
-constexpr int kListReorderingLags = 2;
+constexpr int kMaxListAgeLags = 2;  // a list may be older than the one before it
 
 }  // namespace
 
@@ -31,6 +30,8 @@
   return it == entries_.end() ? nullptr : &it->second;
 }
 
+Duration MachineInventory::max_list_age() const { return settings_.list_lag * kMaxListAgeLags; }
+
 Duration MachineInventory::refresh_interval() const {
   // The list of a large cluster takes several calls: the more pages, the rarer it is read.
   const Duration by_rate = from_seconds(last_list_pages_ / (settings_.cloud_rps * kListRateShare));
@@ -74,10 +75,10 @@
   last_list_pages_ = read.pages;
   last_list_requested_at_ = read.requested_at;
   last_list_ = std::move(read.machine_ids);
-  const Duration margin = settings_.list_lag * kListReorderingLags;
+  const SteadyTime described_since = read.requested_at - max_list_age();
   std::vector<MachineId> vanished;
   for (const auto& [machine_id, entry] : entries_) {
-    if (!last_list_.contains(machine_id) && read.requested_at - margin > entry.last_listed) {
+    if (!last_list_.contains(machine_id) && described_since > entry.last_listed) {
       vanished.push_back(machine_id);
     }
   }
--- a/src/autoscaler/machine_inventory.hpp
+++ b/src/autoscaler/machine_inventory.hpp
@@ -44,6 +44,8 @@
   }
   /// When the last complete list was requested.
   [[nodiscard]] SteadyTime last_list_requested_at() const { return last_list_requested_at_; }
+  /// How much older than its request the state that a list describes may be.
+  [[nodiscard]] Duration max_list_age() const;
 
  private:
   /// A read of the list that is in progress.
