--- a/src/api/job_submission.cpp
+++ b/src/api/job_submission.cpp
@@ -50,13 +50,15 @@
 
 std::variant<JobSpec, UserAnswer> JobSubmission::validate(const json::Document& document) const {
   const Records& records = cache_.records();
-  std::string invalid_field;
-  auto job = parse_job(document, invalid_field);
-  if (!job) return error_answer(400, invalid_field + ": missing or invalid");
+  auto parsed = parse_job(document);
+  if (const auto* error = std::get_if<JobSpecError>(&parsed)) {
+    return error_answer(400, error->message());
+  }
+  auto& job = std::get<JobSpec>(parsed);
   if (!cache_.ready() || !records.types || records.types->record.empty()) {
     return error_answer(503, "the machine types are not known yet", kMachineTypesRetryAfter);
   }
-  if (const auto reason = infeasibility_reason(*job, settings_, records.types->record,
+  if (const auto reason = infeasibility_reason(job, settings_, records.types->record,
                                                cache_.lasting_value_bytes())) {
     return error_answer(422, *reason);
   }
@@ -64,8 +66,8 @@
     return error_answer(503, "too many unfinished jobs", kOpenJobLimitRetryAfter);
   }
   // A commit would only conflict with the record that is there.
-  if (lookup_.is_known(job->job_id)) return store_unavailable_answer();
-  return std::move(*job);
+  if (lookup_.is_known(job.job_id)) return store_unavailable_answer();
+  return std::move(job);
 }
 
 void JobSubmission::create(const std::shared_ptr<const JobSpec>& job, int attempts_left,
--- a/src/autoscaler/cloud_client.cpp
+++ b/src/autoscaler/cloud_client.cpp
@@ -14,7 +14,7 @@
 
 ProvisioningResult provisioning_result(const HttpReply& reply) {
   if (reply.status == 200) {
-    if (auto machine_ids = parse_provisioned(reply.body)) {
+    if (auto machine_ids = parse_provisioned_machines(reply.body)) {
       return {ProvisioningOutcome::provisioned, std::move(*machine_ids)};
     }
   }
@@ -89,7 +89,8 @@
 
 void CloudClient::delete_machines(const std::vector<MachineId>& machine_ids,
                                   std::function<void(DeletionOutcome)> then) {
-  enqueue({EVHTTP_REQ_POST, "/machines/delete", write_delete(machine_ids), kJson, kRequestDeadline},
+  enqueue({EVHTTP_REQ_POST, "/machines/delete", write_deletion_request(machine_ids), kJson,
+           kRequestDeadline},
           [then = std::move(then)](const HttpReply& reply) {
             then(reply.status == 200 ? DeletionOutcome::deleted : DeletionOutcome::unknown);
           });
--- a/src/protocol/cloud.hpp
+++ b/src/protocol/cloud.hpp
@@ -1,4 +1,4 @@
-// The cloud's messages.
+/// Codecs of the cloud's API: machine types, the machine list, provisioning and deletion.
 #pragma once
 
 #include <optional>
@@ -16,16 +16,18 @@
 struct MachineType {
   std::string name;
   Resources resources;
-  double cache_gb = 0;
-  double pull_gb_per_s = 0;
-  double price = 0;       // per hour
-  double spot_price = 0;  // per hour
+  double cache_gb = 0;       // of the image cache
+  double pull_gb_per_s = 0;  // rate at which images are pulled
+  double price = 0;          // per hour
+  double spot_price = 0;     // per hour
   Duration boot{};
   std::vector<ZoneId> zones;
 
   [[nodiscard]] double price_of(bool spot) const { return spot ? spot_price : price; }
 };
 
+/// The list of machine types, which the record `types` keeps in the same form. Nothing when a type
+/// lacks a required field.
 std::optional<std::vector<MachineType>> parse_machine_types(const json::Value& object);
 void write_machine_types(json::Writer& out, const std::vector<MachineType>& types);
 
@@ -41,16 +43,20 @@
   Duration age{};
 };
 
+/// One page of the machine list.
 struct MachineList {
   std::vector<ListedMachine> machines;
   bool has_next = false;
 };
 
+/// Nothing when a machine can't be read: an incomplete list must not count as evidence that a
+/// machine does not exist.
 std::optional<MachineList> parse_machine_list(std::string_view body);
-std::optional<std::vector<MachineId>> parse_provisioned(std::string_view body);
+/// The machines of an answered provisioning request.
+std::optional<std::vector<MachineId>> parse_provisioned_machines(std::string_view body);
 
 std::string write_provisioning_request(const std::string& name, const std::string& machine_type,
                                        const ZoneId& zone, bool spot, std::uint32_t how_many);
-std::string write_delete(const std::vector<MachineId>& machine_ids);
+std::string write_deletion_request(const std::vector<MachineId>& machine_ids);
 
 }  // namespace marblevale
--- a/src/protocol/job_spec.cpp
+++ b/src/protocol/job_spec.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <array>
 #include <cctype>
+#include <utility>
 
 namespace marblevale {
 
@@ -11,128 +12,179 @@
 constexpr std::uint64_t kMaxTasks = 100'000;
 constexpr double kMaxAmount = 1e6;   // CPUs, accelerators and GB of one task
 constexpr double kMaxSeconds = 1e8;  // about three years
-constexpr std::size_t kMaxName = 128;
-/// The estimate of a standing job: long after anything else, and far from where times overflow.
-constexpr Duration kEndless{90'000'000'000};
-
-bool valid_name(const std::optional<std::string>& name) {
-  return name && !name->empty() && name->size() <= kMaxName &&
-         std::none_of(name->begin(), name->end(), [](unsigned char c) { return c < 0x20; });
+constexpr std::size_t kMaxNameBytes = 128;
+constexpr std::size_t kMaxMachineTypes = 32;
+constexpr std::size_t kMaxJobIdSuffixBytes = 32;
+/// The estimated run of a service job: later than any other end, and far from an overflow of times.
+constexpr Duration kServiceRunEstimate{90'000'000'000};
+
+/// The protocol's names, in the order of the enumerators.
+constexpr std::array<const char*, 3> kShapeNames{"batch", "ensemble", "standing"};
+constexpr std::array<const char*, 4> kUrgencyNames{"low", "standard", "urgent", "production"};
+
+bool valid_name(const std::string& name) {
+  return !name.empty() && name.size() <= kMaxNameBytes &&
+         std::none_of(name.begin(), name.end(), [](unsigned char c) { return c < 0x20; });
 }
 
-/// A number between 0 and `most`; absent counts as a fault.
-bool read_amount(const json::Value& object, const char* name, double most, double& out) {
-  const auto v = json::number(object, name);
-  if (!v || *v < 0 || *v > most) return false;
-  out = *v;
-  return true;
+/// Reads fields of one object into their places until one is not valid. Each method returns whether
+/// its field is valid; null counts as missing.
+class FieldReader {
+ public:
+  explicit FieldReader(const json::Value& object) : object_(object) {}
+
+  [[nodiscard]] const JobSpecError& error() const { return error_; }
+  [[nodiscard]] bool has(const char* field) const { return json::field(object_, field) != nullptr; }
+
+  bool read_job_id(const char* field, JobId& out) {
+    auto text = json::text(object_, field);
+    if (!text || !valid_job_id(*text)) return fail(field);
+    out = JobId(std::move(*text));
+    return true;
+  }
+
+  bool read_name(const char* field, std::string& out) {
+    auto text = json::text(object_, field);
+    if (!text || !valid_name(*text)) return fail(field);
+    out = std::move(*text);
+    return true;
+  }
+
+  template <typename Id>
+  bool read_id(const char* field, Id& out) {
+    std::string name;
+    if (!read_name(field, name)) return false;
+    out = Id(std::move(name));
+    return true;
+  }
+
+  template <typename Enum, std::size_t N>
+  bool read_enum(const char* field, const std::array<const char*, N>& names, Enum& out) {
+    const auto text = json::text(object_, field);
+    if (!text) return fail(field);
+    const auto it = std::find(names.begin(), names.end(), *text);
+    if (it == names.end()) return fail(field);
+    out = static_cast<Enum>(it - names.begin());
+    return true;
+  }
+
+  bool read_task_count(const char* field, std::uint32_t& out) {
+    const auto count = json::count(object_, field);
+    if (!count || *count == 0 || *count > kMaxTasks) return fail(field);
+    out = static_cast<std::uint32_t>(*count);
+    return true;
+  }
+
+  /// A number between 0 and `max`.
+  bool read_amount(const char* field, double max, double& out) {
+    const auto number = json::number(object_, field);
+    if (!number || *number < 0 || *number > max) return fail(field);
+    out = *number;
+    return true;
+  }
+
+  bool read_flag(const char* field, bool& out) {
+    const auto flag = json::flag(object_, field);
+    if (!flag) return fail(field);
+    out = *flag;
+    return true;
+  }
+
+  bool read_seconds(const char* field, Duration& out) {
+    double seconds = 0;
+    if (!read_amount(field, kMaxSeconds, seconds)) return false;
+    out = from_seconds(seconds);
+    return true;
+  }
+
+  bool read_machine_types(const char* field, std::vector<std::string>& out) {
+    const json::Value* list = json::list(object_, field);
+    if (list == nullptr || list->Empty() || list->Size() > kMaxMachineTypes) return fail(field);
+    for (const auto& item : list->GetArray()) {
+      const bool valid =
+          item.IsString() && item.GetStringLength() != 0 && item.GetStringLength() <= kMaxNameBytes;
+      if (!valid) return fail(field);
+      out.emplace_back(item.GetString(), item.GetStringLength());
+    }
+    return true;
+  }
+
+ private:
+  bool fail(const char* field) {
+    error_ = {field, has(field) ? JobSpecError::Fault::invalid : JobSpecError::Fault::missing};
+    return false;
+  }
+
+  const json::Value& object_;
+  JobSpecError error_;
+};
+
+bool read_identity(FieldReader& fields, JobSpec& job) {
+  return fields.read_job_id("uid", job.job_id) && fields.read_name("workclass", job.job_class) &&
+         fields.read_id("crew", job.team);
 }
 
-/// A flag; absent or of another type counts as a fault.
-bool read_flag(const json::Value& object, const char* name, bool& out) {
-  const auto v = json::flag(object, name);
-  if (v) out = *v;
-  return v.has_value();
+bool read_tasks(FieldReader& fields, JobSpec& job) {
+  return fields.read_enum("shape", kShapeNames, job.shape) &&
+         fields.read_enum("urgency", kUrgencyNames, job.urgency) &&
+         fields.read_task_count("parts", job.task_count);
 }
 
-bool read_seconds(const json::Value& object, const char* name, Duration& out) {
-  double seconds = 0;
-  if (!read_amount(object, name, kMaxSeconds, seconds)) return false;
-  out = from_seconds(seconds);
-  return true;
+bool read_resources(FieldReader& fields, JobSpec& job) {
+  return fields.read_amount("cpus", kMaxAmount, job.need.cpus) &&
+         fields.read_amount("accelerators", kMaxAmount, job.need.gpus) &&
+         fields.read_amount("memory_gb", kMaxAmount, job.need.memory_gb);
 }
 
-constexpr std::array<const char*, 3> kShapes{"batch", "ensemble", "standing"};
-constexpr std::array<const char*, 4> kUrgencies{"low", "standard", "urgent", "production"};
-
-template <typename Enum, std::size_t N>
-bool read_enum(const json::Value& object, const char* name, const std::array<const char*, N>& names,
-               Enum& out) {
-  const auto v = json::text(object, name);
-  if (!v) return false;
-  const auto it = std::find(names.begin(), names.end(), *v);
-  if (it == names.end()) return false;
-  out = static_cast<Enum>(it - names.begin());
-  return true;
+bool read_image(FieldReader& fields, JobSpec& job) {
+  return fields.read_id("bundle", job.image) &&
+         fields.read_amount("image_gb", kMaxAmount, job.image_gb);
 }
 
-bool read_machine_types(const json::Value& object, std::vector<std::string>& out) {
-  const json::Value* v = json::field(object, "builds");
-  if (v == nullptr) return true;
-  if (!v->IsArray() || v->Empty() || v->Size() > 32) return false;
-  for (const auto& item : v->GetArray()) {
-    if (!item.IsString() || item.GetStringLength() == 0 || item.GetStringLength() > kMaxName) {
-      return false;
-    }
-    out.emplace_back(item.GetString(), item.GetStringLength());
+bool read_placement_constraints(FieldReader& fields, JobSpec& job) {
+  if (fields.has("builds") && !fields.read_machine_types("builds", job.machine_types)) return false;
+  if (fields.has("district") && !fields.read_id("district", job.required_zone.emplace())) {
+    return false;
   }
-  return true;
+  return fields.read_flag("together", job.together) && fields.read_flag("spread", job.spread) &&
+         fields.read_flag("loaners", job.allows_spot);
+}
+
+bool read_times(FieldReader& fields, JobSpec& job) {
+  const bool required = fields.read_seconds("expect_s", job.estimated_run) &&
+                        fields.read_seconds("snapshot_s", job.checkpoint_interval) &&
+                        fields.read_seconds("stash_s", job.save_time);
+  if (!required) return false;
+  return !fields.has("due_s") || fields.read_seconds("due_s", job.deadline.emplace());
 }
 
 }  // namespace
 
-const char* name_of(JobShape shape) { return kShapes.at(static_cast<std::size_t>(shape)); }
-const char* name_of(Urgency urgency) { return kUrgencies.at(static_cast<std::size_t>(urgency)); }
+const char* name_of(JobShape shape) { return kShapeNames.at(static_cast<std::size_t>(shape)); }
+const char* name_of(Urgency urgency) { return kUrgencyNames.at(static_cast<std::size_t>(urgency)); }
+
+std::string JobSpecError::message() const { return std::string(field) + ": missing or invalid"; }
 
 bool valid_job_id(std::string_view job_id) {
   constexpr std::string_view kPrefix = "req-";
   if (job_id.substr(0, kPrefix.size()) != kPrefix) return false;
   job_id.remove_prefix(kPrefix.size());
-  return !job_id.empty() && job_id.size() <= 32 &&
+  return !job_id.empty() && job_id.size() <= kMaxJobIdSuffixBytes &&
          std::all_of(job_id.begin(), job_id.end(), [](char c) {
            return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-';
          });
 }
 
-// One step for each field of the message.
-// NOLINTNEXTLINE(readability-function-cognitive-complexity)
-std::optional<JobSpec> parse_job(const json::Value& object, std::string& why) {
+std::variant<JobSpec, JobSpecError> parse_job(const json::Value& object) {
   JobSpec job;
-  const auto fault = [&why](const char* name) {
-    why = name;
-    return std::nullopt;
-  };
-  const auto job_id = json::text(object, "uid");
-  if (!job_id || !valid_job_id(*job_id)) return fault("uid");
-  job.job_id = JobId(*job_id);
-  const auto job_class = json::text(object, "workclass");
-  if (!valid_name(job_class)) return fault("workclass");
-  job.job_class = *job_class;
-  const auto team = json::text(object, "crew");
-  if (!valid_name(team)) return fault("crew");
-  job.team = TeamId(*team);
-  if (!read_enum(object, "shape", kShapes, job.shape)) return fault("shape");
-  if (!read_enum(object, "urgency", kUrgencies, job.urgency)) return fault("urgency");
-  const auto task_count = json::count(object, "parts");
-  if (!task_count || *task_count == 0 || *task_count > kMaxTasks) return fault("parts");
-  job.task_count = static_cast<std::uint32_t>(*task_count);
-  if (!read_amount(object, "cpus", kMaxAmount, job.need.cpus)) return fault("cpus");
-  if (!read_amount(object, "accelerators", kMaxAmount, job.need.gpus)) return fault("accelerators");
-  if (!read_amount(object, "memory_gb", kMaxAmount, job.need.memory_gb)) return fault("memory_gb");
-  const auto image = json::text(object, "bundle");
-  if (!valid_name(image)) return fault("bundle");
-  job.image = ImageId(*image);
-  if (!read_amount(object, "image_gb", kMaxAmount, job.image_gb)) return fault("image_gb");
-  if (!read_machine_types(object, job.machine_types)) return fault("builds");
-  if (json::field(object, "district") != nullptr) {
-    const auto required_zone = json::text(object, "district");
-    if (!valid_name(required_zone)) return fault("district");
-    job.required_zone = ZoneId(*required_zone);
-  }
-  if (!read_flag(object, "together", job.together)) return fault("together");
-  if (!read_flag(object, "spread", job.spread)) return fault("spread");
-  if (!read_flag(object, "loaners", job.allows_spot)) return fault("loaners");
-  if (!read_seconds(object, "expect_s", job.estimated_run)) return fault("expect_s");
-  if (!read_seconds(object, "snapshot_s", job.checkpoint_interval)) return fault("snapshot_s");
-  if (!read_seconds(object, "stash_s", job.save_time)) return fault("stash_s");
-  if (json::field(object, "due_s") != nullptr) {
-    Duration deadline{};
-    if (!read_seconds(object, "due_s", deadline)) return fault("due_s");
-    job.deadline = deadline;
-  }
+  FieldReader fields(object);
+  const bool valid = read_identity(fields, job) && read_tasks(fields, job) &&
+                     read_resources(fields, job) && read_image(fields, job) &&
+                     read_placement_constraints(fields, job) && read_times(fields, job);
+  if (!valid) return fields.error();
   if (job.endless()) {
-    // It holds its room without end, and is never complete: a deadline says nothing.
-    job.estimated_run = kEndless;
+    // It needs its resources without end and is never complete, so a deadline has no meaning.
+    job.estimated_run = kServiceRunEstimate;
     job.deadline.reset();
   }
   return job;
--- a/src/protocol/job_spec.hpp
+++ b/src/protocol/job_spec.hpp
@@ -1,9 +1,10 @@
-// A job as its user describes it (POST /api/jobs), and the checks on it.
+/// A job as its user describes it (POST /api/jobs), and the validation of such a description.
 #pragma once
 
 #include <optional>
 #include <string>
 #include <string_view>
+#include <variant>
 #include <vector>
 
 #include "core/ids.hpp"
@@ -13,16 +14,20 @@
 
 namespace marblevale {
 
-/// A standing job is a service: its tasks run until it is cancelled.
+/// `array`: tasks that are independent of one another. `gang`: tasks that run all at the same time
+/// or not at all. `service`: replicas that run until the job is cancelled.
 enum class JobShape { array, gang, service };
+/// From the lowest priority to the highest.
 enum class Urgency { low, standard, urgent, production };
 
+/// The protocol's name of the shape.
 const char* name_of(JobShape shape);
+/// The protocol's name of the urgency.
 const char* name_of(Urgency urgency);
 
 struct JobSpec {
   JobId job_id;
-  std::string job_class;
+  std::string job_class;  // what objectives refer to
   TeamId team;
   JobShape shape = JobShape::array;
   Urgency urgency = Urgency::standard;
@@ -32,12 +37,12 @@
   double image_gb = 0;
   std::vector<std::string> machine_types;  // empty: any
   std::optional<ZoneId> required_zone;
-  bool together = false;
-  bool spread = false;
+  bool together = false;  // all tasks in one zone
+  bool spread = false;    // at most half of the tasks in one zone
   bool allows_spot = false;
   Duration estimated_run{};
   Duration checkpoint_interval{};
-  Duration save_time{};
+  Duration save_time{};  // of a checkpoint
   std::optional<Duration> deadline;
 
   [[nodiscard]] bool gang() const { return shape == JobShape::gang; }
@@ -53,10 +58,22 @@
 /// dashes).
 bool valid_job_id(std::string_view job_id);
 
-/// Reads a job; on a fault, `why` names the field.
-std::optional<JobSpec> parse_job(const json::Value& object, std::string& why);
+/// The first field of a job's description that is not valid.
+struct JobSpecError {
+  /// `invalid`: of another type, out of range, or not among the known values.
+  enum class Fault { missing, invalid };
 
-/// Writes the job with the wire's names, as a record keeps it.
+  const char* field = "";  // the protocol's name, a string literal
+  Fault fault = Fault::missing;
+
+  /// The text that the user gets; it is the same for both faults.
+  [[nodiscard]] std::string message() const;
+};
+
+/// Reads and validates a job, in the order of the protocol's fields.
+std::variant<JobSpec, JobSpecError> parse_job(const json::Value& object);
+
+/// Writes the job with the protocol's names, in which the job's record keeps it as well.
 void write_job(json::Writer& out, const JobSpec& job);
 
 }  // namespace marblevale
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -1,4 +1,5 @@
-// Thin helpers over RapidJSON: reading fields that may be absent or null, and writing objects.
+/// Typed access to JSON over RapidJSON: reading members that may be absent, null or of another
+/// type, and writing objects.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -16,57 +17,65 @@
 using Value = rapidjson::Value;
 using Document = rapidjson::Document;
 
-/// Parses an object; false for anything else. The depth of what strangers send is bounded by the
-/// iterative parser, which needs no stack.
+/// Parses an object; false for anything else. The parser is iterative, so that the nesting of an
+/// untrusted text can't exhaust the stack.
 inline bool parse(Document& doc, std::string_view text) {
   doc.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(text.data(),
                                                                                     text.size());
   return !doc.HasParseError() && doc.IsObject();
 }
 
-/// The field, or nullptr when it is absent or null.
+/// The member `name`, or nullptr when it is absent or null, or `object` is no object.
 inline const Value* field(const Value& object, const char* name) {
   if (!object.IsObject()) return nullptr;
   const auto it = object.FindMember(name);
   return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
 }
 
+/// The member `name` as a string; nothing when it is absent or of another type. The other typed
+/// accessors are alike.
 inline std::optional<std::string> text(const Value& object, const char* name) {
   const Value* v = field(object, name);
   if (v == nullptr || !v->IsString()) return std::nullopt;
   return std::string(v->GetString(), v->GetStringLength());
 }
 
+/// A finite number.
 inline std::optional<double> number(const Value& object, const char* name) {
   const Value* v = field(object, name);
   if (v == nullptr || !v->IsNumber() || !std::isfinite(v->GetDouble())) return std::nullopt;
   return v->GetDouble();
 }
 
+/// An integer that is not negative.
 inline std::optional<std::uint64_t> count(const Value& object, const char* name) {
   const Value* v = field(object, name);
   if (v == nullptr || !v->IsUint64()) return std::nullopt;
   return v->GetUint64();
 }
 
+/// An integer of either sign.
 inline std::optional<std::int64_t> integer(const Value& object, const char* name) {
   const Value* v = field(object, name);
   if (v == nullptr || !v->IsInt64()) return std::nullopt;
   return v->GetInt64();
 }
 
+/// A boolean.
 inline std::optional<bool> flag(const Value& object, const char* name) {
   const Value* v = field(object, name);
   if (v == nullptr || !v->IsBool()) return std::nullopt;
   return v->GetBool();
 }
 
+/// An array, or nullptr.
 inline const Value* list(const Value& object, const char* name) {
   const Value* v = field(object, name);
   return v != nullptr && v->IsArray() ? v : nullptr;
 }
 
-/// Writes JSON; every `put` adds a member to the open object.
+/// Writes one JSON document, without white space. The caller keeps the order of calls well-formed:
+/// a `key` precedes each value of an object, and each `open` has its `close`.
 class Writer {
  public:
   Writer() : writer_(buffer_) {}
@@ -116,11 +125,12 @@
     writer_.Int(n);
     return *this;
   }
-  /// A value that is JSON already.
+  /// A value that is JSON already; it is not checked.
   Writer& raw(std::string_view text) {
     writer_.RawValue(text.data(), text.size(), rapidjson::kObjectType);
     return *this;
   }
+  /// Adds a member to the open object.
   template <typename T>
   Writer& put(const char* name, const T& v) {
     return key(name).value(v);
--- a/src/protocol/worker.cpp
+++ b/src/protocol/worker.cpp
@@ -11,19 +11,19 @@
 
 std::optional<TaskStatus> status_of(const std::string& name) {
   if (name == "fetching") return TaskStatus::fetching;
-  if (name == "gathering") return TaskStatus::gathering;
+  if (name == "gathering") return TaskStatus::waiting_for_gang;
   if (name == "running") return TaskStatus::running;
-  if (name == "flushing") return TaskStatus::flushing;
+  if (name == "flushing") return TaskStatus::saving_checkpoint;
   if (name == "ended") return TaskStatus::ended;
   return std::nullopt;
 }
 
 std::optional<ReportedTask> parse_task(const json::Value& item) {
-  const auto task_index = json::text(item, "part");
+  const auto id_text = json::text(item, "part");
   const auto attempt = json::count(item, "try");
   const auto status = json::text(item, "status");
-  if (!task_index || !attempt || !status) return std::nullopt;
-  const auto id = parse_task_id(*task_index);
+  if (!id_text || !attempt || !status) return std::nullopt;
+  const auto id = parse_task_id(*id_text);
   const auto state = status_of(*status);
   if (!id || !state) return std::nullopt;
   ReportedTask task{*id, Attempt(*attempt), *state, {}, false};
@@ -32,13 +32,13 @@
   return task;
 }
 
-const char* name_of(Verb verb) {
-  switch (verb) {
-    case Verb::start:
+const char* name_of(OrderType type) {
+  switch (type) {
+    case OrderType::start:
       return "start";
-    case Verb::kill:
+    case OrderType::kill:
       return "kill";
-    case Verb::clear:
+    case OrderType::clear:
       return "clear";
   }
   return "";
@@ -48,10 +48,10 @@
   out.key("orders").open_list();
   for (const Order& order : orders) {
     out.open()
-        .put("verb", name_of(order.verb))
+        .put("verb", name_of(order.type))
         .put("part", order.id.str())
         .put("try", order.attempt.get());
-    if (order.verb == Verb::kill) out.put("leeway_s", to_seconds(order.grace_period));
+    if (order.type == OrderType::kill) out.put("leeway_s", to_seconds(order.grace_period));
     out.close();
   }
   out.close_list();
@@ -64,9 +64,9 @@
   if (slash == std::string_view::npos || !valid_job_id(text.substr(0, slash))) return std::nullopt;
   TaskId id{JobId(std::string(text.substr(0, slash))), 0};
   const auto digits = text.substr(slash + 1);
-  const auto [end, fault] =
+  const auto [end, error] =
       std::from_chars(digits.data(), digits.data() + digits.size(), id.task_index);
-  if (fault != std::errc{} || end != digits.data() + digits.size()) return std::nullopt;
+  if (error != std::errc{} || end != digits.data() + digits.size()) return std::nullopt;
   return id;
 }
 
@@ -99,14 +99,14 @@
   heartbeat.tasks.reserve(tasks->Size());
   for (const auto& item : tasks->GetArray()) {
     auto task = parse_task(item);
-    // A heartbeat that can't be read whole must not count as proof that a task is absent.
+    // A heartbeat that can't be read whole must not count as evidence that a task is absent.
     if (!task) return std::nullopt;
     heartbeat.tasks.push_back(std::move(*task));
   }
   return heartbeat;
 }
 
-std::string write_answer(FencingToken token, const std::vector<Order>& orders) {
+std::string write_heartbeat_answer(FencingToken token, const std::vector<Order>& orders) {
   json::Writer out;
   out.open().put("warrant", token.get());
   write_orders(out, orders);
@@ -114,13 +114,14 @@
   return out.str();
 }
 
-std::string write_redirect(const NodeId& holder) {
+std::string write_holder_redirect(const NodeId& holder) {
   json::Writer out;
   out.open().put("steward", holder.get()).close();
   return out.str();
 }
 
-std::string write_direct(FencingToken token, WorkerEpoch epoch, const std::vector<Order>& orders) {
+std::string write_order_request(FencingToken token, WorkerEpoch epoch,
+                                const std::vector<Order>& orders) {
   json::Writer out;
   out.open().put("warrant", token.get()).put("tenure", epoch.get());
   write_orders(out, orders);
--- a/src/protocol/worker.hpp
+++ b/src/protocol/worker.hpp
@@ -1,4 +1,5 @@
-// What workers say (POST /hello, and the answers of /orders) and what they are told.
+/// Codecs of the workers' API: heartbeats (POST /hello, and the answers of POST /orders), and the
+/// orders that workers are sent.
 #pragma once
 
 #include <optional>
@@ -11,6 +12,7 @@
 
 namespace marblevale {
 
+/// Names one task of a job. The protocol writes it as "JOB/INDEX".
 struct TaskId {
   JobId job_id;
   std::uint32_t task_index = 0;
@@ -20,7 +22,7 @@
 
 std::optional<TaskId> parse_task_id(std::string_view text);
 
-enum class TaskStatus { fetching, gathering, running, flushing, ended };
+enum class TaskStatus { fetching, waiting_for_gang, running, saving_checkpoint, ended };
 
 struct ReportedTask {
   TaskId id;
@@ -30,6 +32,7 @@
   bool saved = false;
 };
 
+/// A worker's heartbeat with the status of all tasks that it has.
 struct WorkerHeartbeat {
   MachineId machine_id;
   std::string address;
@@ -38,28 +41,32 @@
   bool spot = false;
   WorkerEpoch epoch;
   HeartbeatSequence sequence;
-  FencingToken token;
-  std::optional<Duration> reclaim_in;
+  FencingToken token;                  // of the shard, as the worker knows it
+  std::optional<Duration> reclaim_in;  // the cloud has announced to take the machine back
   std::vector<ReportedTask> tasks;
 };
 
+/// Nothing unless the heartbeat can be read whole: a task that is absent from it is evidence that
+/// the worker does not have the task.
 std::optional<WorkerHeartbeat> parse_worker_heartbeat(std::string_view body);
 
-enum class Verb { start, kill, clear };
+/// `kill`: ends the task after a grace period. `clear`: has the worker forget an ended task.
+enum class OrderType { start, kill, clear };
 
 struct Order {
-  Verb verb = Verb::start;
+  OrderType type = OrderType::start;
   TaskId id;
   Attempt attempt;
   Duration grace_period{};  // of a kill
 };
 
 /// The answer to a heartbeat.
-std::string write_answer(FencingToken token, const std::vector<Order>& orders);
+std::string write_heartbeat_answer(FencingToken token, const std::vector<Order>& orders);
 /// The answer to a heartbeat that belongs to another controller, which holds the shard.
-std::string write_redirect(const NodeId& holder);
+std::string write_holder_redirect(const NodeId& holder);
 /// The body of POST /orders.
-std::string write_direct(FencingToken token, WorkerEpoch epoch, const std::vector<Order>& orders);
+std::string write_order_request(FencingToken token, WorkerEpoch epoch,
+                                const std::vector<Order>& orders);
 
 }  // namespace marblevale
 
--- a/src/records/records.cpp
+++ b/src/records/records.cpp
@@ -126,9 +126,9 @@
 bool decode(const json::Value& v, JobRecord& out) {
   const json::Value* spec = json::field(v, "spec");
   if (!known_format(v) || spec == nullptr || !read(v, "accepted", out.accepted)) return false;
-  std::string why;
-  auto job = parse_job(*spec, why);
-  if (!job) return false;
+  auto parsed = parse_job(*spec);
+  auto* job = std::get_if<JobSpec>(&parsed);
+  if (job == nullptr) return false;
   out.spec = std::move(*job);
   WallTime cancelled;
   if (read(v, "cancelled", cancelled)) out.cancelled = cancelled;
--- a/src/shards/heartbeat_handler.cpp
+++ b/src/shards/heartbeat_handler.cpp
@@ -26,7 +26,7 @@
                             it->second.record.holder != context_.settings.node;
   if (!holder_known) return {421, "{}"};
   misrouted_.record(heartbeat.zone, heartbeat.machine_id, context_.clock.steady());
-  return {421, write_redirect(it->second.record.holder)};
+  return {421, write_holder_redirect(it->second.record.holder)};
 }
 
 HeartbeatReply HeartbeatHandler::handle(std::string_view body) {
@@ -48,9 +48,9 @@
   refuse_or_allow_lease(heartbeat->machine_id, worker);
   // Not redirected to anybody who would answer.
   if (worker.lease_refused) return {503, R"({"error":"its lease must lapse"})"};
-  if (!newer) return {200, write_answer(token, {})};
+  if (!newer) return {200, write_heartbeat_answer(token, {})};
   note_reachability(*heartbeat, worker, token);
-  return {200, write_answer(token, orders_.answer_orders(*heartbeat, worker))};
+  return {200, write_heartbeat_answer(token, orders_.answer_orders(*heartbeat, worker))};
 }
 
 void HeartbeatHandler::handle_order_answer(KnownWorker& worker, const WorkerHeartbeat& heartbeat) {
--- a/src/shards/order_delivery.cpp
+++ b/src/shards/order_delivery.cpp
@@ -40,7 +40,7 @@
   std::vector<Order> orders = due_orders(heartbeat.machine_id, worker, Channel::answer);
   const SteadyTime now = context_.clock.steady();
   for (const Order& order : orders) {
-    if (order.verb != Verb::start) continue;
+    if (order.type != OrderType::start) continue;
     const TaskAttempt start{order.id, order.attempt};
     worker.view.answered_starts[start] = heartbeat.sequence;
     worker.reachability.start_sent(start, now, true);
@@ -86,9 +86,9 @@
   if (cancelled || task->stop) {
     if (reported == nullptr || reported->status == TaskStatus::ended) return;
     const Duration grace_period = cancelled ? Duration{0} : task->stop->grace_period;
-    if (reported->status == TaskStatus::flushing && grace_period > Duration{0}) return;
+    if (reported->status == TaskStatus::saving_checkpoint && grace_period > Duration{0}) return;
     if (!take_kill_turn(worker, attempt, now, channel == Channel::direct)) return;
-    orders.push_back({Verb::kill, id, attempt.attempt, grace_period});
+    orders.push_back({OrderType::kill, id, attempt.attempt, grace_period});
     return;
   }
   // A job may have been cancelled without our knowledge: what runs may go on for a while, but
@@ -97,7 +97,7 @@
   if (reported != nullptr || !may_start) return;
   // Sent directly once, then by answers.
   if (channel == Channel::direct && view.direct_starts.contains(attempt)) return;
-  orders.push_back({Verb::start, id, attempt.attempt, {}});
+  orders.push_back({OrderType::start, id, attempt.attempt, {}});
 }
 
 bool OrderDelivery::bound_to(const MachineId& machine_id, const TaskAttempt& attempt) const {
@@ -121,11 +121,11 @@
       // Nothing is meant to run here under this attempt: a gang's peer after its end, or a start
       // that came too late.
       if (!take_kill_turn(worker, attempt, now, true)) continue;
-      orders.push_back({Verb::kill, attempt.id, attempt.attempt, {}});
+      orders.push_back({OrderType::kill, attempt.id, attempt.attempt, {}});
     } else if (channel == Channel::answer) {
       // After a clear the worker would start a late or repeated start order once more.
       if (worker.view.start_settled(attempt, token)) {
-        orders.push_back({Verb::clear, attempt.id, attempt.attempt, {}});
+        orders.push_back({OrderType::clear, attempt.id, attempt.attempt, {}});
       } else if (worker.view.direct_starts.contains(attempt)) {
         shards_.request_renewal(worker.zone);
       }
@@ -168,13 +168,13 @@
                          const std::vector<Order>& orders) {
   const FencingToken token = shards_.token_of(worker.zone);
   for (const Order& order : orders) {
-    if (order.verb != Verb::start) continue;
+    if (order.type != OrderType::start) continue;
     const TaskAttempt start{order.id, order.attempt};
     worker.view.direct_starts[start] = token;
     worker.reachability.start_sent(start, context_.clock.steady(), false);
   }
   worker.command_in_flight = true;
-  sender_.send(worker.view.address, write_direct(token, worker.view.epoch, orders),
+  sender_.send(worker.view.address, write_order_request(token, worker.view.epoch, orders),
                [this, machine_id, token](const HttpReply& reply) {
                  handle_reply(machine_id, token, reply);
                });
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -108,10 +108,9 @@
   ModRevision accept_elsewhere(const std::string& job_id,
                                std::optional<WallTime> cancelled = std::nullopt) {
     json::Document doc;
-    std::string why;
     EXPECT_TRUE(json::parse(doc, changed("req-000412", job_id)));
-    return store_.put(keys::job(JobId(job_id)),
-                      encode(JobRecord{*parse_job(doc, why), clock_.wall(), cancelled}));
+    return store_.put(keys::job(JobId(job_id)), encode(JobRecord{std::get<JobSpec>(parse_job(doc)),
+                                                                 clock_.wall(), cancelled}));
   }
   /// Whoever holds the last task ends the job, as it knows it: with the revision that it has of the
   /// job's record. One that loses against a cancellation reads again, and ends it as cancelled.
@@ -376,11 +375,10 @@
 // with a state older than the one that another controller had told its user meanwhile.
 TEST_F(AdmissionTest, AQuestionIsNeverAnsweredByAReadThatWasSentBeforeIt) {
   json::Document doc;
-  std::string why;
   ASSERT_TRUE(json::parse(doc, kJob));
   // Accepted by another controller a moment ago: this one's copy does not have it yet.
   store_.put(keys::job(JobId("req-000412")),
-             encode(JobRecord{*parse_job(doc, why), clock_.wall(), std::nullopt}));
+             encode(JobRecord{std::get<JobSpec>(parse_job(doc)), clock_.wall(), std::nullopt}));
   store_.hold = true;
   std::string first;
   std::string second;
@@ -575,13 +573,12 @@
 TEST_F(AdmissionTest, AfterAnOutageEveryAcceptedJobIsAnsweredFor) {
   constexpr int kJobs = 500;
   json::Document doc;
-  std::string why;
   for (int i = 0; i < 2 * kJobs; ++i) {
     const std::string job_id = "req-" + std::to_string(i);
     ASSERT_TRUE(json::parse(doc, changed("req-000412", job_id)));
     if (i < kJobs) {
       store_.put(keys::job(JobId(job_id)),
-                 encode(JobRecord{*parse_job(doc, why), clock_.wall(), std::nullopt}));
+                 encode(JobRecord{std::get<JobSpec>(parse_job(doc)), clock_.wall(), std::nullopt}));
     } else {
       FinalRecord record;
       record.job_id = JobId(job_id);
