--- a/src/api/job_cancellation.cpp
+++ b/src/api/job_cancellation.cpp
@@ -61,7 +61,7 @@
 
 void JobCancellation::confirm_cancellation(const JobId& job_id, WallTime cancelled_at,
                                            const AnswerHandler& answer) {
-  cancellations_.tell(job_id, cancelled_at);
+  cancellations_.add_confirmed(job_id, cancelled_at);
   answer(status_answer(job_id, JobStatus::cancelled));
 }
 
--- a/src/api/job_lookup.cpp
+++ b/src/api/job_lookup.cpp
@@ -30,7 +30,7 @@
   // Nothing is left of an ended job: the other controllers need no notice of its cancellation.
   const auto* job = std::get_if<Versioned<JobRecord>>(&result);
   if (job == nullptr || !job->record.cancelled) return;
-  cancellations_.tell(job->record.spec.job_id, *job->record.cancelled);
+  cancellations_.add_confirmed(job->record.spec.job_id, *job->record.cancelled);
 }
 
 void JobLookup::look_up(const JobId& job_id, LookupHandler handler) {
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -24,21 +24,21 @@
       cache_(loop, clock, store_, incarnation.get()),
       startup_times_(clock, settings, cache_, incarnation),
       cancellations_(clock, cache_),
-      vouching_(settings.clock_error),
+      cancellation_freshness_(settings.clock_error),
       election_(loop, clock, settings, store_, cache_, incarnation),
       cloud_(loop, clock, settings.cloud, settings.cloud_rps),
       autoscaler_(loop, clock, settings, cache_, election_, cloud_),
       leader_loop_(loop, clock, settings, cache_, election_, autoscaler_),
       shard_assigner_(loop, clock, settings, cache_, election_),
-      order_sender_(loop, order_connections(settings)),
+      order_sender_(loop, max_order_connections(settings)),
       shard_holder_(loop, clock, settings, cache_, election_, order_sender_, cancellations_),
       offers_(loop, settings,
-              [this](const ReleaseOffer& offer) { return shard_holder_.accept_offer(offer); }),
+              [this](const ReleaseOffer& offer) { return shard_holder_.answer_offer(offer); }),
       job_api_(loop, clock, settings, store_, cache_, cancellations_),
       peer_heartbeats_(
           loop, clock, settings, [this] { return compose_peer_heartbeat(); },
-          [this](const PeerHeartbeat& heartbeat, bool newer) {
-            on_peer_heartbeat(heartbeat, newer);
+          [this](const PeerHeartbeat& heartbeat, PeerHeartbeatDelivery delivery) {
+            on_peer_heartbeat(heartbeat, delivery);
           }),
       peer_server_(loop, settings.peers_at,
                    [this](const HttpRequest& request, const ResponderPtr& responder) {
@@ -54,10 +54,11 @@
 
 void Service::begin() {
   leader_loop_.offer_releases_through(offers_);
-  autoscaler_.set_overdue_machines([this] { return shard_holder_.overdue(); });
+  autoscaler_.set_overdue_machines(
+      [this] { return shard_holder_.machines_past_cancellation_deadline(); });
   cancellations_.on_confirmed([this] { peer_heartbeats_.send_soon(); });
   cancellations_.on_peer_cancellation(
-      [this](const JobId& job_id) { shard_holder_.cancelled(job_id); });
+      [this](const JobId& job_id) { shard_holder_.on_job_cancelled(job_id); });
   cache_.begin();
   election_.begin();
   autoscaler_.begin();
@@ -66,13 +67,13 @@
   shard_holder_.begin();
   peer_heartbeats_.begin();
   summary_timer_.start(kSummaryInterval);
-  spdlog::info("service: started max_worker_connections={}", order_connections(settings_));
+  spdlog::info("service: started max_worker_connections={}", max_order_connections(settings_));
 }
 
 void Service::serve_peer(const HttpRequest& request, const ResponderPtr& responder) {
   if (request.path == PeerHeartbeatExchange::kPath) {
     peer_heartbeats_.serve(request, responder);
-  } else if (request.path == Offers::kPath) {
+  } else if (request.path == PeerOfferChannel::kPath) {
     offers_.serve(request, responder);
   } else {
     responder->reply(404, "{}");
@@ -85,7 +86,7 @@
   spdlog::info(
       "summary: {}; records jobs={} slices={} machines={}; worker connections open={} max={}",
       metrics_.summary(), records.jobs.size(), records.slices.size(), records.machines.size(),
-      order_sender_.connections(), order_connections(settings_));
+      order_sender_.connection_count(), max_order_connections(settings_));
 }
 
 bool Service::store_answered_within(Duration duration) const {
@@ -93,8 +94,9 @@
 }
 
 bool Service::update_readiness() {
-  const bool ready = takes_users(cache_.ready(), store_answered_within(kUnreadyAfterStoreOutage),
-                                 peer_heartbeats_.peer_state_evidence());
+  const bool ready =
+      should_serve_users(cache_.ready(), store_answered_within(kUnreadyAfterStoreOutage),
+                         peer_heartbeats_.peer_store_evidence());
   if (ready != ready_) spdlog::info("service: readiness changed ready={}", ready);
   ready_ = ready;
   return ready;
@@ -104,7 +106,7 @@
   PeerHeartbeat heartbeat;
   heartbeat.node = settings_.node.get();
   heartbeat.incarnation = election_.incarnation().get();
-  heartbeat.state_ok = store_answered_within(kStoreOutageReportedAfter);
+  heartbeat.store_reachable = store_answered_within(kStoreOutageReportedAfter);
   heartbeat.cancellations = cancellations_.list();
   for (const ZoneId& zone : shard_holder_.misrouted_zones()) {
     heartbeat.misrouted_zones.push_back(zone.get());
@@ -118,15 +120,16 @@
 }
 
 void Service::extend_record_freshness() {
-  if (!cache_.ready() || !cancellations_.kept_all()) return;
-  const auto until = vouching_.until(clock_.steady(), clock_.wall(), cache_.fresh_until_wall(),
-                                     peer_heartbeats_.peer_cancellation_lists());
-  if (until) shard_holder_.extend_freshness(*until);
+  if (!cache_.ready() || !cancellations_.holds_all()) return;
+  const auto until =
+      cancellation_freshness_.fresh_until(clock_.steady(), clock_.wall(), cache_.fresh_until_wall(),
+                                          peer_heartbeats_.peer_cancellation_lists());
+  if (until) shard_holder_.extend_cancellation_freshness(*until);
 }
 
-void Service::on_peer_heartbeat(const PeerHeartbeat& heartbeat, bool newer) {
-  cancellations_.hear(heartbeat.cancellations);
-  if (!newer) return;
+void Service::on_peer_heartbeat(const PeerHeartbeat& heartbeat, PeerHeartbeatDelivery delivery) {
+  cancellations_.merge_peer_list(heartbeat.cancellations);
+  if (delivery != PeerHeartbeatDelivery::latest) return;
   // A late copy from an earlier incarnation of the peer must not move a shard.
   if (!cache_.records().alive(NodeId(heartbeat.node), ProcessIncarnation(heartbeat.incarnation))) {
     return;
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -33,7 +33,7 @@
   /// Lets the shard holder act on its records for longer while the peers' lists prove that no
   /// confirmed cancellation is missing from them.
   void extend_record_freshness();
-  void on_peer_heartbeat(const PeerHeartbeat& heartbeat, bool newer);
+  void on_peer_heartbeat(const PeerHeartbeat& heartbeat, PeerHeartbeatDelivery delivery);
   void log_summary();
 
   Metrics& metrics_;
@@ -43,7 +43,7 @@
   WatchCache cache_;
   StartupTimes startup_times_;
   Cancellations cancellations_;
-  Vouching vouching_;
+  CancellationFreshness cancellation_freshness_;
   Election election_;
   CloudClient cloud_;
   Autoscaler autoscaler_;
@@ -51,7 +51,7 @@
   ShardAssigner shard_assigner_;
   HttpOrderSender order_sender_;
   ShardHolder shard_holder_;
-  Offers offers_;
+  PeerOfferChannel offers_;
   JobApi job_api_;
   PeerHeartbeatExchange peer_heartbeats_;
   HttpServer peer_server_;
--- a/src/cancellations/cancellations.cpp
+++ b/src/cancellations/cancellations.cpp
@@ -9,111 +9,115 @@
 namespace marblevale {
 
 Cancellations::Cancellations(const Clock& clock, WatchCache& cache)
-    : clock_(clock), cache_(cache), began_(clock.wall()) {
-  cache_.listen([this](RecordKind topic, const std::string& key) {
-    if (topic != RecordKind::job) return;
+    : clock_(clock), cache_(cache), started_at_(clock.wall()) {
+  cache_.listen([this](RecordKind kind, const std::string& key) {
+    if (kind != RecordKind::job) return;
     const JobId job_id(key);
     const JobRecord* job = cache_.records().job(job_id);
     if (job != nullptr && job->cancelled) {
       recorded_.insert(job_id);
     } else {
       recorded_.erase(job_id);
-      announced_.erase(job_id);
+      confirmed_here_.erase(job_id);
     }
   });
 }
 
-void Cancellations::prune() {
-  // What came before the present copy of the records was asked for is in them, or over.
-  const SteadyTime fresh = cache_.fresh_until();
-  std::erase_if(beyond_, [&](const auto& entry) { return entry.second.since < fresh; });
-  if (overflowed_ && *overflowed_ < fresh) overflowed_.reset();
+void Cancellations::prune_unrecorded() {
+  // The present copy of the records was requested after the cancellation was added: either it
+  // contains the cancellation, or the job has ended.
+  const SteadyTime fresh_until = cache_.fresh_until();
+  std::erase_if(unrecorded_,
+                [&](const auto& entry) { return entry.second.added_at < fresh_until; });
+  if (capacity_exceeded_at_ && *capacity_exceeded_at_ < fresh_until) capacity_exceeded_at_.reset();
 }
 
-bool Cancellations::keep(const JobId& job_id, WallTime at) {
-  if (recorded_.contains(job_id) || beyond_.contains(job_id)) return false;
-  if (beyond_.size() >= kMaxKept) prune();
-  if (beyond_.size() >= kMaxKept) {
-    if (!overflowed_) spdlog::warn("cancellations: more than {} to keep", kMaxKept);
-    overflowed_ = clock_.steady();
+bool Cancellations::add_unrecorded(const JobId& job_id, WallTime cancelled_at) {
+  if (recorded_.contains(job_id) || unrecorded_.contains(job_id)) return false;
+  if (unrecorded_.size() >= kMaxUnrecorded) prune_unrecorded();
+  if (unrecorded_.size() >= kMaxUnrecorded) {
+    if (!capacity_exceeded_at_) {
+      spdlog::warn("cancellations: capacity_exceeded max_unrecorded={}", kMaxUnrecorded);
+    }
+    capacity_exceeded_at_ = clock_.steady();
     return false;
   }
-  beyond_.emplace(job_id, Kept{at, clock_.steady()});
+  unrecorded_.emplace(job_id, Unrecorded{cancelled_at, clock_.steady()});
   return true;
 }
 
-void Cancellations::tell(const JobId& job_id, WallTime at) {
-  bool news = keep(job_id, at);
-  if (recorded_.contains(job_id)) news = announced_.insert(job_id).second;
-  if (news && confirmed_listener_) confirmed_listener_();
+void Cancellations::add_confirmed(const JobId& job_id, WallTime cancelled_at) {
+  bool is_new = add_unrecorded(job_id, cancelled_at);
+  if (recorded_.contains(job_id)) is_new = confirmed_here_.insert(job_id).second;
+  if (is_new && confirmed_listener_) confirmed_listener_();
 }
 
-void Cancellations::hear(const CancellationList& list) {
+void Cancellations::merge_peer_list(const CancellationList& list) {
   const WallTime now = clock_.wall();
   for (const auto& item : list.items) {
     const JobId job_id(item.job_id);
     if (!valid_job_id(item.job_id)) continue;
-    if (keep(job_id, std::min(from_unix_milliseconds(item.at_ms), now)) &&
-        peer_cancellation_listener_)
-      peer_cancellation_listener_(job_id);
+    const WallTime cancelled_at = std::min(from_unix_milliseconds(item.cancelled_at_ms), now);
+    const bool is_new = add_unrecorded(job_id, cancelled_at);
+    if (is_new && peer_cancellation_listener_) peer_cancellation_listener_(job_id);
   }
 }
 
 std::optional<WallTime> Cancellations::cancelled_at(const JobId& job_id) const {
   const JobRecord* job = cache_.records().job(job_id);
   if (job != nullptr && job->cancelled) return job->cancelled;
-  const auto it = beyond_.find(job_id);
-  if (it == beyond_.end()) return std::nullopt;
-  return it->second.at;
+  const auto it = unrecorded_.find(job_id);
+  if (it == unrecorded_.end()) return std::nullopt;
+  return it->second.cancelled_at;
 }
 
-bool Cancellations::kept_all() {
-  prune();
-  return !overflowed_;
+bool Cancellations::holds_all() {
+  prune_unrecorded();
+  return !capacity_exceeded_at_;
 }
 
 CancellationList Cancellations::list() {
-  CancellationList out;
-  out.began_ms = unix_milliseconds(began_);
-  out.fresh_ms = unix_milliseconds(cache_.fresh_until_wall());
-  out.complete = kept_all() && cache_.ready();
-  const auto add = [&out](const JobId& job_id, WallTime at) {
-    if (out.items.size() < kMaxListed) {
-      out.items.push_back({job_id.get(), unix_milliseconds(at)});
+  CancellationList list;
+  list.started_ms = unix_milliseconds(started_at_);
+  list.fresh_until_ms = unix_milliseconds(cache_.fresh_until_wall());
+  list.complete = holds_all() && cache_.ready();
+  const auto add = [&list](const JobId& job_id, WallTime cancelled_at) {
+    if (list.items.size() < kMaxListed) {
+      list.items.push_back({job_id.get(), unix_milliseconds(cancelled_at)});
     } else {
-      out.complete = false;
+      list.complete = false;
     }
   };
-  // What the records lack comes first: the others can be had from the state service as well.
-  for (const auto& [job_id, kept] : beyond_) add(job_id, kept.at);
+  // Unrecorded ones first: a peer can read the others from the state service as well.
+  for (const auto& [job_id, unrecorded] : unrecorded_) add(job_id, unrecorded.cancelled_at);
   for (const JobId& job_id : recorded_) {
-    if (!beyond_.contains(job_id)) add(job_id, *cache_.records().job(job_id)->cancelled);
+    if (!unrecorded_.contains(job_id)) add(job_id, *cache_.records().job(job_id)->cancelled);
   }
-  return out;
+  return list;
 }
 
-std::optional<SteadyTime> Vouching::until(
-    SteadyTime now, WallTime now_wall, WallTime watched,
-    const std::vector<std::optional<PeerCancellationList>>& words) {
-  const Duration apart = clock_error_ * 2;  // two clocks, each off by the bound
-  known_ = std::max(known_, watched);
-  for (const auto& word : words) {
-    if (word && word->list.complete)
-      known_ = std::max(known_, from_unix_milliseconds(word->list.fresh_ms) - apart);
+std::optional<SteadyTime> CancellationFreshness::fresh_until(
+    SteadyTime now, WallTime now_wall, WallTime records_fresh_until,
+    const std::vector<std::optional<PeerCancellationList>>& peer_lists) {
+  const Duration max_clock_difference = clock_error_ * 2;  // two clocks, each off by the bound
+  all_known_until_ = std::max(all_known_until_, records_fresh_until);
+  for (const auto& peer : peer_lists) {
+    if (!peer || !peer->list.complete) continue;
+    const WallTime peer_fresh_until = from_unix_milliseconds(peer->list.fresh_until_ms);
+    all_known_until_ = std::max(all_known_until_, peer_fresh_until - max_clock_difference);
   }
-  SteadyTime since = now;
-  WallTime since_wall = now_wall;
-  for (const auto& word : words) {
-    // A life that began since can't tell what the one before it has confirmed.
-    if (!word || !word->list.complete ||
-        from_unix_milliseconds(word->list.began_ms) + apart >= known_) {
-      return std::nullopt;
-    }
-    since = std::min(since, word->asked);
-    since_wall = std::min(since_wall, word->asked_wall);
+  SteadyTime earliest_request = now;
+  WallTime earliest_request_wall = now_wall;
+  for (const auto& peer : peer_lists) {
+    if (!peer || !peer->list.complete) return std::nullopt;
+    // A peer that started since does not know what its previous incarnation confirmed.
+    const WallTime peer_started_at = from_unix_milliseconds(peer->list.started_ms);
+    if (peer_started_at + max_clock_difference >= all_known_until_) return std::nullopt;
+    earliest_request = std::min(earliest_request, peer->requested_at);
+    earliest_request_wall = std::min(earliest_request_wall, peer->requested_at_wall);
   }
-  known_ = std::max(known_, since_wall);
-  return since;
+  all_known_until_ = std::max(all_known_until_, earliest_request_wall);
+  return earliest_request;
 }
 
 }  // namespace marblevale
--- a/src/leader/releaser.cpp
+++ b/src/leader/releaser.cpp
@@ -301,10 +301,10 @@
   ReleaseOffer message;
   message.term = election_.term().get();
   message.job_id = slice.job_id.get();
-  message.slice = slice.number;
-  message.over = stored == nullptr ? 0 : stored->mod_revision.get();
-  message.revision = cache_.revision().get();
-  message.serial = id.get();
+  message.slice_number = slice.number;
+  message.slice_revision = stored == nullptr ? 0 : stored->mod_revision.get();
+  message.cache_revision = cache_.revision().get();
+  message.sequence = id.get();
   message.holder_incarnation = cache_.records().nodes.at(holder).record.incarnation.get();
   message.job_revision = cache_.records().jobs.at(slice.job_id).mod_revision.get();
   for (const std::uint32_t task_index : start.task_indices) {
--- a/src/peers/archive.hpp
+++ b/src/peers/archive.hpp
@@ -1,4 +1,4 @@
-// Messages between controllers as bytes, by cereal.
+/// Serialization of the messages between controllers: cereal's portable binary archive.
 #pragma once
 
 #include <cereal/archives/portable_binary.hpp>
@@ -8,7 +8,8 @@
 
 namespace marblevale {
 
-inline constexpr std::size_t kMaxMessage = std::size_t{32} * 1024;
+/// A longer message is not parsed, which bounds the memory that one peer request can cost.
+inline constexpr std::size_t kMaxMessageBytes = std::size_t{32} * 1024;
 
 template <typename Message>
 std::string to_bytes(const Message& message) {
@@ -18,10 +19,10 @@
   return out.str();
 }
 
-/// Nothing for what can't be read.
+/// Returns nothing for bytes that are no valid `Message`.
 template <typename Message>
 std::optional<Message> from_bytes(const std::string& bytes) {
-  if (bytes.size() > kMaxMessage) return std::nullopt;
+  if (bytes.size() > kMaxMessageBytes) return std::nullopt;
   try {
     std::istringstream in(bytes);
     cereal::PortableBinaryInputArchive archive(in);
@@ -29,7 +30,7 @@
     archive(message);
     return message;
   } catch (const std::exception&) {
-    // A length that lies makes cereal throw or the allocation fail; either way it is refused.
+    // A corrupt length field makes cereal throw or the allocation fail.
     return std::nullopt;
   }
 }
--- a/src/peers/peer_heartbeat.cpp
+++ b/src/peers/peer_heartbeat.cpp
@@ -11,10 +11,14 @@
 namespace marblevale {
 
 namespace {
-constexpr Duration kEvery{1000};
-constexpr Duration kMinApart{100};  // under a storm of cancellations
-constexpr Duration kDeadline{900};
-constexpr Duration kLife{2500};
+constexpr Duration kFirstHeartbeatDelay{200};
+constexpr Duration kHeartbeatInterval{1000};
+constexpr Duration kMinHeartbeatSpacing{100};  // however many cancellations are confirmed
+constexpr Duration kRequestTimeout{900};
+constexpr Duration kMaxReplyAge{2500};
+
+constexpr int kStatusOk = 200;
+constexpr int kStatusBadRequest = 400;
 }  // namespace
 
 std::string encode(const PeerHeartbeat& heartbeat) { return to_bytes(heartbeat); }
@@ -25,126 +29,135 @@
   return heartbeat;
 }
 
-bool PeerHeartbeatOrder::newer(const PeerHeartbeat& heartbeat) {
-  auto [it, fresh] = last_.try_emplace(heartbeat.node, heartbeat.incarnation, heartbeat.serial);
-  if (fresh) return true;
-  auto& [incarnation, serial] = it->second;
-  if (incarnation == heartbeat.incarnation && heartbeat.serial <= serial) return false;
-  // Another life: whether it is the present one is for the records to tell.
-  incarnation = heartbeat.incarnation;
-  serial = heartbeat.serial;
-  return true;
+PeerHeartbeatDelivery PeerHeartbeatDeduplicator::classify(const PeerHeartbeat& heartbeat) {
+  const LatestHeartbeat received{heartbeat.incarnation, heartbeat.sequence};
+  const auto [it, is_first] = latest_by_node_.try_emplace(heartbeat.node, received);
+  if (is_first) return PeerHeartbeatDelivery::latest;
+  LatestHeartbeat& latest = it->second;
+  if (latest.incarnation == received.incarnation && received.sequence <= latest.sequence) {
+    return PeerHeartbeatDelivery::duplicate_or_late;
+  }
+  // Sequence numbers of two incarnations cannot be compared; the records tell which one is alive.
+  latest = received;
+  return PeerHeartbeatDelivery::latest;
 }
 
 PeerHeartbeatExchange::PeerHeartbeatExchange(Loop& loop, const Clock& clock,
                                              const Settings& settings, Compose compose,
-                                             Received received)
+                                             OnReceived on_received)
     : clock_(clock),
       settings_(settings),
       compose_(std::move(compose)),
-      received_(std::move(received)),
-      timer_(loop, [this] { tick(); }) {
+      on_received_(std::move(on_received)),
+      timer_(loop, [this] { send_heartbeats(); }) {
   for (const Peer& peer : settings_.peers) {
     peers_[peer.node].client = std::make_unique<HttpClient>(loop, peer.address, 1, 1);
   }
 }
 
-void PeerHeartbeatExchange::drop(const char* what) {
-  if (!dropped_) spdlog::warn("heartbeats: {} is dropped (logged once)", what);
-  dropped_ = true;
+void PeerHeartbeatExchange::log_first_drop(const char* reason) {
+  if (!drop_logged_) {
+    spdlog::warn("peer_heartbeat: message_dropped reason={} logged=first_only", reason);
+  }
+  drop_logged_ = true;
 }
 
 void PeerHeartbeatExchange::serve(const HttpRequest& request, const ResponderPtr& responder) {
   const auto heartbeat = decode_peer_heartbeat(request.body);
   if (!heartbeat) {
-    drop("a heartbeat that can't be read");
-    responder->reply(400, "{}");
+    log_first_drop("malformed_request");
+    responder->reply(kStatusBadRequest, "{}");
     return;
   }
-  received_(*heartbeat, order_.newer(*heartbeat));
-  PeerHeartbeat answer = compose_();
-  answer.serial = ++serial_;
-  answer.answers = heartbeat->serial;
-  responder->reply(200, encode(answer));
+  on_received_(*heartbeat, deduplicator_.classify(*heartbeat));
+  PeerHeartbeat reply = compose_();
+  reply.sequence = ++last_sequence_;
+  reply.in_reply_to = heartbeat->sequence;
+  responder->reply(kStatusOk, encode(reply));
 }
 
-void PeerHeartbeatExchange::begin() { timer_.start(Duration{200}); }
+void PeerHeartbeatExchange::begin() { timer_.start(kFirstHeartbeatDelay); }
 
 void PeerHeartbeatExchange::send_soon() {
-  send_soon_ = true;
-  timer_.start(std::max(Duration{0}, kMinApart - (clock_.steady() - last_tick_)));
+  send_requested_ = true;
+  const Duration since_last = clock_.steady() - last_sent_at_;
+  timer_.start(std::max(Duration{0}, kMinHeartbeatSpacing - since_last));
 }
 
-void PeerHeartbeatExchange::tick() {
-  timer_.start(kEvery);
+void PeerHeartbeatExchange::send_heartbeats() {
+  timer_.start(kHeartbeatInterval);
   const SteadyTime now = clock_.steady();
-  const WallTime wall = clock_.wall();
-  last_tick_ = now;
-  const bool hurried = send_soon_;
-  send_soon_ = false;
+  const WallTime now_wall = clock_.wall();
+  last_sent_at_ = now;
+  const bool was_requested = send_requested_;
+  send_requested_ = false;
   PeerHeartbeat heartbeat = compose_();
-  heartbeat.serial = ++serial_;
+  heartbeat.sequence = ++last_sequence_;
   const std::string body = encode(heartbeat);
   for (auto& [node, peer] : peers_) {
-    if (peer.busy) {
-      peer.retry = peer.retry || hurried;
+    if (peer.request_in_flight) {
+      peer.resend_after_reply = peer.resend_after_reply || was_requested;
       continue;
     }
-    peer.busy = true;
-    peer.serial = heartbeat.serial;
-    peer.client->send({EVHTTP_REQ_POST, kPath, body, "application/octet-stream", kDeadline},
-                      [this, now, wall, name = node](const HttpReply& reply) {
-                        answered(name, now, wall, reply);
+    peer.request_in_flight = true;
+    peer.request_sequence = heartbeat.sequence;
+    peer.client->send({EVHTTP_REQ_POST, kPath, body, "application/octet-stream", kRequestTimeout},
+                      [this, now, now_wall, node = node](const HttpReply& reply) {
+                        handle_reply(node, now, now_wall, reply);
                       });
   }
 }
 
-void PeerHeartbeatExchange::answered(const NodeId& name, SteadyTime sent, WallTime sent_wall,
-                                     const HttpReply& reply) {
-  PeerState& state = peers_.at(name);
-  state.busy = false;
-  if (state.retry) {
-    state.retry = false;
+void PeerHeartbeatExchange::handle_reply(const NodeId& node, SteadyTime sent, WallTime sent_wall,
+                                         const HttpReply& reply) {
+  PeerState& peer = peers_.at(node);
+  peer.request_in_flight = false;
+  if (peer.resend_after_reply) {
+    peer.resend_after_reply = false;
     send_soon();
   }
-  if (reply.status != 200) return;
-  auto answer = decode_peer_heartbeat(reply.body);
-  // Its age counts from what it answers, and an answer to anything but this question, or of
-  // another controller, tells nothing of now.
-  if (!answer || answer->answers != state.serial || answer->node != name.get()) {
-    drop("an answer that can't be read, or to something else");
+  if (reply.status != kStatusOk) return;
+  auto heartbeat = decode_peer_heartbeat(reply.body);
+  // The age of a reply counts from its request, so a reply to another request, or from another
+  // controller, has no known age.
+  if (!heartbeat || heartbeat->in_reply_to != peer.request_sequence ||
+      heartbeat->node != node.get()) {
+    log_first_drop("malformed_or_unexpected_reply");
     return;
   }
-  state.last = std::move(answer);
-  state.asked = sent;
-  state.asked_wall = sent_wall;
-  received_(*state.last, order_.newer(*state.last));
+  peer.last_reply = std::move(heartbeat);
+  peer.requested_at = sent;
+  peer.requested_at_wall = sent_wall;
+  on_received_(*peer.last_reply, deduplicator_.classify(*peer.last_reply));
 }
 
-bool takes_users(bool loaded, bool state_answers, PeerStateEvidence peers) {
-  if (!loaded || state_answers) return loaded;
-  return peers == PeerStateEvidence::no_peers || peers == PeerStateEvidence::no_state;
+bool should_serve_users(bool cache_loaded, bool store_reachable, PeerStoreEvidence peers) {
+  if (!cache_loaded || store_reachable) return cache_loaded;
+  return peers == PeerStoreEvidence::no_peers || peers == PeerStoreEvidence::store_unreachable;
 }
 
-PeerStateEvidence PeerHeartbeatExchange::peer_state_evidence() const {
-  PeerStateEvidence out = peers_.empty() ? PeerStateEvidence::no_peers : PeerStateEvidence::nothing;
+PeerStoreEvidence PeerHeartbeatExchange::peer_store_evidence() const {
+  PeerStoreEvidence evidence =
+      peers_.empty() ? PeerStoreEvidence::no_peers : PeerStoreEvidence::no_recent_heartbeat;
   for (const auto& [node, peer] : peers_) {
-    if (!peer.last || clock_.steady() - peer.asked >= kLife) continue;
-    out =
-        std::max(out, peer.last->state_ok ? PeerStateEvidence::state : PeerStateEvidence::no_state);
+    if (!peer.last_reply || clock_.steady() - peer.requested_at >= kMaxReplyAge) continue;
+    evidence =
+        std::max(evidence, peer.last_reply->store_reachable ? PeerStoreEvidence::store_reachable
+                                                            : PeerStoreEvidence::store_unreachable);
   }
-  return out;
+  return evidence;
 }
 
 std::vector<std::optional<PeerCancellationList>> PeerHeartbeatExchange::peer_cancellation_lists()
     const {
-  std::vector<std::optional<PeerCancellationList>> out;
+  std::vector<std::optional<PeerCancellationList>> lists;
   for (const auto& [node, peer] : peers_) {
-    auto& word = out.emplace_back();
-    if (!peer.last || clock_.steady() - peer.asked > kLife) continue;
-    word = PeerCancellationList{peer.asked, peer.asked_wall, peer.last->cancellations};
+    auto& list = lists.emplace_back();
+    if (!peer.last_reply || clock_.steady() - peer.requested_at > kMaxReplyAge) continue;
+    list = PeerCancellationList{peer.requested_at, peer.requested_at_wall,
+                                peer.last_reply->cancellations};
   }
-  return out;
+  return lists;
 }
 
 }  // namespace marblevale
--- a/src/peers/peer_heartbeat.hpp
+++ b/src/peers/peer_heartbeat.hpp
@@ -1,6 +1,8 @@
-// What controllers tell one another, once a second, and at once when one of them has confirmed a
-// cancellation. It only makes things quicker or keeps a lease alive; no rule depends on a message
-// arriving.
+/// Heartbeats between controllers: once a second, and at once when one of them has confirmed a
+/// cancellation to a user.
+///
+/// They speed up reactions and, by peer attestation of cancellations, keep workers' leases renewed
+/// during an outage of the state service. No safety rule depends on the arrival of a message.
 #pragma once
 
 #include <functional>
@@ -15,91 +17,109 @@
 
 namespace marblevale {
 
-/// Rises when the message's form does: one of another form is dropped.
+/// Increases with every change of the message's format; a message of another format is dropped.
 inline constexpr std::uint32_t kPeerHeartbeatFormat = 2;
 
+/// Serialized by position: neither the order nor the types of the members may change.
 struct PeerHeartbeat {
   std::uint32_t format = kPeerHeartbeatFormat;
   std::string node;
   std::uint64_t incarnation = 0;
-  std::uint64_t serial = 0;   // rises with every heartbeat of this life
-  std::uint64_t answers = 0;  // in an answer: the serial of the heartbeat that it answers
-  bool state_ok = false;      // the state service answers this node
-  std::vector<std::string> misrouted_zones;    // zones whose workers can't reach their holder
-  std::vector<std::string> unreachable_zones;  // zones that this node holds and can't reach
+  std::uint64_t sequence = 0;                  // increases with every heartbeat of this incarnation
+  std::uint64_t in_reply_to = 0;               // in a reply: the sequence number of the request
+  bool store_reachable = false;                // the state service answers this node
+  std::vector<std::string> misrouted_zones;    // zones whose workers cannot reach their holder
+  std::vector<std::string> unreachable_zones;  // zones that this node holds and cannot reach
   CancellationList cancellations;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(format, node, incarnation, serial, answers, state_ok, misrouted_zones,
+    archive(format, node, incarnation, sequence, in_reply_to, store_reachable, misrouted_zones,
             unreachable_zones, cancellations);
   }
 };
 
 std::string encode(const PeerHeartbeat& heartbeat);
-/// Nothing for what can't be read.
+/// Returns nothing for bytes that are no valid heartbeat of this format.
 std::optional<PeerHeartbeat> decode_peer_heartbeat(const std::string& bytes);
 
-/// What the other controllers said of the state service within the last seconds.
-enum class PeerStateEvidence { no_peers, nothing, no_state, state };
+/// What the peers' recent heartbeats show about the state service. In increasing order of weight:
+/// one peer that reaches it outweighs all that do not.
+enum class PeerStoreEvidence {
+  no_peers,             // this controller has none
+  no_recent_heartbeat,  // from any peer
+  store_unreachable,    // to every peer that was heard from
+  store_reachable       // to at least one peer
+};
+
+/// Whether this controller passes the load balancer's health check. One that alone lacks the state
+/// service fails it, and so does one that receives no peer heartbeats either: it is probably
+/// partitioned from the others. When no controller reaches the state service all of them pass:
+/// leaving the load balancer's pool would only delay the recovery.
+bool should_serve_users(bool cache_loaded, bool store_reachable, PeerStoreEvidence peers);
 
-/// Whether users are to come here. A controller that alone lacks the state service sends them
-/// elsewhere, and so does one that has no word of its peers either: it is cut off, and the others
-/// are probably not. When all lack it, being skipped would only cost time afterwards.
-bool takes_users(bool loaded, bool state_answers, PeerStateEvidence peers);
+/// Whether a heartbeat is the latest from its sender. A copy or a delayed message may arrive
+/// seconds or minutes later.
+enum class PeerHeartbeatDelivery { latest, duplicate_or_late };
 
-/// Which heartbeats are news: a copy of one may come seconds or minutes later.
-class PeerHeartbeatOrder {
+/// Detects duplicate and reordered heartbeats by the sequence numbers of each peer.
+class PeerHeartbeatDeduplicator {
  public:
-  /// False for one that was heard before, or that was sent before one that was heard.
-  bool newer(const PeerHeartbeat& heartbeat);
+  /// Classifies the heartbeat, and remembers it when it is the latest.
+  PeerHeartbeatDelivery classify(const PeerHeartbeat& heartbeat);
 
  private:
-  std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> last_;  // incarnation and serial
+  struct LatestHeartbeat {
+    std::uint64_t incarnation;
+    std::uint64_t sequence;
+  };
+  std::map<std::string, LatestHeartbeat> latest_by_node_;
 };
 
+/// Sends this controller's heartbeats to all peers, and evaluates theirs and their replies.
 class PeerHeartbeatExchange {
  public:
   static constexpr const char* kPath = "/pulse";
   using Compose = std::function<PeerHeartbeat()>;
-  /// `newer`: false for a late copy, or one that others have overtaken.
-  using Received = std::function<void(const PeerHeartbeat&, bool newer)>;
+  using OnReceived = std::function<void(const PeerHeartbeat&, PeerHeartbeatDelivery)>;
 
   PeerHeartbeatExchange(Loop& loop, const Clock& clock, const Settings& settings, Compose compose,
-                        Received received);
+                        OnReceived on_received);
   void begin();
-  /// Has the next heartbeats go out at once, or as soon as others have been answered.
+  /// Schedules a heartbeat outside the interval: at once, at the minimum spacing, or to a peer
+  /// whose last request is still in flight after its reply.
   void send_soon();
-  /// A peer's request on `kPath`.
+  /// Handles a peer's request on `kPath`.
   void serve(const HttpRequest& request, const ResponderPtr& responder);
 
-  [[nodiscard]] PeerStateEvidence peer_state_evidence() const;
-  /// What each peer has said of cancellations; nothing of one that has not answered lately.
+  [[nodiscard]] PeerStoreEvidence peer_store_evidence() const;
+  /// One entry for each peer; empty for a peer without a recent reply.
   [[nodiscard]] std::vector<std::optional<PeerCancellationList>> peer_cancellation_lists() const;
 
  private:
   struct PeerState {
     std::unique_ptr<HttpClient> client;
-    bool busy = false;
-    bool retry = false;  // there was news while the last request waited for its answer
-    std::optional<PeerHeartbeat> last;
-    SteadyTime asked;  // when the request that brought `last` was sent
-    WallTime asked_wall;
-    std::uint64_t serial = 0;  // of the request that waits for its answer
+    bool request_in_flight = false;
+    bool resend_after_reply = false;  // `send_soon` was called while the request was in flight
+    std::optional<PeerHeartbeat> last_reply;
+    SteadyTime requested_at;  // when the request that brought `last_reply` was sent
+    WallTime requested_at_wall;
+    std::uint64_t request_sequence = 0;  // of the request that is in flight
   };
-  void tick();
-  void answered(const NodeId& name, SteadyTime sent, WallTime sent_wall, const HttpReply& reply);
-  void drop(const char* what);
+  void send_heartbeats();
+  void handle_reply(const NodeId& node, SteadyTime sent, WallTime sent_wall,
+                    const HttpReply& reply);
+  void log_first_drop(const char* reason);
 
   const Clock& clock_;
   const Settings& settings_;
   Compose compose_;
-  Received received_;
-  PeerHeartbeatOrder order_;
-  std::uint64_t serial_ = 0;
-  SteadyTime last_tick_ = kLongAgo;
-  bool send_soon_ = false;
-  bool dropped_ = false;  // something that could not be read: logged once
+  OnReceived on_received_;
+  PeerHeartbeatDeduplicator deduplicator_;
+  std::uint64_t last_sequence_ = 0;
+  SteadyTime last_sent_at_ = kLongAgo;
+  bool send_requested_ = false;
+  bool drop_logged_ = false;
   std::map<NodeId, PeerState> peers_;
   Timer timer_;
 };
--- a/src/protocol/worker.cpp
+++ b/src/protocol/worker.cpp
@@ -18,6 +18,15 @@
   return std::nullopt;
 }
 
+TaskEndCause end_cause_of(const std::string& name) {
+  if (name == "done") return TaskEndCause::completed;
+  if (name == "error") return TaskEndCause::failed;
+  if (name == "unknown") return TaskEndCause::unknown;
+  if (name == "halted") return TaskEndCause::preempted;
+  if (name == "peers") return TaskEndCause::gang_ended;
+  return TaskEndCause::unspecified;
+}
+
 std::optional<ReportedTask> parse_task(const json::Value& item) {
   const auto id_text = json::text(item, "part");
   const auto attempt = json::count(item, "try");
@@ -26,8 +35,8 @@
   const auto id = parse_task_id(*id_text);
   const auto state = status_of(*status);
   if (!id || !state) return std::nullopt;
-  ReportedTask task{*id, Attempt(*attempt), *state, {}, false};
-  task.cause = json::text(item, "cause").value_or("");
+  ReportedTask task{*id, Attempt(*attempt), *state, TaskEndCause::unspecified, false};
+  task.cause = end_cause_of(json::text(item, "cause").value_or(""));
   task.saved = json::flag(item, "saved").value_or(false);
   return task;
 }
@@ -59,6 +68,32 @@
 
 }  // namespace
 
+const char* name_of(TaskEndCause cause) {
+  switch (cause) {
+    case TaskEndCause::completed:
+      return "completed";
+    case TaskEndCause::failed:
+      return "failed";
+    case TaskEndCause::unknown:
+      return "unknown";
+    case TaskEndCause::preempted:
+      return "preempted";
+    case TaskEndCause::gang_ended:
+      return "gang_ended";
+    case TaskEndCause::unspecified:
+      return "unspecified";
+    case TaskEndCause::machine_gone:
+      return "machine_gone";
+    case TaskEndCause::lease_expired:
+      return "lease_expired";
+    case TaskEndCause::never_started:
+      return "never_started";
+    case TaskEndCause::never_bound:
+      return "never_bound";
+  }
+  return "";
+}
+
 std::optional<TaskId> parse_task_id(std::string_view text) {
   const auto slash = text.find('/');
   if (slash == std::string_view::npos || !valid_job_id(text.substr(0, slash))) return std::nullopt;
--- a/src/protocol/worker.hpp
+++ b/src/protocol/worker.hpp
@@ -24,11 +24,30 @@
 
 enum class TaskStatus { fetching, waiting_for_gang, running, saving_checkpoint, ended };
 
+/// Why a task's attempt ended. The first group is reported by workers, the second one is concluded
+/// by the shard's holder.
+enum class TaskEndCause {
+  completed,
+  failed,
+  unknown,      // the worker cannot tell: counts as a failure
+  preempted,    // stopped by an order
+  gang_ended,   // stopped with the other tasks of its gang
+  unspecified,  // the worker names no cause, or one that this version does not know
+
+  machine_gone,
+  lease_expired,  // the worker began a new epoch, before which it ends all tasks
+  never_started,  // the start was not executed, and cannot be any more
+  never_bound
+};
+
+/// The cause as log lines show it.
+const char* name_of(TaskEndCause cause);
+
 struct ReportedTask {
   TaskId id;
   Attempt attempt;
   TaskStatus status = TaskStatus::fetching;
-  std::string cause;  // of an ended task
+  TaskEndCause cause = TaskEndCause::unspecified;  // of an ended task
   bool saved = false;
 };
 
--- a/src/shards/cancellation_deadlines.cpp
+++ b/src/shards/cancellation_deadlines.cpp
@@ -7,54 +7,55 @@
 namespace marblevale {
 
 namespace {
-// For the drift of steady clocks (0.05% of cancel_s), for clocks that are off, and for the worker's
-// own time.
+/// For the drift of steady clocks (0.05% of `cancel_s`), the differences of wall clocks, and the
+/// worker's time to end a task.
 constexpr Duration kCancelMargin{4'000};
-// Share of `cancel_s` after which a machine is deleted though the deletion can't be recorded: later
-// than deletion in the ordinary way.
+/// Share of `cancel_s` after which a machine is deleted though the deletion cannot be recorded:
+/// later than a recorded deletion.
 constexpr double kUnrecordedDeletionShare = 0.5;
 constexpr Duration kMaxFreshnessAgeForStart{2'500};
 }  // namespace
 
-Duration CancellationDeadlines::time_beyond_lease() const {
+Duration CancellationDeadlines::cancel_time_beyond_lease() const {
   const WorkerTimes& times = context_.settings.workers;
   return times.cancel - times.lease - kCancelMargin;
 }
 
-Duration CancellationDeadlines::answer_limit() const {
-  // The worker's lease runs from the sending of the last heartbeat that was answered: one that was
-  // answered by then is over a margin before the task must be gone.
-  return std::max(time_beyond_lease(), kMaxFreshnessAgeForStart);
+Duration CancellationDeadlines::max_freshness_age_for_answer() const {
+  // The worker's lease runs from the sending of the last heartbeat that was answered: a lease that
+  // is renewed within this limit expires a margin before the deadline.
+  return std::max(cancel_time_beyond_lease(), kMaxFreshnessAgeForStart);
 }
 
 void CancellationDeadlines::warn_if_tight() const {
-  if (time_beyond_lease() >= context_.settings.workers.heartbeat) return;
+  if (cancel_time_beyond_lease() >= context_.settings.workers.heartbeat) return;
   spdlog::warn(
-      "holder: cancel_s leaves less than a report beyond lease_s: without word of the state "
-      "service no report is answered for longer than {} ms",
-      answer_limit().count());
+      "shard_holder: cancel_s_too_short time_beyond_lease_ms={} heartbeat_ms={} "
+      "max_freshness_age_ms={}",
+      cancel_time_beyond_lease().count(), context_.settings.workers.heartbeat.count(),
+      max_freshness_age_for_answer().count());
 }
 
 void CancellationDeadlines::extend_freshness(SteadyTime until) {
-  // Where there is no time for it to be of use, nobody's word is taken for the state service's.
-  if (time_beyond_lease() < context_.settings.workers.heartbeat) return;
-  extended_fresh_until_ = std::max(extended_fresh_until_, until);
+  // With less time than that the peers' attestation cannot help, and the records alone count.
+  if (cancel_time_beyond_lease() < context_.settings.workers.heartbeat) return;
+  attested_fresh_until_ = std::max(attested_fresh_until_, until);
 }
 
 Duration CancellationDeadlines::freshness_age(SteadyTime now) const {
-  return now - std::max(context_.cache.fresh_until(), extended_fresh_until_);
+  return now - std::max(context_.cache.fresh_until(), attested_fresh_until_);
 }
 
-bool CancellationDeadlines::may_answer(SteadyTime now) const {
-  return freshness_age(now) < answer_limit();
+bool CancellationDeadlines::may_answer_heartbeats(SteadyTime now) const {
+  return freshness_age(now) < max_freshness_age_for_answer();
 }
 
-bool CancellationDeadlines::may_start(SteadyTime now) const {
+bool CancellationDeadlines::may_start_tasks(SteadyTime now) const {
   return freshness_age(now) < kMaxFreshnessAgeForStart;
 }
 
 bool CancellationDeadlines::has_cancelled_task(const MachineId& machine_id,
-                                               const KnownWorker& worker, Duration since) const {
+                                               const KnownWorker& worker, Duration min_age) const {
   const Records& records = context_.cache.records();
   const auto placed = records.placed.find(machine_id);
   if (placed == records.placed.end()) return false;
@@ -63,20 +64,20 @@
   return std::any_of(placed->second.begin(), placed->second.end(), [&](const auto& entry) {
     const TaskId& id = entry.first;
     const auto cancelled_at = context_.cancellations.cancelled_at(id.job_id);
-    if (!cancelled_at || now - *cancelled_at < since) return false;
+    if (!cancelled_at || now - *cancelled_at < min_age) return false;
     const TaskRecord* task = records.task(id);
     if (task == nullptr || task->state != TaskState::bound) return false;
-    const TaskPresence found = classify_presence(id, *task, worker.view, token);
-    return found == TaskPresence::present || found == TaskPresence::absent;
+    const TaskPresence presence = classify_presence(id, *task, worker.status, token);
+    return presence == TaskPresence::present || presence == TaskPresence::not_reported;
   });
 }
 
-bool CancellationDeadlines::lease_must_lapse(const MachineId& machine_id,
-                                             const KnownWorker& worker) const {
-  return has_cancelled_task(machine_id, worker, answer_limit());
+bool CancellationDeadlines::must_let_lease_expire(const MachineId& machine_id,
+                                                  const KnownWorker& worker) const {
+  return has_cancelled_task(machine_id, worker, max_freshness_age_for_answer());
 }
 
-std::vector<MachineId> CancellationDeadlines::overdue_machines(
+std::vector<MachineId> CancellationDeadlines::machines_past_deadline(
     const WorkerRegistry& workers) const {
   const Duration limit = scaled(context_.settings.workers.cancel, kUnrecordedDeletionShare);
   std::vector<MachineId> machines;
--- a/src/shards/heartbeat_handler.hpp
+++ b/src/shards/heartbeat_handler.hpp
@@ -1,4 +1,7 @@
-// Workers' reports: which of them are answered, what they change, and what the answer says.
+/// Workers' heartbeats: which of them are answered, what they change, and what the reply contains.
+///
+/// Every answered heartbeat renews the worker's lease, so refusing to answer is how a holder lets a
+/// lease expire.
 #pragma once
 
 #include <string>
@@ -15,32 +18,40 @@
 
 namespace marblevale {
 
-/// The answer to a heartbeat: 200 with orders, or 421 with or without the holder's name.
+inline constexpr int kStatusMisdirected = 421;
+
+/// The reply to a heartbeat: 200 with orders, or 421 with or without the name of the shard's
+/// holder.
 struct HeartbeatReply {
-  int status = 421;
+  int status = kStatusMisdirected;
   std::string body;
 };
 
+/// Applies heartbeats to the known workers and composes the replies.
 class HeartbeatHandler {
  public:
   HeartbeatHandler(const ShardContext& context, ShardOwnership& shards, WorkerRegistry& workers,
                    const CancellationDeadlines& deadlines, MachineRecorder& machines,
                    OrderDelivery& orders, MisroutedHeartbeats& misrouted, PendingWork& work);
 
-  /// A heartbeat that a worker sent by itself.
+  /// A heartbeat that a worker sent on its own.
   HeartbeatReply handle(std::string_view body);
-  /// A heartbeat with which a worker answered an order.
-  void handle_order_answer(KnownWorker& worker, const WorkerHeartbeat& heartbeat);
+  /// A heartbeat with which a worker replied to an order.
+  void handle_order_reply(KnownWorker& worker, const WorkerHeartbeat& heartbeat);
 
  private:
   HeartbeatReply redirect(const WorkerHeartbeat& heartbeat);
-  /// Takes over what is newer than what is known; false when nothing is.
-  bool apply(KnownWorker& worker, const WorkerHeartbeat& heartbeat, WorkerView::Source source);
-  /// Marks the slices that the heartbeat may change; true when there are any.
+  /// Updates the worker's status; false when the heartbeat is not newer.
+  bool apply(KnownWorker& worker, const WorkerHeartbeat& heartbeat, WorkerStatus::Source source);
+  /// Marks the slices whose tasks have started or ended; true when there are any.
   bool mark_reported_slices(const KnownWorker& worker, const MachineId& machine_id);
+  /// Marks the slices with bound tasks that are missing from the heartbeat; true when there are
+  /// any.
   bool mark_unreported_slices(const KnownWorker& worker, const MachineId& machine_id);
-  void refuse_or_allow_lease(const MachineId& machine_id, KnownWorker& worker);
-  void note_reachability(const WorkerHeartbeat& heartbeat, KnownWorker& worker, FencingToken token);
+  /// Decides whether the worker's heartbeats are answered, which renews its lease.
+  void update_lease_renewal_refusal(const MachineId& machine_id, KnownWorker& worker);
+  void update_reachability(const WorkerHeartbeat& heartbeat, KnownWorker& worker,
+                           FencingToken token);
 
   const ShardContext& context_;
   ShardOwnership& shards_;
--- a/src/shards/machine_recorder.cpp
+++ b/src/shards/machine_recorder.cpp
@@ -8,6 +8,26 @@
 
 using EditAction = MachineWriter::EditAction;
 
+namespace {
+
+const char* name_of(MachineStateReason reason) {
+  switch (reason) {
+    case MachineStateReason::reclaim_announced:
+      return "reclaim_announced";
+    case MachineStateReason::heartbeats_resumed:
+      return "heartbeats_resumed";
+    case MachineStateReason::heartbeats_missing:
+      return "heartbeats_missing";
+    case MachineStateReason::commands_unreachable:
+      return "commands_unreachable";
+    case MachineStateReason::task_failed:
+      return "task_failed";
+  }
+  return "";
+}
+
+}  // namespace
+
 MachineRecorder::MachineRecorder(Loop& loop, const ShardContext& context,
                                  const ShardOwnership& shards, WorkerRegistry& workers)
     : context_(context),
@@ -16,7 +36,7 @@
       writer_(context.cache, RequestPriority::binding,
               [&shards](Transaction& txn, const ZoneId& zone) {
                 if (!shards.holds(zone)) return false;
-                shards.guard(txn, zone);
+                shards.fence(txn, zone);
                 return true;
               }),
       flush_timer_(loop, [this] { writer_.flush(); }) {}
@@ -31,9 +51,9 @@
   }
   const MachineState state = it->second.record.state;
   if (worker.reclaim_at && (state == MachineState::up || state == MachineState::silent)) {
-    set_state(heartbeat.machine_id, MachineState::draining, "the cloud takes it back");
+    set_state(heartbeat.machine_id, MachineState::draining, MachineStateReason::reclaim_announced);
   } else if (state == MachineState::silent && !workers_.is_silent(heartbeat.machine_id)) {
-    set_state(heartbeat.machine_id, MachineState::up, "reports again");
+    set_state(heartbeat.machine_id, MachineState::up, MachineStateReason::heartbeats_resumed);
   }
 }
 
@@ -49,15 +69,15 @@
   added.reclaim_at = worker.reclaim_at;
   if (worker.reclaim_at) added.state = MachineState::draining;
   writer_.edit(heartbeat.machine_id, heartbeat.zone, [added](MachineRecord& record) {
-    if (record.machine_id != MachineId{}) return EditAction::none;  // it was added meanwhile
+    if (record.machine_id != MachineId{}) return EditAction::none;  // added meanwhile
     record = added;
     return EditAction::put;
   });
   schedule_flush();
 }
 
-void MachineRecorder::set_state(const MachineId& machine_id, MachineState state, const char* reason,
-                                JobId blamed) {
+void MachineRecorder::set_state(const MachineId& machine_id, MachineState state,
+                                MachineStateReason reason, JobId failed_job) {
   const auto& machines = context_.cache.records().machines;
   const auto it = machines.find(machine_id);
   if (it == machines.end() || it->second.record.state == state ||
@@ -67,43 +87,45 @@
   const KnownWorker* worker = workers_.find(machine_id);
   const auto reclaim_at = worker == nullptr ? std::nullopt : worker->reclaim_at;
   const WallTime now = context_.clock.wall();
-  auto edit = [this, machine_id, state, blamed = std::move(blamed), reclaim_at,
+  auto edit = [this, machine_id, state, failed_job = std::move(failed_job), reclaim_at,
                now](MachineRecord& record) {
     if (record.machine_id == MachineId{} || record.state == state ||
         record.state >= MachineState::deleting) {
       return EditAction::none;
     }
-    // Decided some time ago, perhaps: it has reported since.
+    // The edit may run some time after its decision: a heartbeat may have arrived since.
     if (state == MachineState::silent && !workers_.is_silent(machine_id)) return EditAction::none;
     record.state = state;
     record.since = now;
-    record.blamed = blamed;
+    record.blamed = failed_job;
     if (reclaim_at) record.reclaim_at = reclaim_at;
     return EditAction::put;
   };
-  // Logged once it is committed: a holder that is cut off tries this at every sweep.
+  // Logged after the commit: a holder that cannot reach the state service retries at each sweep.
   auto log = [machine_id, state, reason] {
-    spdlog::info("holder: {} is {}: {}", machine_id.get(), name_of(state), reason);
+    spdlog::info("shard_holder: machine_state_changed machine={} state={} reason={}",
+                 machine_id.get(), name_of(state), name_of(reason));
   };
   writer_.edit(machine_id, it->second.record.zone, std::move(edit), std::move(log));
   schedule_flush();
 }
 
 void MachineRecorder::mark_silent(SteadyTime now) {
-  // When none of a shard reports, the fault may be ours.
-  const std::map<ZoneId, HeartbeatCounts> counts = workers_.count_reporting(now);
+  // When no machine of a zone heartbeats, the fault may be this controller's.
+  const std::map<ZoneId, HeartbeatCounts> counts = workers_.count_heartbeating(now);
   for (const auto& [machine_id, machine] : context_.cache.records().machines) {
     const MachineRecord& record = machine.record;
     if (record.state != MachineState::up && record.state != MachineState::draining) continue;
     const KnownWorker* worker = workers_.find(machine_id);
     if (worker == nullptr || !shards_.holds(record.zone)) continue;
-    if (workers_.heartbeats(*worker, now) || counts.at(record.zone).reporting == 0) continue;
-    set_state(machine_id, MachineState::silent, "does not report");
+    if (workers_.is_heartbeating(*worker, now) || counts.at(record.zone).heartbeating == 0)
+      continue;
+    set_state(machine_id, MachineState::silent, MachineStateReason::heartbeats_missing);
   }
 }
 
 void MachineRecorder::write_images() {
-  // Only the quality of placement depends on them.
+  // Only the quality of placement depends on the images, so they use spare write budget.
   for (auto& [machine_id, worker] : workers_.all()) {
     if (context_.cache.write_slack() < kAmpleWriteSlack) return;
     if (!worker.images_changed || writer_.waits(machine_id)) continue;
--- a/src/shards/machine_recorder.hpp
+++ b/src/shards/machine_recorder.hpp
@@ -1,4 +1,4 @@
-// Keeps the machines' records in step with what their workers show.
+/// Keeps the machines' records up to date with their workers' heartbeats.
 #pragma once
 
 #include "net/loop.hpp"
@@ -10,26 +10,35 @@
 
 namespace marblevale {
 
-/// Writes new machines, their states and images, as far as their shard is held. Changes that come
-/// together are gathered, since machines come up in crowds.
+/// Why a holder changes a machine's state; for the log only.
+enum class MachineStateReason {
+  reclaim_announced,
+  heartbeats_resumed,
+  heartbeats_missing,
+  commands_unreachable,
+  task_failed
+};
+
+/// Writes new machines, their states and images, while their shard is held. Changes are batched,
+/// since machines start in large groups.
 class MachineRecorder {
  public:
   MachineRecorder(Loop& loop, const ShardContext& context, const ShardOwnership& shards,
                   WorkerRegistry& workers);
 
-  /// Adds a machine that reports for the first time, or corrects its state by its heartbeat.
+  /// Adds a machine at its first heartbeat, or corrects its state by a later one.
   void record_heartbeat(const WorkerHeartbeat& heartbeat, const KnownWorker& worker);
-  /// `reason` goes to the log once the change is committed. `blamed`: the job whose task made the
-  /// machine suspect.
-  void set_state(const MachineId& machine_id, MachineState state, const char* reason,
-                 JobId blamed = {});
-  /// Marks the machines that stopped reporting.
+  /// `reason` is logged once the change is committed. `failed_job`: the job whose failed task made
+  /// the machine suspect.
+  void set_state(const MachineId& machine_id, MachineState state, MachineStateReason reason,
+                 JobId failed_job = {});
+  /// Marks the machines whose heartbeats are missing.
   void mark_silent(SteadyTime now);
-  /// Writes the images that were seen in use, while there is budget to spare.
+  /// Writes the images that were seen in use, while there is write budget to spare.
   void write_images();
-  /// Drops the changes that wait for the zone: they were an earlier holding's.
+  /// Drops the zone's pending changes: they were decided under an earlier ownership.
   void forget_zone(const ZoneId& zone) { writer_.forget(zone); }
-  /// Commits what waits, unless a flush is due shortly anyway.
+  /// Commits the pending changes, unless a flush is scheduled anyway.
   void flush_if_idle();
 
  private:
--- a/src/shards/misrouted_heartbeats.hpp
+++ b/src/shards/misrouted_heartbeats.hpp
@@ -1,5 +1,5 @@
-// Heartbeats from workers of shards that another controller holds. A worker that was redirected to
-// the holder and comes back again and again can't reach it.
+/// Heartbeats from workers of shards that another controller holds. A worker that was redirected to
+/// the holder and keeps returning cannot reach it.
 #pragma once
 
 #include <map>
@@ -10,12 +10,13 @@
 
 namespace marblevale {
 
+/// Records misrouted heartbeats, and finds the zones whose workers cannot reach their holder.
 class MisroutedHeartbeats {
  public:
   void record(const ZoneId& zone, const MachineId& machine_id, SteadyTime now);
-  /// The shard has another holder: what was said of the one before no longer counts.
+  /// The shard has another holder, so the evidence against the previous one no longer counts.
   void forget(const ZoneId& zone) { by_zone_.erase(zone); }
-  /// Zones of which at least two workers keep coming here.
+  /// Zones of which at least two workers keep returning here.
   [[nodiscard]] std::vector<ZoneId> affected_zones(SteadyTime now);
 
  private:
--- a/src/shards/order_delivery.hpp
+++ b/src/shards/order_delivery.hpp
@@ -1,4 +1,4 @@
-// The orders that a worker is due, and their way to it: in the answer to a heartbeat, or directly.
+/// Which orders a worker is due, and their delivery: in the reply to a heartbeat, or directly.
 #pragma once
 
 #include <functional>
@@ -14,38 +14,38 @@
 
 namespace marblevale {
 
+/// Derives orders from the records: `start` for bound tasks that are not reported, `kill` for tasks
+/// that must not run, `clear` for ended tasks without a start that can still arrive. Undelivered
+/// orders need no queue, since they are derived again at the next occasion.
 class OrderDelivery {
  public:
-  /// Takes the heartbeat with which a worker answered an order.
-  using HeartbeatHandler = std::function<void(KnownWorker&, const WorkerHeartbeat&)>;
+  /// Receives the heartbeat with which a worker replied to an order.
+  using OnHeartbeat = std::function<void(KnownWorker&, const WorkerHeartbeat&)>;
 
   OrderDelivery(const ShardContext& context, ShardOwnership& shards, WorkerRegistry& workers,
                 const CancellationDeadlines& deadlines, const SliceCommits& commits,
-                PendingWork& work, OrderSender& sender, HeartbeatHandler on_heartbeat);
+                PendingWork& work, OrderSender& sender, OnHeartbeat on_heartbeat);
 
-  /// The orders that go into the answer to this heartbeat, noted as sent.
-  [[nodiscard]] std::vector<Order> answer_orders(const WorkerHeartbeat& heartbeat,
-                                                 KnownWorker& worker);
-  /// Sends direct orders to the machines that wait for them, a bounded number in one round; the
-  /// others go on waiting.
-  void command_waiting_machines();
+  /// The orders for the reply to this heartbeat, recorded as sent.
+  [[nodiscard]] std::vector<Order> orders_for_heartbeat_reply(const WorkerHeartbeat& heartbeat,
+                                                              KnownWorker& worker);
+  /// Sends direct orders to the machines that are scheduled for them, a bounded number in one
+  /// round; the others stay scheduled.
+  void send_waiting_orders();
 
  private:
-  enum class Channel { answer, direct };
-
   [[nodiscard]] std::vector<Order> due_orders(const MachineId& machine_id, KnownWorker& worker,
-                                              Channel channel);
-  /// For tasks that are bound to the machine.
-  void add_orders_of_bound_tasks(const MachineId& machine_id, KnownWorker& worker, Channel channel,
-                                 std::vector<Order>& orders);
-  void add_order_of_bound_task(const TaskAttempt& attempt, KnownWorker& worker, Channel channel,
-                               std::vector<Order>& orders);
-  /// For tasks that the worker reports though they are not bound there.
-  void add_orders_of_unbound_tasks(const MachineId& machine_id, KnownWorker& worker,
-                                   Channel channel, std::vector<Order>& orders);
-  [[nodiscard]] bool bound_to(const MachineId& machine_id, const TaskAttempt& attempt) const;
-  /// True when something was sent.
-  bool command(const MachineId& machine_id);
+                                              OrderChannel channel);
+  void add_orders_for_bound_tasks(const MachineId& machine_id, KnownWorker& worker,
+                                  OrderChannel channel, std::vector<Order>& orders);
+  void add_order_for_bound_task(const TaskAttempt& attempt, KnownWorker& worker,
+                                OrderChannel channel, std::vector<Order>& orders);
+  /// For tasks that the worker reports though they are not bound to its machine.
+  void add_orders_for_unbound_tasks(const MachineId& machine_id, KnownWorker& worker,
+                                    OrderChannel channel, std::vector<Order>& orders);
+  [[nodiscard]] bool is_bound_to(const MachineId& machine_id, const TaskAttempt& attempt) const;
+  /// True when a request was sent.
+  bool send_due_orders(const MachineId& machine_id);
   void send(const MachineId& machine_id, KnownWorker& worker, const std::vector<Order>& orders);
   void handle_reply(const MachineId& machine_id, FencingToken token, const HttpReply& reply);
   void apply_reply(const MachineId& machine_id, KnownWorker& worker, const HttpReply& reply);
@@ -57,7 +57,7 @@
   const SliceCommits& commits_;
   PendingWork& work_;
   OrderSender& sender_;
-  HeartbeatHandler on_heartbeat_;
+  OnHeartbeat on_heartbeat_;
 };
 
 }  // namespace marblevale
--- a/src/shards/order_sender.cpp
+++ b/src/shards/order_sender.cpp
@@ -7,53 +7,62 @@
 namespace marblevale {
 
 namespace {
-constexpr std::size_t kMinClients = 32;  // connections to workers
-constexpr std::size_t kDefaultClients = 128;
+constexpr std::size_t kMinConnections = 32;
+constexpr std::size_t kDefaultConnections = 128;  // without a limit of sockets in the settings
 /// Connections for each MB of the node's memory: an idle one takes a few KiB.
-constexpr double kClientsPerMb = 16;
-constexpr Duration kOrderDeadline{1500};
+constexpr double kConnectionsPerMb = 16;
+constexpr std::size_t kMaxQueuedOrdersPerWorker = 4;
+constexpr Duration kOrderTimeout{1500};
 }  // namespace
 
 void HttpOrderSender::send(const std::string& address, std::string body, HttpHandler then) {
   auto it = clients_.find(address);
   if (it == clients_.end()) {
-    if (clients_.size() >= most_ && !preempt_for()) {
+    if (clients_.size() >= max_connections_ && !close_idle_connections()) {
       then(HttpReply::never_sent());
       return;
     }
-    Address to;
+    Address worker_address;
     try {
-      to = parse_address(address, "address");
+      worker_address = parse_address(address, "address");
     } catch (const SettingsError&) {
       then(HttpReply::never_sent());
       return;
     }
-    it = clients_.emplace(address, Client{std::make_unique<HttpClient>(loop_, to, 1, 4)}).first;
+    auto http = std::make_unique<HttpClient>(loop_, worker_address, 1, kMaxQueuedOrdersPerWorker);
+    it = clients_.emplace(address, Client{std::move(http)}).first;
   }
-  it->second.used = ++sent_;
+  it->second.last_used = ++request_count_;
   it->second.http->send(
-      {EVHTTP_REQ_POST, "/orders", std::move(body), "application/json", kOrderDeadline},
+      {EVHTTP_REQ_POST, "/orders", std::move(body), "application/json", kOrderTimeout},
       std::move(then));
 }
 
-std::size_t order_connections(const Settings& settings) {
+std::size_t max_order_connections(const Settings& settings) {
   // A quarter: in the worst case all the machines heartbeat here, each by a connection of its own.
-  if (settings.max_sockets <= 0) return kDefaultClients;
+  if (settings.max_sockets <= 0) return kDefaultConnections;
   const auto by_sockets = static_cast<std::size_t>(settings.max_sockets) / 4;
-  const auto by_memory = static_cast<std::size_t>(settings.ram_mb * kClientsPerMb);
-  return std::max(kMinClients, by_memory > 0 ? std::min(by_sockets, by_memory) : by_sockets);
+  const auto by_memory = static_cast<std::size_t>(settings.ram_mb * kConnectionsPerMb);
+  return std::max(kMinConnections, by_memory > 0 ? std::min(by_sockets, by_memory) : by_sockets);
 }
 
-bool HttpOrderSender::preempt_for() {
-  // Machines come and go: of the idle connections, the quarter that was used longest ago is closed.
-  // To close all of them would mean a new connection for nearly every order in a large cluster.
-  std::vector<std::pair<std::uint64_t, std::string>> idle;
+bool HttpOrderSender::close_idle_connections() {
+  // Of the idle connections, the least recently used quarter is closed. Closing all of them would
+  // cost a new connection for nearly every order in a large cluster.
+  struct IdleConnection {
+    std::uint64_t last_used;
+    std::string address;
+  };
+  std::vector<IdleConnection> idle;
   for (const auto& [address, client] : clients_) {
-    if (client.http->idle()) idle.emplace_back(client.used, address);
+    if (client.http->idle()) idle.push_back({client.last_used, address});
   }
-  std::sort(idle.begin(), idle.end());
+  // `last_used` is unique: each request has its own count.
+  std::sort(idle.begin(), idle.end(), [](const IdleConnection& a, const IdleConnection& b) {
+    return a.last_used < b.last_used;
+  });
   idle.resize((idle.size() + 3) / 4);
-  for (const auto& [used, address] : idle) clients_.erase(address);
+  for (const IdleConnection& connection : idle) clients_.erase(connection.address);
   return !idle.empty();
 }
 
--- a/src/shards/pending_work.cpp
+++ b/src/shards/pending_work.cpp
@@ -24,7 +24,7 @@
   const auto* slice = records.slice(key.job_id, key.number);
   if (slice == nullptr) return;
   for (const TaskRecord& task : slice->record.tasks) {
-    if (task.placed()) command_machine(task.machine_id);
+    if (task.placed()) schedule_orders(task.machine_id);
   }
 }
 
@@ -34,13 +34,13 @@
 
 std::set<SliceKey> PendingWork::take_dirty_slices() { return std::exchange(dirty_slices_, {}); }
 
-std::set<MachineId> PendingWork::take_machines_to_command() {
-  return std::exchange(machines_to_command_, {});
+std::set<MachineId> PendingWork::take_machines_awaiting_orders() {
+  return std::exchange(machines_awaiting_orders_, {});
 }
 
 void PendingWork::clear() {
   dirty_slices_.clear();
-  machines_to_command_.clear();
+  machines_awaiting_orders_.clear();
 }
 
 }  // namespace marblevale
--- a/src/shards/reachability.cpp
+++ b/src/shards/reachability.cpp
@@ -8,71 +8,99 @@
 
 namespace {
 constexpr Duration kProbeInterval{2'000};
-constexpr Duration kRegularProbeInterval{5'000};
-constexpr double kMaxHeartbeatsWithoutStart =
-    2.5;                                 // heartbeat intervals after which a start must show
-constexpr int kMinAnswersWithStart = 2;  // that bore it
+constexpr Duration kPeriodicProbeInterval{5'000};
+/// Heartbeat intervals after which a start must show.
+constexpr double kMaxHeartbeatsWithoutStart = 2.5;
+/// Heartbeat replies that must have contained a start before it counts as missing.
+constexpr int kMinRepliesWithStart = 2;
+/// A gap between answered heartbeats of this share of the lease restarts the answered period, and
+/// an answered period of this share shows that the lease should have been renewed.
+constexpr double kAnsweredLeaseShare = 0.5;
+
+const char* name_of(WorkerReachability::Evidence evidence) {
+  using Evidence = WorkerReachability::Evidence;
+  switch (evidence) {
+    case Evidence::heartbeat_with_held_token:
+      return "heartbeat_with_held_token";
+    case Evidence::command_answered:
+      return "command_answered";
+    case Evidence::starts_missing:
+      return "starts_missing";
+    case Evidence::lease_expired_though_answered:
+      return "lease_expired_though_answered";
+  }
+  return "";
+}
 }  // namespace
 
-void WorkerReachability::transition(State next, FencingToken token, const char* reason) {
+void WorkerReachability::transition(State next, FencingToken token, Evidence evidence) {
   confirmed_token_ = token;
   if (state_ == next) return;
   if (next == State::commands_unreachable) {
-    spdlog::info("holder: commands do not reach {}: {}", machine_id_.get(), reason);
+    spdlog::info("shard_holder: commands_unreachable machine={} reason={}", machine_id_.get(),
+                 name_of(evidence));
   } else {
-    spdlog::debug("holder: {} is reachable: {}", machine_id_.get(), reason);
+    spdlog::debug("shard_holder: commands_reachable machine={} reason={}", machine_id_.get(),
+                  name_of(evidence));
   }
   state_ = next;
 }
 
 void WorkerReachability::heartbeat_received(FencingToken token) {
   if (state_ != State::commands_unreachable) {
-    transition(State::reachable, token, "its report bears our token");
+    transition(State::reachable, token, Evidence::heartbeat_with_held_token);
   }
 }
 
 void WorkerReachability::command_answered(FencingToken token) {
-  transition(State::reachable, token, "it answered an order");
+  transition(State::reachable, token, Evidence::command_answered);
 }
 
-void WorkerReachability::mark_commands_unreachable(const char* reason) {
-  transition(State::commands_unreachable, FencingToken{}, reason);
+void WorkerReachability::mark_commands_unreachable(Evidence evidence) {
+  transition(State::commands_unreachable, FencingToken{}, evidence);
 }
 
-void WorkerReachability::start_sent(const TaskAttempt& start, SteadyTime now, bool in_answer) {
-  MissingStart& missing = missing_starts_.try_emplace(start, MissingStart{now}).first->second;
-  if (in_answer) ++missing.answers;
+void WorkerReachability::start_sent(const TaskAttempt& start, SteadyTime now,
+                                    OrderChannel channel) {
+  UnobservedStart& unobserved =
+      unobserved_starts_.try_emplace(start, UnobservedStart{now}).first->second;
+  if (channel == OrderChannel::heartbeat_reply) ++unobserved.heartbeat_replies;
 }
 
 void WorkerReachability::heartbeat_answered(SteadyTime now, Duration lease) {
-  if (now - last_answer_ >= scaled(lease, 0.5)) answered_since_ = now;
-  last_answer_ = now;
+  if (now - last_answered_at_ >= scaled(lease, kAnsweredLeaseShare)) {
+    answered_without_gap_since_ = now;
+  }
+  last_answered_at_ = now;
 }
 
-bool WorkerReachability::epoch_changed(SteadyTime now, Duration lease) {
-  missing_starts_.clear();
-  // One heartbeat that was held up while the lease lapsed for other reasons, and is answered now,
-  // does not show that the machine had the answer.
-  return now - last_answer_ < lease && now - answered_since_ >= scaled(lease, 0.5);
+bool WorkerReachability::on_epoch_changed(SteadyTime now, Duration lease) {
+  unobserved_starts_.clear();
+  // A single delayed heartbeat that is answered now, while the lease expired for other reasons, is
+  // no evidence that the answers were lost.
+  return now - last_answered_at_ < lease &&
+         now - answered_without_gap_since_ >= scaled(lease, kAnsweredLeaseShare);
 }
 
-bool WorkerReachability::misses_starts(const WorkerView& view, SteadyTime now,
-                                       Duration heartbeat_interval) const {
-  return std::any_of(missing_starts_.begin(), missing_starts_.end(), [&](const auto& entry) {
-    // A machine that hung has not reported meanwhile: only answers that it should have had count.
-    return now - entry.second.since > scaled(heartbeat_interval, kMaxHeartbeatsWithoutStart) &&
-           entry.second.answers >= kMinAnswersWithStart && !view.tasks.contains(entry.first);
+bool WorkerReachability::has_missing_start(const WorkerStatus& status, SteadyTime now,
+                                           Duration heartbeat_interval) const {
+  const Duration max_wait = scaled(heartbeat_interval, kMaxHeartbeatsWithoutStart);
+  return std::any_of(unobserved_starts_.begin(), unobserved_starts_.end(), [&](const auto& entry) {
+    const auto& [start, unobserved] = entry;
+    // A machine that hung has sent no heartbeats meanwhile, so elapsed time alone does not count.
+    return now - unobserved.first_sent_at > max_wait &&
+           unobserved.heartbeat_replies >= kMinRepliesWithStart && !status.tasks.contains(start);
   });
 }
 
 void WorkerReachability::discount_pause(SteadyTime now, Duration pause) {
-  for (auto& [start, missing] : missing_starts_) {
-    missing.since = std::min(now, missing.since + pause);
+  for (auto& [start, unobserved] : unobserved_starts_) {
+    unobserved.first_sent_at = std::min(now, unobserved.first_sent_at + pause);
   }
 }
 
 bool WorkerReachability::probe_due(SteadyTime now) const {
-  if (regular_probes_ && now - last_regular_probe_ >= kRegularProbeInterval) return true;
+  if (periodic_probes_ && now - last_periodic_probe_ >= kPeriodicProbeInterval) return true;
   return !reachable() && now - last_probe_ >= kProbeInterval;
 }
 
--- a/src/shards/reachability.hpp
+++ b/src/shards/reachability.hpp
@@ -1,5 +1,5 @@
-// Whether commands reach a worker. Its reports alone don't tell: answers and orders may be lost on
-// their way.
+/// Whether commands reach a worker. Heartbeats prove only the direction from the worker to the
+/// controller: replies and orders may still be lost.
 #pragma once
 
 #include <map>
@@ -8,76 +8,87 @@
 
 namespace marblevale {
 
-/// Owns the state of the way to one worker, and the evidence for it: the starts that were sent and
-/// don't show, the reports that were answered, the probes (orders without commands) that were sent.
+/// How an order travels: in the reply to a heartbeat, or by a request to the worker's `/orders`.
+enum class OrderChannel { heartbeat_reply, direct };
+
+/// Owns the reachability state of one worker and its evidence: starts that were sent and do not
+/// show in heartbeats, heartbeats that were answered, and probes (direct requests without orders).
 class WorkerReachability {
  public:
   enum class State {
-    unconfirmed,          // nothing is known of the way to it
-    reachable,            // it has shown that it received something under a token of this holding
-    commands_unreachable  // it reports, but nothing that is sent to it arrives
+    unconfirmed,          // there is no evidence yet
+    reachable,            // it has shown that it received something under a token of this holder
+    commands_unreachable  // its heartbeats arrive, but nothing that is sent to it does
+  };
+
+  /// The evidence for a change of the state.
+  enum class Evidence {
+    heartbeat_with_held_token,
+    command_answered,
+    starts_missing,                // from the heartbeats, though they were sent repeatedly
+    lease_expired_though_answered  // its heartbeats were answered, which renews the lease
   };
 
   explicit WorkerReachability(MachineId machine_id) : machine_id_(std::move(machine_id)) {}
 
-  /// A heartbeat bore a token of this holding, so the worker has heard of us. That is no evidence
-  /// against `commands_unreachable`.
+  /// A heartbeat bore a token of this holder, so the worker has received something from it. That
+  /// does not refute `commands_unreachable`.
   void heartbeat_received(FencingToken token);
-  /// An order was answered: whatever was thought of it before, it is reachable.
+  /// A direct order was answered: the worker is reachable, whatever the state was before.
   void command_answered(FencingToken token);
-  /// A heartbeat that it sent under this holding was answered at this moment.
+  /// A heartbeat that was sent under this ownership of the shard is answered at `now`.
   void heartbeat_answered(SteadyTime now, Duration lease);
-  /// A start was sent: by itself, or in the answer to a heartbeat.
-  void start_sent(const TaskAttempt& start, SteadyTime now, bool in_answer);
-  /// It is in a new epoch: what was sent to the old one is void. True when the old one lapsed
-  /// though its reports were answered: then nothing that is sent to it arrives.
-  bool epoch_changed(SteadyTime now, Duration lease);
-  /// Forgets the starts for which `settled` holds.
-  template <typename Settled>
-  void forget_starts(Settled settled) {
-    std::erase_if(missing_starts_, [&](const auto& entry) { return settled(entry.first); });
+  void start_sent(const TaskAttempt& start, SteadyTime now, OrderChannel channel);
+  /// The worker began a new epoch, which voids what was sent to the previous one. True when the
+  /// previous lease expired though its heartbeats were answered: then no answers arrive there.
+  bool on_epoch_changed(SteadyTime now, Duration lease);
+  /// Forgets the starts for which `is_settled` holds.
+  template <typename IsSettled>
+  void forget_starts(IsSettled is_settled) {
+    std::erase_if(unobserved_starts_, [&](const auto& entry) { return is_settled(entry.first); });
   }
-  /// True when a start that was sent again and again does not show, though it reports.
-  [[nodiscard]] bool misses_starts(const WorkerView& view, SteadyTime now,
-                                   Duration heartbeat_interval) const;
-  void mark_commands_unreachable(const char* reason);
-  /// Time in which this process stood still: no start could show.
+  /// True when a start that was sent repeatedly does not show in the worker's heartbeats.
+  [[nodiscard]] bool has_missing_start(const WorkerStatus& status, SteadyTime now,
+                                       Duration heartbeat_interval) const;
+  /// Sets `commands_unreachable`.
+  void mark_commands_unreachable(Evidence evidence);
+  /// Excludes the time of a process pause, in which no start could show.
   void discount_pause(SteadyTime now, Duration pause);
 
-  [[nodiscard]] State state() const { return state_; }
   [[nodiscard]] bool commands_unreachable() const { return state_ == State::commands_unreachable; }
   [[nodiscard]] bool reachable() const { return state_ == State::reachable; }
-  /// Known to have received something under this fencing token.
+  /// Whether it is known to have received something under this fencing token.
   [[nodiscard]] bool reachable_under(FencingToken token) const { return confirmed_token_ == token; }
 
-  /// Whether it is time for an order without commands, which asks for a heartbeat.
+  /// Whether a probe is due, which asks for a heartbeat.
   [[nodiscard]] bool probe_due(SteadyTime now) const;
-  void probe_sent(SteadyTime now) { last_probe_ = last_regular_probe_ = now; }
-  /// Whether to probe it at intervals for its epoch and tasks, since it does not heartbeat them.
-  void probe_regularly(bool wanted) { regular_probes_ = wanted; }
-  /// A probe that is needed need not wait for its interval.
-  void probe_at_once() { last_probe_ = kNever; }
+  void probe_sent(SteadyTime now) { last_probe_ = last_periodic_probe_ = now; }
+  /// Whether to probe at intervals for its epoch and tasks, since its own heartbeats do not arrive.
+  void set_periodic_probes(bool enabled) { periodic_probes_ = enabled; }
+  /// Makes a needed probe due without waiting for the interval.
+  void make_probe_due() { last_probe_ = kNever; }
 
  private:
-  struct MissingStart {
-    SteadyTime since;
-    int answers = 0;  // to reports, each of which bore it
+  /// A start that was sent and has not shown in a heartbeat.
+  struct UnobservedStart {
+    SteadyTime first_sent_at;
+    int heartbeat_replies = 0;  // that contained it
   };
 
   static constexpr SteadyTime kNever = kLongAgo;
 
-  /// The one place where the state changes. `token`: under which it was reachable, or none.
-  void transition(State next, FencingToken token, const char* reason);
+  /// The one place where the state changes. `token`: under which it is reachable, or none.
+  void transition(State next, FencingToken token, Evidence evidence);
 
   MachineId machine_id_;
   State state_ = State::unconfirmed;
-  FencingToken confirmed_token_;  // of the last sign of reachability; 0 unless reachable
-  SteadyTime last_answer_ = kNever;
-  SteadyTime answered_since_ = kNever;  // without a gap
+  FencingToken confirmed_token_;  // of the latest evidence of reachability; none unless reachable
+  SteadyTime last_answered_at_ = kNever;
+  SteadyTime answered_without_gap_since_ = kNever;
   SteadyTime last_probe_ = kNever;
-  SteadyTime last_regular_probe_ = kNever;
-  bool regular_probes_ = false;
-  std::map<TaskAttempt, MissingStart> missing_starts_;
+  SteadyTime last_periodic_probe_ = kNever;
+  bool periodic_probes_ = false;
+  std::map<TaskAttempt, UnobservedStart> unobserved_starts_;
 };
 
 }  // namespace marblevale
--- a/src/shards/shard_context.hpp
+++ b/src/shards/shard_context.hpp
@@ -1,4 +1,4 @@
-// What every part of a shard holder works with. The service owns all of it and outlives the holder.
+/// What every part of a shard holder works with. `Service` owns all of it and outlives the holder.
 #pragma once
 
 #include "cancellations/cancellations.hpp"
--- a/src/shards/shard_holder.cpp
+++ b/src/shards/shard_holder.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr Duration kSweepInterval{500};
-constexpr Duration kBackpressureDelay{50};  // while as many commits are on their way as may be
+constexpr Duration kBackpressureDelay{50};  // while the limit of commits in flight is reached
 }  // namespace
 
 ShardHolder::ShardHolder(Loop& loop, const Clock& clock, const Settings& settings,
@@ -21,10 +21,10 @@
       binder_(context_, workers_),
       commits_(cache, work_),
       offers_(context_, shards_, binder_, commits_),
-      lifecycle_(context_, shards_, workers_, machines_, binder_, commits_),
+      reconciler_(context_, shards_, workers_, machines_, binder_, commits_),
       orders_(context_, shards_, workers_, deadlines_, commits_, work_, orders,
               [this](KnownWorker& worker, const WorkerHeartbeat& heartbeat) {
-                heartbeats_.handle_order_answer(worker, heartbeat);
+                heartbeats_.handle_order_reply(worker, heartbeat);
               }),
       heartbeats_(context_, shards_, workers_, deadlines_, machines_, orders_, misrouted_, work_),
       sweep_timer_(loop, [this] { sweep(); }) {
@@ -37,22 +37,22 @@
 }
 
 ShardEvents ShardHolder::shard_events() {
-  return {.gained = [this](const ZoneId& zone) { on_shard_gained(zone); },
+  return {.acquired = [this](const ZoneId& zone) { on_shard_acquired(zone); },
           .lost = [this](const ZoneId& zone) { on_shard_lost(zone); },
           .holder_changed = [this](const ZoneId& zone) { misrouted_.forget(zone); },
           .renewal_answered = [this] { work_.schedule_round(); }};
 }
 
-void ShardHolder::on_shard_gained(const ZoneId& zone) {
-  // What an earlier holding wanted to say of its machines is no longer known to be so: a holder
-  // that had been cut off called all of them silent, as soon as it was back.
+void ShardHolder::on_shard_acquired(const ZoneId& zone) {
+  // Pending changes of an earlier ownership are outdated: after a partition they would mark all
+  // machines as silent.
   machines_.forget_zone(zone);
-  // Workers of a holder that is gone get orders at once, to know who holds the shard now.
+  // The workers get a request at once, which tells them who holds the shard now.
   const SteadyTime now = context_.clock.steady();
   for (const auto& [machine_id, machine] : context_.cache.records().machines) {
     if (machine.record.zone != zone || machine.record.state >= MachineState::deleting) continue;
-    workers_.expect(machine.record, now);
-    work_.command_machine(machine_id);
+    workers_.expect_heartbeats(machine.record, now);
+    work_.schedule_orders(machine_id);
   }
   for (const auto& [key, slice] : context_.cache.records().slices) work_.mark_dirty(key);
 }
@@ -87,7 +87,7 @@
   work_.schedule_round();
 }
 
-void ShardHolder::cancelled(const JobId& job_id) {
+void ShardHolder::on_job_cancelled(const JobId& job_id) {
   work_.mark_job_dirty(context_.cache.records(), job_id);
   work_.schedule_round();
 }
@@ -95,7 +95,7 @@
 std::vector<ZoneId> ShardHolder::misrouted_zones() {
   std::vector<ZoneId> zones = misrouted_.affected_zones(context_.clock.steady());
   std::erase_if(zones, [this](const ZoneId& zone) {
-    return shards_.holding(zone) != ShardOwnership::Holding::none;
+    return shards_.ownership(zone) != ShardOwnership::Ownership::none;
   });
   return zones;
 }
@@ -105,52 +105,52 @@
   const auto timed = context_.metrics.time(Duty::holder);
   shards_.refresh();
   if (!shards_.holds_any()) {
-    // Nothing here is ours to decide; a shard that comes brings all its slices.
+    // Nothing to reconcile; the acquisition of a shard marks all its slices.
     work_.clear();
     offers_.clear();
     return;
   }
   offers_.retry();
-  decide_dirty_slices();
+  reconcile_dirty_slices();
 }
 
-void ShardHolder::decide_dirty_slices() {
+void ShardHolder::reconcile_dirty_slices() {
   const SteadyTime until = context_.clock.steady() + context_.settings.tuning.round_budget;
-  // Slices are taken one by one; what the budget leaves stays for the next round. What a decision
-  // marks dirty waits for the next round, too: a commit that is refused at once must not be tried
-  // again and again within one round.
+  // Slices that exceed the round's time budget stay for the next round, and so do slices that are
+  // marked meanwhile: a commit that is refused at once must not be retried in a loop within one
+  // round.
   std::set<SliceKey> batch = work_.take_dirty_slices();
-  // It goes on where the last round stopped: when writes are short the first slices would have
-  // their turn again and again, and the last ones never.
-  decide_standing_slices(batch, until);
-  auto next = batch.upper_bound(last_decided_);
-  while (!batch.empty() && commits_.has_room() && context_.clock.steady() <= until) {
+  // Round robin from where the last round stopped: otherwise, when writes are limited, the first
+  // slices would starve the last ones.
+  reconcile_service_slices(batch, until);
+  auto next = batch.upper_bound(last_reconciled_);
+  while (!batch.empty() && commits_.has_capacity() && context_.clock.steady() <= until) {
     if (next == batch.end()) next = batch.begin();
-    last_decided_ = *next;
+    last_reconciled_ = *next;
     next = batch.erase(next);
-    // A slice whose commit is on its way comes back with the commit's answer.
-    if (!commits_.in_flight(last_decided_)) lifecycle_.decide_slice(last_decided_);
+    // A slice with a commit in flight is marked dirty again by the commit's result.
+    if (!commits_.in_flight(last_reconciled_)) reconciler_.reconcile(last_reconciled_);
   }
   const bool slices_left = !batch.empty();
   work_.return_slices(std::move(batch));
-  orders_.command_waiting_machines();
-  if (!slices_left && !work_.has_machines_to_command()) return;
-  if (commits_.has_room()) {
+  orders_.send_waiting_orders();
+  if (!slices_left && !work_.has_machines_awaiting_orders()) return;
+  if (commits_.has_capacity()) {
     work_.schedule_round();
   } else {
     work_.schedule_round(kBackpressureDelay);
   }
 }
 
-void ShardHolder::decide_standing_slices(std::set<SliceKey>& batch, SteadyTime until) {
-  // Few, and down until they are bound: they don't wait for the commits of others.
+void ShardHolder::reconcile_service_slices(std::set<SliceKey>& batch, SteadyTime until) {
+  // They are few, and their service is down until they are bound: no wait for other commits.
   const Records& records = context_.cache.records();
   for (auto it = batch.begin(); it != batch.end() && context_.clock.steady() <= until;) {
     if (binding_priority(records, it->job_id) != RequestPriority::service_binding) {
       ++it;
       continue;
     }
-    if (!commits_.in_flight(*it)) lifecycle_.decide_slice(*it);
+    if (!commits_.in_flight(*it)) reconciler_.reconcile(*it);
     it = batch.erase(it);
   }
 }
@@ -161,7 +161,7 @@
   const auto timed = context_.metrics.time(Duty::holder);
   const SteadyTime now = context_.clock.steady();
   workers_.discount_pause(now, kSweepInterval);
-  shards_.renew_requested(now);
+  shards_.renew_requested_tokens(now);
   if (!shards_.holds_any()) return;
 
   machines_.mark_silent(now);
@@ -169,55 +169,55 @@
   check_reachability();
   machines_.write_images();
   machines_.flush_if_idle();
-  lifecycle_.mark_deferred_dirty(work_);
-  mark_waiting_tasks();
+  reconciler_.mark_deferred_dirty(work_);
+  mark_unfinished_transitions_dirty();
   work_.schedule_round();
 }
 
 void ShardHolder::check_reachability() {
   for (auto& [machine_id, worker] : workers_.all()) {
-    if (!worker.reachability.reachable()) work_.command_machine(machine_id);
+    if (!worker.reachability.reachable()) work_.schedule_orders(machine_id);
     check_heartbeats_reachable(machine_id, worker);
     check_commands_reachable(machine_id, worker);
   }
 }
 
 void ShardHolder::check_heartbeats_reachable(const MachineId& machine_id, KnownWorker& worker) {
-  // It may reach no controller and receive orders all the same. What becomes of its tasks, and that
-  // its lease has lapsed, is then known from its answers only.
-  worker.reachability.probe_regularly(workers_.is_silent(machine_id) &&
-                                      context_.cache.records().placed.contains(machine_id));
-  if (worker.reachability.probe_due(context_.clock.steady())) work_.command_machine(machine_id);
+  // It may reach no controller and still receive orders. The state of its tasks, and the expiry of
+  // its lease, are then known from its replies to probes only.
+  worker.reachability.set_periodic_probes(workers_.is_silent(machine_id) &&
+                                          context_.cache.records().placed.contains(machine_id));
+  if (worker.reachability.probe_due(context_.clock.steady())) work_.schedule_orders(machine_id);
 }
 
 void ShardHolder::check_commands_reachable(const MachineId& machine_id, KnownWorker& worker) {
   const SteadyTime now = context_.clock.steady();
   const Duration heartbeat_interval = context_.settings.workers.heartbeat;
   if (now - worker.last_heartbeat_at < heartbeat_interval * 2 &&
-      worker.reachability.misses_starts(worker.view, now, heartbeat_interval)) {
-    worker.reachability.mark_commands_unreachable("its starts do not show");
+      worker.reachability.has_missing_start(worker.status, now, heartbeat_interval)) {
+    worker.reachability.mark_commands_unreachable(WorkerReachability::Evidence::starts_missing);
   }
   worker.reachability.forget_starts([&](const TaskAttempt& start) {
     const TaskRecord* task = context_.cache.records().task(start.id);
     return task == nullptr || task->state != TaskState::bound || task->machine_id != machine_id ||
-           task->attempt != start.attempt || worker.view.tasks.contains(start);
+           task->attempt != start.attempt || worker.status.tasks.contains(start);
   });
   if (worker.reachability.commands_unreachable()) {
-    machines_.set_state(machine_id, MachineState::silent, "reports, but commands do not reach it");
+    machines_.set_state(machine_id, MachineState::silent, MachineStateReason::commands_unreachable);
   }
 }
 
-void ShardHolder::mark_waiting_tasks() {
+void ShardHolder::mark_unfinished_transitions_dirty() {
   const Records& records = context_.cache.records();
   for (const auto& [machine_id, placed] : records.placed) {
     for (const auto& [id, attempt] : placed) {
       const TaskRecord* task = records.task(id);
       if (task != nullptr && (task->stop || task->state == TaskState::released)) {
         work_.mark_dirty(slice_of(id));
-        work_.command_machine(machine_id);
+        work_.schedule_orders(machine_id);
       }
       const bool cancelled = context_.cancellations.cancelled_at(id.job_id).has_value();
-      if (cancelled && records.job(id.job_id) != nullptr) work_.command_machine(machine_id);
+      if (cancelled && records.job(id.job_id) != nullptr) work_.schedule_orders(machine_id);
     }
   }
 }
--- a/src/shards/shard_ownership.cpp
+++ b/src/shards/shard_ownership.cpp
@@ -17,17 +17,22 @@
   return it == shards.end() ? FencingToken{} : FencingToken(it->second.mod_revision.get());
 }
 
-ShardOwnership::Holding ShardOwnership::holding(const ZoneId& zone) const {
+FencingToken ShardOwnership::first_token_of(const ZoneId& zone) const {
+  const auto it = first_tokens_.find(zone);
+  return it == first_tokens_.end() ? FencingToken{} : it->second;
+}
+
+ShardOwnership::Ownership ShardOwnership::ownership(const ZoneId& zone) const {
   const auto& shards = context_.cache.records().shards;
   const auto it = shards.find(zone);
-  if (it == shards.end()) return Holding::none;
+  if (it == shards.end()) return Ownership::none;
   const ShardRecord& shard = it->second.record;
   if (shard.holder != context_.settings.node || shard.incarnation != election_.incarnation()) {
-    return Holding::none;
+    return Ownership::none;
   }
-  // What the holder before us committed must be in the cache before we act on reports.
-  return context_.cache.revision().get() >= it->second.mod_revision.get() ? Holding::held
-                                                                          : Holding::settling;
+  // The previous holder's commits must be in the cache before heartbeats are evaluated.
+  return context_.cache.revision().get() >= it->second.mod_revision.get() ? Ownership::held
+                                                                          : Ownership::catching_up;
 }
 
 std::set<ZoneId> ShardOwnership::held_zones() const {
@@ -38,64 +43,62 @@
   return zones;
 }
 
-void ShardOwnership::guard(Transaction& txn, const ZoneId& zone) const {
+void ShardOwnership::fence(Transaction& txn, const ZoneId& zone) const {
   txn.guard(keys::shard(zone), ModRevision(token_of(zone).get()));
 }
 
 void ShardOwnership::refresh() {
   for (const auto& [zone, stored] : context_.cache.records().shards) {
     const ShardRecord& shard = stored.record;
-    const bool earlier_life =
+    const bool of_earlier_incarnation =
         shard.holder == context_.settings.node && shard.incarnation != election_.incarnation();
-    if (earlier_life && election_.shard_lease_id() != LeaseId{}) renew(zone);
+    if (of_earlier_incarnation && election_.shard_lease_id() != LeaseId{}) renew_token(zone);
     if (NodeId& last = last_holders_[zone]; last != shard.holder) {
       last = shard.holder;
       events_.holder_changed(zone);
     }
-    switch (holding(zone)) {
-      case Holding::none:
-        release(zone);
+    switch (ownership(zone)) {
+      case Ownership::none:
+        drop_token(zone);
         break;
-      case Holding::settling:
+      case Ownership::catching_up:
         break;
-      case Holding::held:
-        adopt(zone, FencingToken(stored.mod_revision.get()));
+      case Ownership::held:
+        update_token(zone, FencingToken(stored.mod_revision.get()));
         break;
     }
   }
 }
 
-void ShardOwnership::release(const ZoneId& zone) {
+void ShardOwnership::drop_token(const ZoneId& zone) {
   if (tokens_.erase(zone) == 0) return;
   events_.lost(zone);
-  spdlog::info("holder: block {} is held elsewhere", zone.get());
+  spdlog::info("shard_holder: shard_lost zone={}", zone.get());
 }
 
-void ShardOwnership::adopt(const ZoneId& zone, FencingToken token) {
-  FencingToken& known = tokens_[zone];
-  const bool gained = known == FencingToken{};
-  known = token;
-  if (!gained) return;
+void ShardOwnership::update_token(const ZoneId& zone, FencingToken token) {
+  const bool is_new = tokens_.insert_or_assign(zone, token).second;
+  if (!is_new) return;
   first_tokens_[zone] = token;
-  spdlog::info("holder: block {} is ours, token {}", zone.get(), token.get());
-  events_.gained(zone);
+  spdlog::info("shard_holder: shard_acquired zone={} token={}", zone.get(), token.get());
+  events_.acquired(zone);
 }
 
-void ShardOwnership::renew_requested(SteadyTime now) {
-  for (const ZoneId& zone : renewals_requested_) {
+void ShardOwnership::renew_requested_tokens(SteadyTime now) {
+  for (const ZoneId& zone : requested_renewals_) {
     if (!holds(zone)) continue;
-    SteadyTime& last = last_renewals_[zone];
+    SteadyTime& last = last_renewed_at_[zone];
     if (now - last < kMinRenewalInterval) continue;
     last = now;
-    renew(zone);
+    renew_token(zone);
   }
-  std::erase_if(renewals_requested_, [&](const ZoneId& zone) {
-    const auto last = last_renewals_.find(zone);
-    return last != last_renewals_.end() && last->second == now;
+  std::erase_if(requested_renewals_, [&](const ZoneId& zone) {
+    const auto last = last_renewed_at_.find(zone);
+    return last != last_renewed_at_.end() && last->second == now;
   });
 }
 
-void ShardOwnership::renew(const ZoneId& zone) {
+void ShardOwnership::renew_token(const ZoneId& zone) {
   const auto& shards = context_.cache.records().shards;
   const auto it = shards.find(zone);
   if (it == shards.end() || renewals_in_flight_.contains(zone)) return;
--- a/src/shards/shard_ownership.hpp
+++ b/src/shards/shard_ownership.hpp
@@ -1,4 +1,8 @@
-// Which shards this controller holds, with their fencing tokens, and the renewal of the tokens.
+/// Which shards this controller holds, under which fencing tokens, and the renewal of the tokens.
+///
+/// A shard is fenced in two places. `ShardOwnership::fence` makes a commit conditional on the
+/// shard's token, so that a replaced holder's commit fails. Every order carries the token, and a
+/// worker refuses an order with a lower token than the highest that it has seen.
 #pragma once
 
 #include <functional>
@@ -10,11 +14,11 @@
 
 namespace marblevale {
 
-/// Called while `ShardOwnership::refresh` or a commit's answer runs.
+/// Called within `ShardOwnership::refresh` or when a renewal's commit is answered.
 struct ShardEvents {
-  std::function<void(const ZoneId&)> gained;
+  std::function<void(const ZoneId&)> acquired;
   std::function<void(const ZoneId&)> lost;
-  /// The record names another holder than at the last refresh, whoever it is.
+  /// The record names another holder than at the last refresh, this controller or not.
   std::function<void(const ZoneId&)> holder_changed;
   /// The commit of a token's renewal was answered, whatever the outcome.
   std::function<void()> renewal_answered;
@@ -24,47 +28,50 @@
 /// by a higher one on request.
 class ShardOwnership {
  public:
-  /// `settling`: ours, but what the holder before us committed may not be in the cache yet.
-  enum class Holding { none, settling, held };
+  enum class Ownership {
+    none,
+    catching_up,  // owned, but the cache may lack commits of the previous holder
+    held
+  };
 
   ShardOwnership(const ShardContext& context, Election& election, ShardEvents events);
 
-  /// Compares the records with what was held, and reports the differences as events.
+  /// Compares the records with the last refresh, and reports the differences as events.
   void refresh();
-  [[nodiscard]] Holding holding(const ZoneId& zone) const;
-  [[nodiscard]] bool holds(const ZoneId& zone) const { return holding(zone) == Holding::held; }
+  [[nodiscard]] Ownership ownership(const ZoneId& zone) const;
+  [[nodiscard]] bool holds(const ZoneId& zone) const { return ownership(zone) == Ownership::held; }
   /// As of the last refresh.
   [[nodiscard]] bool holds_any() const { return !tokens_.empty(); }
   [[nodiscard]] std::set<ZoneId> held_zones() const;
-  /// The shard's token by the records, whoever holds it.
+  /// The shard's fencing token by the records, whoever holds it.
   [[nodiscard]] FencingToken token_of(const ZoneId& zone) const;
-  /// The token with which the present holding of the shard began.
-  [[nodiscard]] FencingToken first_token_of(const ZoneId& zone) { return first_tokens_[zone]; }
-  /// Makes the transaction fail unless the shard still has the token that we know.
-  void guard(Transaction& txn, const ZoneId& zone) const;
+  /// The fencing token under which this controller acquired the shard; renewals do not change it.
+  [[nodiscard]] FencingToken first_token_of(const ZoneId& zone) const;
+  /// Fences the transaction: it fails unless the shard still has the token that is known here.
+  void fence(Transaction& txn, const ZoneId& zone) const;
 
-  /// This life of the controller.
+  /// The incarnation of this process.
   [[nodiscard]] ProcessIncarnation incarnation() const { return election_.incarnation(); }
 
-  /// Asks for a higher token, which voids all orders that may still be on their way.
-  void request_renewal(const ZoneId& zone) { renewals_requested_.insert(zone); }
-  /// Commits the renewals that were asked for, as far as the pace allows.
-  void renew_requested(SteadyTime now);
+  /// Requests a higher fencing token, which voids all orders that are still in flight.
+  void request_token_renewal(const ZoneId& zone) { requested_renewals_.insert(zone); }
+  /// Commits the requested renewals whose minimum interval has passed.
+  void renew_requested_tokens(SteadyTime now);
 
  private:
-  void renew(const ZoneId& zone);
-  void adopt(const ZoneId& zone, FencingToken token);
-  void release(const ZoneId& zone);
+  void renew_token(const ZoneId& zone);
+  void update_token(const ZoneId& zone, FencingToken token);
+  void drop_token(const ZoneId& zone);
 
   const ShardContext& context_;
   Election& election_;
   ShardEvents events_;
   std::map<ZoneId, FencingToken> first_tokens_;
-  std::map<ZoneId, FencingToken> tokens_;  // of the shards held, as of the last refresh
+  std::map<ZoneId, FencingToken> tokens_;  // of the held shards, as of the last refresh
   std::map<ZoneId, NodeId> last_holders_;
-  std::set<ZoneId> renewals_requested_;
+  std::set<ZoneId> requested_renewals_;
   std::set<ZoneId> renewals_in_flight_;
-  std::map<ZoneId, SteadyTime> last_renewals_;
+  std::map<ZoneId, SteadyTime> last_renewed_at_;
 };
 
 }  // namespace marblevale
--- a/src/shards/slice_commits.cpp
+++ b/src/shards/slice_commits.cpp
@@ -5,21 +5,23 @@
 namespace marblevale {
 
 namespace {
-constexpr Duration kRetryDelay{150};  // after a commit that did not pass
+constexpr Duration kReconcileDelayAfterFailure{150};
 }  // namespace
 
-void SliceCommits::commit(const SliceKey& key, Transaction txn, std::function<void()> on_refused) {
+void SliceCommits::commit(const SliceKey& key, Transaction txn,
+                          std::function<void()> on_rate_limited) {
   in_flight_.insert(key);
-  auto on_answer = [this, key, on_refused = std::move(on_refused)](const CommitResult& result) {
+  auto on_answer = [this, key,
+                    on_rate_limited = std::move(on_rate_limited)](const CommitResult& result) {
     in_flight_.erase(key);
-    if (on_refused && result.outcome == Outcome::refused) on_refused();
-    // Whatever became of it is decided anew from the records; an unknown commit can't pass twice,
-    // since each is guarded by the slice's own revision.
+    if (on_rate_limited && result.outcome == Outcome::refused) on_rate_limited();
+    // Whatever the outcome, the slice is reconciled from the records. A commit with an unknown
+    // outcome cannot succeed twice, since each is conditional on the slice's revision.
     work_.mark_dirty(key);
     if (result.outcome == Outcome::done) {
       work_.schedule_round();
     } else {
-      work_.schedule_round(kRetryDelay);
+      work_.schedule_round(kReconcileDelayAfterFailure);
     }
   };
   cache_.commit(binding_priority(cache_.records(), key.job_id), std::move(txn),
--- a/src/shards/slice_commits.hpp
+++ b/src/shards/slice_commits.hpp
@@ -1,4 +1,4 @@
-// Commits of slices: one on its way for each slice, and a new decision after its answer.
+/// Commits of slices: at most one in flight for each slice, and a reconciliation after its result.
 #pragma once
 
 #include <functional>
@@ -9,17 +9,18 @@
 
 namespace marblevale {
 
+/// Owns which slices have a commit in flight.
 class SliceCommits {
  public:
   static constexpr std::size_t kMaxInFlight = 16;
 
   SliceCommits(WatchCache& cache, PendingWork& work) : cache_(cache), work_(work) {}
 
-  /// `on_refused`: called when the state service did not execute the commit, being over its rate.
-  void commit(const SliceKey& key, Transaction txn, std::function<void()> on_refused = {});
-  /// False: so many wait for the state service, or for the budget, that further decisions are
-  /// better taken later, when more of each slice has come together.
-  [[nodiscard]] bool has_room() const { return in_flight_.size() < kMaxInFlight; }
+  /// `on_rate_limited`: called when the commit was not executed because of the write rate.
+  void commit(const SliceKey& key, Transaction txn, std::function<void()> on_rate_limited = {});
+  /// False while so many commits wait for the state service, or for the write budget, that further
+  /// reconciliations are better deferred: they then share a commit with later changes.
+  [[nodiscard]] bool has_capacity() const { return in_flight_.size() < kMaxInFlight; }
   [[nodiscard]] bool in_flight(const SliceKey& key) const { return in_flight_.contains(key); }
 
  private:
--- a/src/shards/task_binder.cpp
+++ b/src/shards/task_binder.cpp
@@ -8,10 +8,11 @@
 
 namespace {
 
-// The machine that the leader meant may be about to heartbeat; its room may be about to show.
-constexpr Duration kMaxRoomWait{3'000};
+/// A heartbeat of the chosen machine, or the end of a task there, may be about to arrive.
+constexpr Duration kMaxCapacityWait{3'000};
 
-bool rules_allow(const JobSpec& job, const MachineRecord& machine, const MachineType& type) {
+bool satisfies_placement_rules(const JobSpec& job, const MachineRecord& machine,
+                               const MachineType& type) {
   PlanMachine candidate;
   candidate.machine_type = machine.machine_type;
   candidate.zone = machine.zone;
@@ -22,18 +23,19 @@
 
 }  // namespace
 
-bool TaskBinder::accepts_work(const MachineId& machine_id, const MachineRecord& machine) const {
+bool TaskBinder::accepts_new_tasks(const MachineId& machine_id,
+                                   const MachineRecord& machine) const {
   const KnownWorker* worker = workers_.find(machine_id);
   if (worker == nullptr) return false;
   if (machine.state != MachineState::up || worker->reclaim_at) return false;
-  // Nothing is bound to a machine that has not shown, under a fencing token of ours, that commands
-  // reach it, nor to one that does not heartbeat: its lease lapses.
-  return worker->view.epoch != WorkerEpoch{} && !workers_.is_silent(machine_id) &&
+  // Nothing is bound to a machine without evidence, under a fencing token of this holder, that
+  // commands reach it, nor to a silent one, whose lease expires.
+  return worker->status.epoch != WorkerEpoch{} && !workers_.is_silent(machine_id) &&
          worker->reachability.reachable();
 }
 
-Resources TaskBinder::free_room(const MachineId& machine_id, Resources whole,
-                                const PromisedRoom& promised) const {
+Resources TaskBinder::free_capacity(const MachineId& machine_id, Resources whole,
+                                    const UncommittedAllocations& uncommitted) const {
   const Records& records = context_.cache.records();
   Resources free = whole;
   if (const auto placed = records.placed.find(machine_id); placed != records.placed.end()) {
@@ -44,54 +46,55 @@
       free -= job->spec.need;
     }
   }
-  const auto given = promised.by_machine.find(machine_id);
-  if (given != promised.by_machine.end()) free -= given->second;
+  const auto allocated = uncommitted.by_machine.find(machine_id);
+  if (allocated != uncommitted.by_machine.end()) free -= allocated->second;
   return free;
 }
 
-bool TaskBinder::can_take(const MachineId& machine_id, const JobSpec& job,
-                          const PromisedRoom& promised) const {
+bool TaskBinder::can_host(const MachineId& machine_id, const JobSpec& job,
+                          const UncommittedAllocations& uncommitted) const {
   const Records& records = context_.cache.records();
   const auto machine = records.machines.find(machine_id);
   if (machine == records.machines.end()) return false;
-  if (!accepts_work(machine_id, machine->second.record)) return false;
+  if (!accepts_new_tasks(machine_id, machine->second.record)) return false;
   const MachineType* type = records.type(machine->second.record.machine_type);
-  if (type == nullptr || !rules_allow(job, machine->second.record, *type)) return false;
-  return fits(job.need, free_room(machine_id, type->resources, promised));
+  if (type == nullptr || !satisfies_placement_rules(job, machine->second.record, *type))
+    return false;
+  return fits(job.need, free_capacity(machine_id, type->resources, uncommitted));
 }
 
-std::optional<MachineId> TaskBinder::choose_machine(const TaskRecord& task, const JobSpec& job,
-                                                    const PromisedRoom& promised) const {
-  if (can_take(task.machine_id, job, promised)) return task.machine_id;
-  // Room that the leader promised to others must stay: only a machine with nothing released on it
-  // may stand in for one that has become unfit.
+std::optional<MachineId> TaskBinder::choose_machine(
+    const TaskRecord& task, const JobSpec& job, const UncommittedAllocations& uncommitted) const {
+  if (can_host(task.machine_id, job, uncommitted)) return task.machine_id;
+  // Capacity that the leader has reserved for other tasks must stay free: only a machine without
+  // placed tasks may be the substitute for one that has become unsuitable.
   const Records& records = context_.cache.records();
   for (const auto& [machine_id, machine] : records.machines) {
     if (machine.record.zone != task.zone || records.placed.contains(machine_id)) continue;
-    if (can_take(machine_id, job, promised)) return machine_id;
+    if (can_host(machine_id, job, uncommitted)) return machine_id;
   }
   return std::nullopt;
 }
 
 void TaskBinder::bind(SliceRecord& slice, std::size_t index, const JobSpec& job,
-                      PromisedRoom& promised) const {
+                      UncommittedAllocations& uncommitted) const {
   TaskRecord& task = slice.tasks[index];
-  const auto machine_id = choose_machine(task, job, promised);
+  const auto machine_id = choose_machine(task, job, uncommitted);
   const WallTime now = context_.clock.wall();
   if (!machine_id) {
-    if (now - task.since < kMaxRoomWait) return;
-    spdlog::info("holder: no room for {}/{} on {}: given back", slice.job_id.get(),
-                 slice.first_task_index() + index, task.machine_id.get());
+    if (now - task.since < kMaxCapacityWait) return;
+    spdlog::info("shard_holder: binding_abandoned task={}/{} machine={} reason=no_capacity",
+                 slice.job_id.get(), slice.first_task_index() + index, task.machine_id.get());
     task.state = TaskState::idle;
     task.zone = ZoneId{};
     task.machine_id = MachineId{};
     task.since = now;
     return;
   }
-  promised.by_machine[*machine_id] += job.need;
+  uncommitted.by_machine[*machine_id] += job.need;
   task.state = TaskState::bound;
   task.machine_id = *machine_id;
-  task.epoch = workers_.find(*machine_id)->view.epoch;
+  task.epoch = workers_.find(*machine_id)->status.epoch;
   task.since = now;
 }
 
--- a/src/shards/task_binder.hpp
+++ b/src/shards/task_binder.hpp
@@ -1,4 +1,4 @@
-// Chooses the machine for a released task and binds the task to the worker's epoch there.
+/// Chooses the machine for a released task and binds the task to the worker's epoch there.
 #pragma once
 
 #include <cstddef>
@@ -10,30 +10,32 @@
 
 namespace marblevale {
 
-/// Room given to tasks that one decision binds, before it is committed.
-struct PromisedRoom {
+/// Capacity allocated to tasks by a reconciliation that is not committed yet.
+struct UncommittedAllocations {
   std::unordered_map<MachineId, Resources> by_machine;
 };
 
+/// Checks machines against the job's placement rules, their capacity and their reachability.
 class TaskBinder {
  public:
   TaskBinder(const ShardContext& context, const WorkerRegistry& workers)
       : context_(context), workers_(workers) {}
 
-  /// Binds the slice's task at `index` in the caller's copy. A task that finds no room stays
-  /// released, and becomes idle after a while.
+  /// Binds the slice's task at `index` in the caller's copy. A task without a machine stays
+  /// released, and becomes idle after a time limit, so that the leader plans it again.
   void bind(SliceRecord& slice, std::size_t index, const JobSpec& job,
-            PromisedRoom& promised) const;
+            UncommittedAllocations& uncommitted) const;
 
  private:
-  /// The machine that the leader meant, or one that stands in for it.
-  [[nodiscard]] std::optional<MachineId> choose_machine(const TaskRecord& task, const JobSpec& job,
-                                                        const PromisedRoom& promised) const;
-  [[nodiscard]] bool can_take(const MachineId& machine_id, const JobSpec& job,
-                              const PromisedRoom& promised) const;
-  [[nodiscard]] bool accepts_work(const MachineId& machine_id, const MachineRecord& machine) const;
-  [[nodiscard]] Resources free_room(const MachineId& machine_id, Resources whole,
-                                    const PromisedRoom& promised) const;
+  /// The machine that the leader chose, or a substitute.
+  [[nodiscard]] std::optional<MachineId> choose_machine(
+      const TaskRecord& task, const JobSpec& job, const UncommittedAllocations& uncommitted) const;
+  [[nodiscard]] bool can_host(const MachineId& machine_id, const JobSpec& job,
+                              const UncommittedAllocations& uncommitted) const;
+  [[nodiscard]] bool accepts_new_tasks(const MachineId& machine_id,
+                                       const MachineRecord& machine) const;
+  [[nodiscard]] Resources free_capacity(const MachineId& machine_id, Resources whole,
+                                        const UncommittedAllocations& uncommitted) const;
 
   const ShardContext& context_;
   const WorkerRegistry& workers_;
--- a/src/shards/task_presence.cpp
+++ b/src/shards/task_presence.cpp
@@ -2,15 +2,15 @@
 
 namespace marblevale {
 
-bool WorkerView::apply(const WorkerHeartbeat& heartbeat, Source source) {
+bool WorkerStatus::apply(const WorkerHeartbeat& heartbeat, Source source) {
   const bool newer =
       heartbeat.epoch > epoch || (heartbeat.epoch == epoch && heartbeat.sequence > sequence);
   if (!newer) return false;
-  // What was said in answer to an earlier epoch's reports is dropped.
-  if (heartbeat.epoch > epoch) answered_starts.clear();
+  // The worker drops replies to heartbeats of an earlier epoch.
+  if (heartbeat.epoch > epoch) reply_starts.clear();
   epoch = heartbeat.epoch;
   sequence = heartbeat.sequence;
-  if (source == Source::worker) last_own_heartbeat = heartbeat.sequence;
+  if (source == Source::own_heartbeat) last_own_heartbeat = heartbeat.sequence;
   token = std::max(token, heartbeat.token);
   address = heartbeat.address;
   tasks.clear();
@@ -18,76 +18,83 @@
   return true;
 }
 
-void WorkerView::prune() {
+void WorkerStatus::prune() {
   std::erase_if(direct_starts, [this](const auto& entry) { return entry.second < token; });
-  std::erase_if(answered_starts,
+  std::erase_if(reply_starts,
                 [this](const auto& entry) { return entry.second < last_own_heartbeat; });
 }
 
-bool WorkerView::start_settled(const TaskAttempt& start, FencingToken current) const {
-  // Until the worker has seen our fencing token, an earlier holder's orders may still be executed.
-  if (token < current) return false;
+bool WorkerStatus::start_ruled_out(const TaskAttempt& start, FencingToken held_token) const {
+  // Until the worker has seen this holder's token it still executes earlier holders' orders.
+  if (token < held_token) return false;
   const auto direct = direct_starts.find(start);
   if (direct != direct_starts.end() && direct->second >= token) return false;
-  const auto answered = answered_starts.find(start);
-  return answered == answered_starts.end() || answered->second < last_own_heartbeat;
+  const auto reply = reply_starts.find(start);
+  return reply == reply_starts.end() || reply->second < last_own_heartbeat;
 }
 
-const ReportedTask* find_reported(const WorkerView& worker, const TaskAttempt& attempt) {
+const ReportedTask* find_reported(const WorkerStatus& worker, const TaskAttempt& attempt) {
   const auto it = worker.tasks.find(attempt);
   return it == worker.tasks.end() ? nullptr : &it->second;
 }
 
-TaskPresence classify_presence(const TaskId& id, const TaskRecord& task, const WorkerView& worker,
-                               FencingToken current) {
-  // A new epoch: the worker has killed and forgotten all that it had, and drops what was sent to
-  // the epoch before.
+TaskPresence classify_presence(const TaskId& id, const TaskRecord& task, const WorkerStatus& worker,
+                               FencingToken held_token) {
+  // In a new epoch the worker has ended all its tasks, and drops orders to the previous one.
   if (worker.epoch > task.epoch) return TaskPresence::lost;
-  if (worker.epoch < task.epoch) return TaskPresence::absent;
-  if (const ReportedTask* there = find_reported(worker, {id, task.attempt})) {
-    return there->status == TaskStatus::ended ? TaskPresence::ended : TaskPresence::present;
+  if (worker.epoch < task.epoch) return TaskPresence::not_reported;
+  const TaskAttempt attempt{id, task.attempt};
+  if (const ReportedTask* reported = find_reported(worker, attempt)) {
+    return reported->status == TaskStatus::ended ? TaskPresence::ended : TaskPresence::present;
   }
-  return worker.start_settled({id, task.attempt}, current) ? TaskPresence::never_here
-                                                           : TaskPresence::absent;
+  return worker.start_ruled_out(attempt, held_token) ? TaskPresence::never_started
+                                                     : TaskPresence::not_reported;
 }
 
 namespace {
 
-/// Work that is saved when a task ends without being done.
-Duration progress_after(const TaskRecord& task, const JobSpec& job, Duration ran, bool saved) {
-  if (saved) return std::min(job.estimated_run, task.progress + ran);
-  if (job.checkpoint_interval <= Duration{0} || ran <= Duration{0}) return task.progress;
-  const auto whole = (task.progress + ran).count() / job.checkpoint_interval.count();
-  const Duration saved_by_itself{whole * job.checkpoint_interval.count()};
-  return std::min(job.estimated_run, std::max(task.progress, saved_by_itself));
+bool is_failure(TaskEndCause cause) {
+  return cause == TaskEndCause::failed || cause == TaskEndCause::unknown;
 }
 
-/// A replica has no work to finish: however it ends, it has to run again. One that ends soon, in
-/// whatever way, is tried again with a growing pause; one that has run for long is as good as new.
-void end_replica(TaskRecord& task, const std::string& cause, Duration ran) {
-  const bool failed = cause == "error" || cause == "unknown";
-  if (ran >= kProvenReplicaRun) task.faults = 0;
-  if (!failed && (cause != "done" || ran >= kProvenReplicaRun)) return;
+void count_fault(TaskRecord& task) {
   ++task.faults;
   task.failed_on = task.machine_id;
 }
 
+/// The progress that is kept when a task ends without having completed.
+Duration progress_after_end(const TaskRecord& task, const JobSpec& job, Duration run_time,
+                            bool checkpointed) {
+  if (checkpointed) return std::min(job.estimated_run, task.progress + run_time);
+  if (job.checkpoint_interval <= Duration{0} || run_time <= Duration{0}) return task.progress;
+  const auto checkpoints = (task.progress + run_time).count() / job.checkpoint_interval.count();
+  const Duration last_checkpoint{checkpoints * job.checkpoint_interval.count()};
+  return std::min(job.estimated_run, std::max(task.progress, last_checkpoint));
+}
+
+/// A replica has no work to complete and has to run again after every end. An early end, even a
+/// regular one, counts as a fault and is retried with backoff.
+void end_replica(TaskRecord& task, TaskEndCause cause, Duration run_time) {
+  const bool was_stable = run_time >= kStableReplicaRunTime;
+  if (was_stable) task.faults = 0;
+  const bool completed_early = cause == TaskEndCause::completed && !was_stable;
+  if (is_failure(cause) || completed_early) count_fault(task);
+}
+
 }  // namespace
 
-void apply_end(TaskRecord& task, const JobSpec& job, const std::string& cause, bool saved,
-               WallTime now) {
-  const Duration ran = task.running == WallTime{} ? Duration{0} : now - task.running;
+void apply_task_end(TaskRecord& task, const JobSpec& job, TaskEndCause cause, bool checkpointed,
+                    WallTime now) {
+  const Duration run_time = task.running == WallTime{} ? Duration{0} : now - task.running;
   task.state = TaskState::idle;
   if (job.endless()) {
-    end_replica(task, cause, ran);
-  } else if (cause == "done") {
+    end_replica(task, cause, run_time);
+  } else if (cause == TaskEndCause::completed) {
     task.state = TaskState::done;
   } else {
-    task.progress = progress_after(task, job, ran, cause == "halted" && saved);
-    if (cause == "error" || cause == "unknown") {
-      ++task.faults;
-      task.failed_on = task.machine_id;
-    }
+    const bool keeps_all = cause == TaskEndCause::preempted && checkpointed;
+    task.progress = progress_after_end(task, job, run_time, keeps_all);
+    if (is_failure(cause)) count_fault(task);
   }
   task.zone = ZoneId{};
   task.machine_id = MachineId{};
--- a/src/shards/task_presence.hpp
+++ b/src/shards/task_presence.hpp
@@ -1,5 +1,7 @@
-// What a worker's heartbeat proves about a task that is bound to its machine. Pure: the rules about
-// late commands and silence live here.
+/// What a worker's heartbeat proves about a task that is bound to its machine. Pure: the rules
+/// about late commands and missing heartbeats are here.
+///
+/// A task's capacity may be allocated again only with evidence of termination. Silence is none.
 #pragma once
 
 #include <map>
@@ -17,56 +19,58 @@
   auto operator<=>(const TaskAttempt&) const = default;
 };
 
-/// What this controller knows of one worker, from reports received while it holds the shard.
-struct WorkerView {
+/// What this controller knows of one worker from the heartbeats received while it holds the shard,
+/// and which starts it sent to the worker.
+struct WorkerStatus {
   std::string address;
   WorkerEpoch epoch;
   HeartbeatSequence sequence;
-  FencingToken token;  // highest that the worker said it has seen
+  FencingToken token;  // the highest that the worker has reported
   std::map<TaskAttempt, ReportedTask> tasks;
-  /// Starts that were sent to `/orders` and the fencing token they bore. Such a start may arrive
-  /// minutes late, or twice, until the worker has seen a higher fencing token or begun another
-  /// epoch.
+  /// Starts sent to `/orders`, with their fencing tokens. Such a start may arrive minutes late, or
+  /// twice, until the worker has seen a higher fencing token or begun another epoch.
   std::map<TaskAttempt, FencingToken> direct_starts;
-  /// Of the last heartbeat that it sent by itself, not in answer to an order.
+  /// The last heartbeat that was not the reply to an order.
   HeartbeatSequence last_own_heartbeat;
-  /// Starts given in the answer to a heartbeat, and that heartbeat's sequence number. The worker
-  /// executes or drops the answer before its next heartbeat. An answer to an order may overtake it:
-  /// it settles nothing.
-  std::map<TaskAttempt, HeartbeatSequence> answered_starts;
+  /// Starts sent in the reply to a heartbeat, with that heartbeat's sequence number. The worker
+  /// executes or drops the reply before its next own heartbeat. Its reply to an order may overtake
+  /// that and does not rule the start out.
+  std::map<TaskAttempt, HeartbeatSequence> reply_starts;
 
-  enum class Source { worker, order };  // sent by itself, or in answer to an order
+  enum class Source { own_heartbeat, order_reply };
 
-  /// Replaces what is known by a newer heartbeat; false when the heartbeat is not newer.
-  bool apply(const WorkerHeartbeat& heartbeat, Source source = Source::worker);
-  /// True when no start of this attempt that was sent can still be executed there. `current` is the
-  /// fencing token that we hold: below it, earlier holders' orders may still be on their way.
-  [[nodiscard]] bool start_settled(const TaskAttempt& start, FencingToken current) const;
-  /// Forgets starts that can't be executed any more.
+  /// Replaces the status by a newer heartbeat; false when the heartbeat is not newer.
+  bool apply(const WorkerHeartbeat& heartbeat, Source source = Source::own_heartbeat);
+  /// True when no start of this attempt that was sent can still be executed. `held_token` is the
+  /// fencing token of this holder: below it, earlier holders' orders may still arrive.
+  [[nodiscard]] bool start_ruled_out(const TaskAttempt& start, FencingToken held_token) const;
+  /// Forgets starts that can no longer be executed.
   void prune();
 };
 
+/// The state of a bound task on its machine, as far as there is evidence. `ended`, `lost` and
+/// `never_started` are evidence of termination.
 enum class TaskPresence {
-  present,     // on the machine, in some state
-  ended,       // exited there; see the reported task
-  lost,        // proof: gone, without an exit to read
-  never_here,  // proof: not there, and no start can arrive any more
-  absent       // not there, but a start may still arrive, or is yet to be sent
+  present,        // on the machine, and not ended
+  ended,          // has exited there; the reported task has the cause
+  lost,           // the worker began a new epoch and has ended the task, without a cause to report
+  never_started,  // not on the machine, and no start can arrive any more
+  not_reported    // not on the machine, but a start may still arrive or is yet to be sent
 };
 
-/// `task` is bound to this worker's machine.
-TaskPresence classify_presence(const TaskId& id, const TaskRecord& task, const WorkerView& worker,
-                               FencingToken current);
+/// `task` is bound to this worker's machine; `held_token` is the fencing token of this holder.
+TaskPresence classify_presence(const TaskId& id, const TaskRecord& task, const WorkerStatus& worker,
+                               FencingToken held_token);
 
-/// What the worker last reported of this attempt; null when it did not name it.
-const ReportedTask* find_reported(const WorkerView& worker, const TaskAttempt& attempt);
+/// What the worker last reported of this attempt; null when the heartbeat did not contain it.
+const ReportedTask* find_reported(const WorkerStatus& worker, const TaskAttempt& attempt);
 
-/// A replica of a standing job that ran this long shows that its failures before are over.
-inline constexpr Duration kProvenReplicaRun{60'000};
+/// A replica of a service job that ran this long is stable: its earlier failures no longer count.
+inline constexpr Duration kStableReplicaRunTime{60'000};
 
-/// What an end does to a task's record. `saved`: a checkpoint was written before it. A replica of a
-/// standing job is never done: it waits to run again.
-void apply_end(TaskRecord& task, const JobSpec& job, const std::string& cause, bool saved,
-               WallTime now);
+/// Updates a task's record at the end of an attempt. `checkpointed`: a checkpoint was written at
+/// the end. A replica of a service job never completes: it waits to run again.
+void apply_task_end(TaskRecord& task, const JobSpec& job, TaskEndCause cause, bool checkpointed,
+                    WallTime now);
 
 }  // namespace marblevale
--- a/src/shards/worker_registry.cpp
+++ b/src/shards/worker_registry.cpp
@@ -7,8 +7,9 @@
 namespace marblevale {
 
 namespace {
-constexpr Duration kMinProcessPause{3'000};    // beyond the interval between two sweeps
-constexpr Duration kStrangerLifetime{30'000};  // without a heartbeat and without a record
+constexpr Duration kMinProcessPause{3'000};  // beyond the interval between two sweeps
+constexpr Duration kUnregisteredWorkerRetention{
+    30'000};  // without a heartbeat and without a record
 }  // namespace
 
 KnownWorker* WorkerRegistry::find(const MachineId& machine_id) {
@@ -21,17 +22,17 @@
   return it == workers_.end() ? nullptr : &it->second;
 }
 
-KnownWorker& WorkerRegistry::add_reporting(const MachineId& machine_id, SteadyTime now) {
+KnownWorker& WorkerRegistry::find_or_add(const MachineId& machine_id, SteadyTime now) {
   const auto [it, added] = workers_.try_emplace(machine_id, machine_id);
   if (added) it->second.last_heartbeat_at = now;
   return it->second;
 }
 
-void WorkerRegistry::expect(const MachineRecord& machine, SteadyTime now) {
+void WorkerRegistry::expect_heartbeats(const MachineRecord& machine, SteadyTime now) {
   KnownWorker& worker = workers_.try_emplace(machine.machine_id, machine.machine_id).first->second;
   worker.zone = machine.zone;
-  restart_silence(machine.machine_id, worker, now);
-  worker.view.address = machine.address;
+  restart_silence_timer(machine.machine_id, worker, now);
+  worker.status.address = machine.address;
 }
 
 void WorkerRegistry::forget_zone(const ZoneId& zone) {
@@ -43,7 +44,7 @@
   std::erase_if(workers_, [&](const auto& entry) {
     const auto machine = machines.find(entry.first);
     const bool gone = machine == machines.end()
-                          ? now - entry.second.last_heartbeat_at > kStrangerLifetime
+                          ? now - entry.second.last_heartbeat_at > kUnregisteredWorkerRetention
                           : machine->second.record.state == MachineState::gone;
     return gone && !entry.second.command_in_flight;
   });
@@ -57,17 +58,17 @@
   const KnownWorker* worker = find(machine_id);
   if (worker == nullptr) return false;
   return worker->reachability.commands_unreachable() ||
-         !heartbeats(*worker, context_.clock.steady());
+         !is_heartbeating(*worker, context_.clock.steady());
 }
 
-std::map<ZoneId, HeartbeatCounts> WorkerRegistry::count_reporting(SteadyTime now) const {
+std::map<ZoneId, HeartbeatCounts> WorkerRegistry::count_heartbeating(SteadyTime now) const {
   std::map<ZoneId, HeartbeatCounts> counts;
   for (const auto& [machine_id, machine] : context_.cache.records().machines) {
     const KnownWorker* worker = find(machine_id);
     if (worker == nullptr || !shards_.holds(machine.record.zone)) continue;
     HeartbeatCounts& count = counts[machine.record.zone];
     ++count.machines;
-    if (heartbeats(*worker, now)) ++count.reporting;
+    if (is_heartbeating(*worker, now)) ++count.heartbeating;
   }
   return counts;
 }
@@ -77,37 +78,37 @@
   const SteadyTime now = context_.clock.steady();
   for (const auto& [machine_id, worker] : workers_) {
     if (zones.empty()) break;
-    if (worker.reachability.reachable() && heartbeats(worker, now)) zones.erase(worker.zone);
+    if (worker.reachability.reachable() && is_heartbeating(worker, now)) zones.erase(worker.zone);
   }
   return zones;
 }
 
-void WorkerRegistry::restart_silence(const MachineId& machine_id, KnownWorker& worker,
-                                     SteadyTime now) const {
-  // One that an earlier holder found silent has to heartbeat first.
+void WorkerRegistry::restart_silence_timer(const MachineId& machine_id, KnownWorker& worker,
+                                           SteadyTime now) const {
+  // A machine that an earlier holder found silent has to send a heartbeat first.
   const auto& machines = context_.cache.records().machines;
   const auto machine = machines.find(machine_id);
   if (machine != machines.end() && machine->second.record.state == MachineState::silent) return;
   worker.last_heartbeat_at = now;
 }
 
-void WorkerRegistry::restart_silence_of_reached_zones(SteadyTime now) {
-  // A zone that comes into reach is met machine by machine: the first must not make the rest
-  // silent.
+void WorkerRegistry::restart_silence_timers_of_reconnected_zones(SteadyTime now) {
+  // After a partition the machines of a zone reconnect one by one: the first must not make the
+  // others count as silent.
   std::set<ZoneId> still_unreachable = unreachable_zones();
   for (auto& [machine_id, worker] : workers_) {
     if (unreachable_zones_.contains(worker.zone) && !still_unreachable.contains(worker.zone)) {
-      restart_silence(machine_id, worker, now);
+      restart_silence_timer(machine_id, worker, now);
     }
   }
   unreachable_zones_ = std::move(still_unreachable);
 }
 
-Duration WorkerRegistry::uncounted_time(SteadyTime now, Duration pause) const {
-  // Without word of the state service the shard may have another holder, to which they heartbeat.
+Duration WorkerRegistry::excluded_time(SteadyTime now, Duration pause) const {
+  // With stale records the shard may have another holder, to which the workers send heartbeats.
   if (now - context_.cache.fresh_until() >= silence_limit()) return silence_limit();
   if (pause < kMinProcessPause) return Duration{0};
-  spdlog::info("holder: stood still for {} ms", pause.count());
+  spdlog::info("shard_holder: process_paused duration_ms={}", pause.count());
   return pause;
 }
 
@@ -116,15 +117,14 @@
   const bool first = last_sweep_ < SteadyTime{};
   last_sweep_ = now;
   if (first) return;
-  restart_silence_of_reached_zones(now);
-  // A process that stood still while the clocks ran on has received nothing meanwhile, through no
-  // fault of the machines: that time counts neither as their silence, nor for starts that don't
-  // show.
-  const Duration uncounted = uncounted_time(now, pause);
-  if (uncounted <= Duration{0}) return;
+  restart_silence_timers_of_reconnected_zones(now);
+  // A paused process receives nothing, through no fault of the machines: the pause counts neither
+  // as their silence nor as time in which a start should have shown.
+  const Duration excluded = excluded_time(now, pause);
+  if (excluded <= Duration{0}) return;
   for (auto& [machine_id, worker] : workers_) {
-    worker.last_heartbeat_at = std::min(now, worker.last_heartbeat_at + uncounted);
-    worker.reachability.discount_pause(now, uncounted);
+    worker.last_heartbeat_at = std::min(now, worker.last_heartbeat_at + excluded);
+    worker.reachability.discount_pause(now, excluded);
   }
 }
 
--- a/src/shards/worker_registry.hpp
+++ b/src/shards/worker_registry.hpp
@@ -1,5 +1,5 @@
-// The workers that heartbeat to this controller, or are expected to: what each last said, when, and
-// whether commands reach it.
+/// The workers that send heartbeats to this controller, or are expected to: the last status of
+/// each, when it was received, and whether commands reach the worker.
 #pragma once
 
 #include <map>
@@ -16,29 +16,32 @@
 
 namespace marblevale {
 
+/// What the holder knows of one worker.
 struct KnownWorker {
   explicit KnownWorker(const MachineId& machine_id) : reachability(machine_id) {}
 
-  WorkerView view;
+  WorkerStatus status;
   ZoneId zone;
-  /// Its last heartbeat, or since when it could have reported here. An answer to an order is none:
-  /// a machine that reaches no controller receives orders all the same, while its lease lapses.
+  /// Its last own heartbeat, or since when one was possible. The reply to an order does not count:
+  /// a machine that reaches no controller may still receive orders, while its lease expires.
   SteadyTime last_heartbeat_at = kLongAgo;
   bool command_in_flight = false;
-  bool lease_refused = false;                    // gets no answers, so that its lease lapses
-  std::map<TaskAttempt, SteadyTime> kills_sent;  // when last
+  bool lease_renewal_refused = false;  // heartbeats are not answered, so that the lease expires
+  std::map<TaskAttempt, SteadyTime> last_kill_sent;
   std::optional<WallTime> reclaim_at;
   std::vector<CachedImage> images;  // seen in use, as in the machine's record
   bool images_changed = false;
   WorkerReachability reachability;
 };
 
-/// How many of a zone's machines heartbeat.
+/// How many of a zone's machines send heartbeats.
 struct HeartbeatCounts {
   int machines = 0;
-  int reporting = 0;
+  int heartbeating = 0;
 };
 
+/// Owns the known workers, and decides which of them are silent: a process pause of this controller
+/// and an outage of the state service are not held against the workers.
 class WorkerRegistry {
  public:
   using Workers = std::unordered_map<MachineId, KnownWorker>;
@@ -50,33 +53,34 @@
   [[nodiscard]] const KnownWorker* find(const MachineId& machine_id) const;
   [[nodiscard]] Workers& all() { return workers_; }
   [[nodiscard]] const Workers& all() const { return workers_; }
-  /// The worker that sent a heartbeat; a new one counts as having reported just now.
-  KnownWorker& add_reporting(const MachineId& machine_id, SteadyTime now);
-  /// A machine of a shard that was gained: it is expected to heartbeat from now on.
-  void expect(const MachineRecord& machine, SteadyTime now);
+  /// The worker that sent a heartbeat; a new one counts as having sent it at `now`.
+  KnownWorker& find_or_add(const MachineId& machine_id, SteadyTime now);
+  /// Adds a machine of a shard that was acquired: its heartbeats are expected from now on.
+  void expect_heartbeats(const MachineRecord& machine, SteadyTime now);
   void forget_zone(const ZoneId& zone);
-  /// Forgets machines that are gone by the records, and strangers that went silent.
+  /// Forgets machines that are gone by the records, and silent workers without a record.
   void forget_gone(SteadyTime now);
 
-  /// True for a known worker that has not reported for too long, or that commands don't reach.
+  /// True for a known worker whose heartbeats are missing, or that commands do not reach.
   [[nodiscard]] bool is_silent(const MachineId& machine_id) const;
-  [[nodiscard]] bool heartbeats(const KnownWorker& worker, SteadyTime now) const {
+  [[nodiscard]] bool is_heartbeating(const KnownWorker& worker, SteadyTime now) const {
     return now - worker.last_heartbeat_at < silence_limit();
   }
-  /// Of the machines in the records that are known, in held shards.
-  [[nodiscard]] std::map<ZoneId, HeartbeatCounts> count_reporting(SteadyTime now) const;
-  /// Zones that are held while none of their machines is reachable and reports.
+  /// By zone, of the known machines with a record, in held shards.
+  [[nodiscard]] std::map<ZoneId, HeartbeatCounts> count_heartbeating(SteadyTime now) const;
+  /// Held zones without a machine that is reachable and sends heartbeats.
   [[nodiscard]] std::set<ZoneId> unreachable_zones() const;
-  /// To be called at each sweep, `interval` apart: time in which this process could hear nobody
-  /// does not count as the workers' silence.
+  /// To be called at each sweep, `interval` apart: time in which this process could not receive
+  /// heartbeats does not count as the workers' silence.
   void discount_pause(SteadyTime now, Duration interval);
 
  private:
   [[nodiscard]] Duration silence_limit() const;
-  /// Its silence counts from now on, unless an earlier holder found it silent.
-  void restart_silence(const MachineId& machine_id, KnownWorker& worker, SteadyTime now) const;
-  void restart_silence_of_reached_zones(SteadyTime now);
-  [[nodiscard]] Duration uncounted_time(SteadyTime now, Duration pause) const;
+  /// Counts its silence from `now` on, unless an earlier holder found it silent.
+  void restart_silence_timer(const MachineId& machine_id, KnownWorker& worker,
+                             SteadyTime now) const;
+  void restart_silence_timers_of_reconnected_zones(SteadyTime now);
+  [[nodiscard]] Duration excluded_time(SteadyTime now, Duration pause) const;
 
   const ShardContext& context_;
   const ShardOwnership& shards_;
--- a/tests/answered_offers_test.cpp
+++ b/tests/answered_offers_test.cpp
@@ -6,15 +6,15 @@
 namespace marblevale {
 namespace {
 
-using Answer = AnsweredOffers::Answer;
+using Answer = OfferAnswer;
 
 TEST(AnsweredOffers, ACopyGetsTheAnswerOfTheFirst) {
   AnsweredOffers answered;
   EXPECT_EQ(answered.find(5, 2), std::nullopt);
   answered.remember(5, 2, Answer::declined);
-  answered.remember(5, 4, Answer::taken);
+  answered.remember(5, 4, Answer::accepted);
   EXPECT_EQ(answered.find(5, 2), Answer::declined);
-  EXPECT_EQ(answered.find(5, 4), Answer::taken);
+  EXPECT_EQ(answered.find(5, 4), Answer::accepted);
   EXPECT_EQ(answered.find(5, 1), std::nullopt) << "two connections need not keep the order";
 }
 
@@ -22,8 +22,8 @@
   AnsweredOffers answered;
   answered.remember(5, 9, Answer::declined);
   EXPECT_EQ(answered.find(6, 9), std::nullopt);
-  answered.remember(6, 1, Answer::taken);
-  EXPECT_EQ(answered.find(5, 10), Answer::taken) << "it is not known, so it may have been";
+  answered.remember(6, 1, Answer::accepted);
+  EXPECT_EQ(answered.find(5, 10), Answer::accepted) << "it is not known, so it may have been";
   answered.remember(5, 11, Answer::declined);
   EXPECT_EQ(answered.find(6, 11), std::nullopt);
 }
@@ -31,11 +31,11 @@
 TEST(AnsweredOffers, WhatIsForgottenMayHaveBeenTaken) {
   AnsweredOffers answered;
   const auto most = static_cast<std::uint64_t>(AnsweredOffers::kMaxRemembered);
-  for (std::uint64_t serial = 1; serial <= most + 10; ++serial) {
-    answered.remember(5, serial * 2, Answer::declined);
+  for (std::uint64_t sequence = 1; sequence <= most + 10; ++sequence) {
+    answered.remember(5, sequence * 2, Answer::declined);
   }
-  EXPECT_EQ(answered.find(5, 2), Answer::taken) << "forgotten";
-  EXPECT_EQ(answered.find(5, 3), Answer::taken) << "it may have been answered";
+  EXPECT_EQ(answered.find(5, 2), Answer::accepted) << "forgotten";
+  EXPECT_EQ(answered.find(5, 3), Answer::accepted) << "it may have been answered";
   EXPECT_EQ(answered.find(5, most * 2), Answer::declined);
   EXPECT_EQ(answered.find(5, most * 2 + 1), std::nullopt);
 }
--- a/tests/cancellation_outage_test.cpp
+++ b/tests/cancellation_outage_test.cpp
@@ -14,8 +14,8 @@
 
 PeerCancellationList word(SteadyTime asked, WallTime asked_wall, WallTime began, WallTime fresh) {
   PeerCancellationList out{asked, asked_wall, {}};
-  out.list.began_ms = unix_milliseconds(began);
-  out.list.fresh_ms = unix_milliseconds(fresh);
+  out.list.started_ms = unix_milliseconds(began);
+  out.list.fresh_until_ms = unix_milliseconds(fresh);
   out.list.complete = true;
   return out;
 }
@@ -29,10 +29,11 @@
       word(SteadyTime{Duration{14'500}}, WallTime{Duration{14'500}}, WallTime{Duration{2'000}},
            WallTime{Duration{12'000}})};
   std::optional<SteadyTime> until() {
-    return vouching_.until(SteadyTime{Duration{15'000}}, WallTime{Duration{15'000}},
-                           WallTime{Duration{10'000}}, words_);
+    return cancellation_freshness_.fresh_until(SteadyTime{Duration{15'000}},
+                                               WallTime{Duration{15'000}},
+                                               WallTime{Duration{10'000}}, words_);
   }
-  Vouching vouching_{Duration{50}};
+  CancellationFreshness cancellation_freshness_{Duration{50}};
 };
 
 TEST_F(VouchingTest, CountsFromTheQuestionThatWasSentFirst) {
@@ -47,23 +48,23 @@
 }
 
 TEST_F(VouchingTest, ALifeThatBeganSinceCannotTellWhatTheOneBeforeHasConfirmed) {
-  words_[1]->list.began_ms = 13'000;
+  words_[1]->list.started_ms = 13'000;
   EXPECT_FALSE(until());
   // Once anybody's records reach beyond its beginning, what its earlier life confirmed is listed.
-  words_[0]->list.fresh_ms = 13'200;
+  words_[0]->list.fresh_until_ms = 13'200;
   EXPECT_FALSE(until()) << "each of the two clocks may be off against ours";
-  words_[0]->list.fresh_ms = 13'201;
+  words_[0]->list.fresh_until_ms = 13'201;
   EXPECT_TRUE(until());
 }
 
 TEST_F(VouchingTest, GoesOnFromRoundToRoundAsLongAsAllAnswer) {
   ASSERT_TRUE(until());
   // The second peer restarts after what all had vouched for: not known any more from then on.
-  words_[0]->asked = SteadyTime{Duration{15'000}};
-  words_[1]->asked = SteadyTime{Duration{15'000}};
-  words_[1]->list.began_ms = 13'800;
+  words_[0]->requested_at = SteadyTime{Duration{15'000}};
+  words_[1]->requested_at = SteadyTime{Duration{15'000}};
+  words_[1]->list.started_ms = 13'800;
   EXPECT_TRUE(until()) << "nothing was confirmed beyond our knowledge before it began";
-  words_[1]->list.began_ms = 14'600;
+  words_[1]->list.started_ms = 14'600;
   EXPECT_FALSE(until());
 }
 
@@ -130,7 +131,8 @@
 class CancellationOutageTest : public ShardHolderTest {
  protected:
   CancellationOutageTest() {
-    cancellations_.on_peer_cancellation([this](const JobId& job_id) { holder_.cancelled(job_id); });
+    cancellations_.on_peer_cancellation(
+        [this](const JobId& job_id) { holder_.on_job_cancelled(job_id); });
   }
 
   /// req-1 runs on vm-1, req-2 on vm-2, both seen; then the state service is lost here.
@@ -177,18 +179,18 @@
   }
 
   void ask_peer() {
-    cancellations_.hear(*peer_);
+    cancellations_.merge_peer_list(*peer_);
     PeerCancellationList answer{time_.steady(), time_.wall(), *peer_};
-    const auto until =
-        vouching_.until(time_.steady(), time_.wall(), cache_.fresh_until_wall(), {answer});
-    if (until) holder_.extend_freshness(*until);
+    const auto until = cancellation_freshness_.fresh_until(time_.steady(), time_.wall(),
+                                                           cache_.fresh_until_wall(), {answer});
+    if (until) holder_.extend_cancellation_freshness(*until);
   }
 
   /// A peer that began long ago, whose records are fresh until now, and that lists req-1.
   [[nodiscard]] CancellationList peer_list() const {
     CancellationList list;
-    list.began_ms = unix_milliseconds(time_.wall()) - 1'000'000;
-    list.fresh_ms = unix_milliseconds(time_.wall());
+    list.started_ms = unix_milliseconds(time_.wall()) - 1'000'000;
+    list.fresh_until_ms = unix_milliseconds(time_.wall());
     list.complete = true;
     list.items = {{"req-1", unix_milliseconds(confirmed_wall_)}};
     return list;
@@ -204,7 +206,7 @@
 
   Worker first_{"vm-1", "req-1/0"};
   Worker second_{"vm-2", "req-2/0"};
-  Vouching vouching_{Duration{50}};
+  CancellationFreshness cancellation_freshness_{Duration{50}};
   std::optional<CancellationList> peer_;
   SteadyTime confirmed_;
   WallTime confirmed_wall_;
@@ -230,8 +232,8 @@
 TEST_F(CancellationOutageTest, APeerThatRestartedAfterItConfirmedDoesNotVouch) {
   both_run();
   peer_ = peer_list();
-  peer_->began_ms = unix_milliseconds(time_.wall()) + 500;
-  peer_->fresh_ms = 0;
+  peer_->started_ms = unix_milliseconds(time_.wall()) + 500;
+  peer_->fresh_until_ms = 0;
   peer_->items.clear();
   EXPECT_TRUE(gone_in_time());
 }
@@ -261,12 +263,15 @@
   first_.hangs = true;
   peer_ = peer_list();
   pass(Duration{20'000});
-  EXPECT_TRUE(holder_.overdue().empty()) << "it may still be ended in the ordinary way";
+  EXPECT_TRUE(holder_.machines_past_cancellation_deadline().empty())
+      << "it may still be ended in the ordinary way";
   pass(Duration{5'000});
-  EXPECT_EQ(holder_.overdue(), std::vector<MachineId>{MachineId("vm-1")});
+  EXPECT_EQ(holder_.machines_past_cancellation_deadline(),
+            std::vector<MachineId>{MachineId("vm-1")});
   first_.hangs = false;
   handle_heartbeat(2, token());  // in a new epoch
-  EXPECT_TRUE(holder_.overdue().empty()) << "though it can't be recorded";
+  EXPECT_TRUE(holder_.machines_past_cancellation_deadline().empty())
+      << "though it can't be recorded";
 }
 
 TEST_F(CancellationOutageTest, SoItDoesWhenTheStateServiceIsThere) {
@@ -315,7 +320,7 @@
   const auto answer = handle_heartbeat(1, token(), "", "vm-1");
   EXPECT_EQ(answer.status, 200);
   EXPECT_EQ(answer.body.find("start"), std::string::npos);
-  holder_.extend_freshness(time_.steady());
+  holder_.extend_cancellation_freshness(time_.steady());
   EXPECT_NE(handle_heartbeat(1, token(), "", "vm-1").body.find("start"), std::string::npos)
       << "all peers vouch that it was not cancelled";
 }
@@ -326,7 +331,7 @@
   const auto introductions = std::move(workers_.sent);
   workers_.sent.clear();
   for (const auto& order : introductions) order.then({});
-  cancellations_.hear(peer_list());
+  cancellations_.merge_peer_list(peer_list());
   run(Duration{50});
   EXPECT_TRUE(sent("kill"));
   handle_heartbeat(1, token(), "", "vm-1");
@@ -339,7 +344,7 @@
   informed_ = false;
   run(Duration{2'000});
   EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
-  holder_.extend_freshness(time_.steady());
+  holder_.extend_cancellation_freshness(time_.steady());
   run(Duration{1'000});
   EXPECT_EQ(handle_heartbeat(1, token()).status, 421);
 }
@@ -359,7 +364,7 @@
   EXPECT_FALSE(listed("req-1"));
   run(Duration{20});
   EXPECT_TRUE(listed("req-1"));
-  cancellations_.tell(JobId("req-5"), time_.wall());
+  cancellations_.add_confirmed(JobId("req-5"), time_.wall());
   EXPECT_TRUE(listed("req-5"));
   EXPECT_EQ(cancellations_.cancelled_at(JobId("req-5")), time_.wall());
   run(Duration{1'000});
@@ -372,7 +377,7 @@
   release();
   cancel();
   run(Duration{20});
-  for (int i = 0; i < 3; ++i) cancellations_.tell(JobId("req-1"), time_.wall());
+  for (int i = 0; i < 3; ++i) cancellations_.add_confirmed(JobId("req-1"), time_.wall());
   EXPECT_EQ(news, 1);
 }
 
@@ -382,28 +387,28 @@
   for (std::size_t i = 0; i < Cancellations::kMaxListed + 1; ++i) {
     storm.items.push_back({"req-" + std::to_string(100'000 + i), 1});
   }
-  cancellations_.hear(storm);
+  cancellations_.merge_peer_list(storm);
   EXPECT_FALSE(cancellations_.list().complete);
   EXPECT_LE(cancellations_.list().items.size(), Cancellations::kMaxListed);
   PeerHeartbeat heartbeat;
   heartbeat.cancellations = cancellations_.list();
   EXPECT_TRUE(decode_peer_heartbeat(encode(heartbeat))) << "the longest list fits into a message";
-  EXPECT_TRUE(cancellations_.kept_all());
-  for (std::size_t i = 0; i < Cancellations::kMaxKept; ++i) {
+  EXPECT_TRUE(cancellations_.holds_all());
+  for (std::size_t i = 0; i < Cancellations::kMaxUnrecorded; ++i) {
     storm.items.push_back({"req-" + std::to_string(200'000 + i), 1});
   }
   informed_ = false;
-  cancellations_.hear(storm);
-  EXPECT_FALSE(cancellations_.kept_all());
+  cancellations_.merge_peer_list(storm);
+  EXPECT_FALSE(cancellations_.holds_all());
   informed_ = true;
   run(Duration{1'000});
-  EXPECT_TRUE(cancellations_.kept_all()) << "the records are fresher again";
+  EXPECT_TRUE(cancellations_.holds_all()) << "the records are fresher again";
 }
 
 TEST_F(CancellationsTest, NonsenseIsLeftOut) {
   CancellationList list;
   list.items = {{"", 1}, {"x y", 1}, {"req-7", unix_milliseconds(time_.wall()) + 1'000'000}};
-  cancellations_.hear(list);
+  cancellations_.merge_peer_list(list);
   EXPECT_EQ(cancellations_.list().items.size(), 1U);
   EXPECT_EQ(cancellations_.cancelled_at(JobId("req-7")), time_.wall()) << "never in the future";
 }
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -277,32 +277,36 @@
 }
 
 TEST(PeerHeartbeatExchange, AControllerThatIsCutOffSendsUsersElsewhere) {
-  EXPECT_FALSE(takes_users(false, true, PeerStateEvidence::state))
+  EXPECT_FALSE(should_serve_users(false, true, PeerStoreEvidence::store_reachable))
       << "it has not loaded the records";
-  EXPECT_TRUE(takes_users(true, true, PeerStateEvidence::nothing));
-  EXPECT_FALSE(takes_users(true, false, PeerStateEvidence::state))
+  EXPECT_TRUE(should_serve_users(true, true, PeerStoreEvidence::no_recent_heartbeat));
+  EXPECT_FALSE(should_serve_users(true, false, PeerStoreEvidence::store_reachable))
       << "it alone lacks the state service";
-  EXPECT_FALSE(takes_users(true, false, PeerStateEvidence::nothing))
+  EXPECT_FALSE(should_serve_users(true, false, PeerStoreEvidence::no_recent_heartbeat))
       << "it lacks its peers as well";
-  EXPECT_TRUE(takes_users(true, false, PeerStateEvidence::no_state)) << "all lack it";
-  EXPECT_TRUE(takes_users(true, false, PeerStateEvidence::no_peers));
+  EXPECT_TRUE(should_serve_users(true, false, PeerStoreEvidence::store_unreachable))
+      << "all lack it";
+  EXPECT_TRUE(should_serve_users(true, false, PeerStoreEvidence::no_peers));
 }
 
 TEST(PeerHeartbeatExchange, ALateCopyIsNoNews) {
-  PeerHeartbeatOrder order;
+  PeerHeartbeatDeduplicator deduplicator;
   PeerHeartbeat heartbeat;
   heartbeat.node = "n1";
   heartbeat.incarnation = 7;
-  heartbeat.serial = 5;
-  EXPECT_TRUE(order.newer(heartbeat));
-  EXPECT_FALSE(order.newer(heartbeat)) << "the same again";
-  heartbeat.serial = 4;
-  EXPECT_FALSE(order.newer(heartbeat)) << "sent before it";
-  heartbeat.serial = 6;
-  EXPECT_TRUE(order.newer(heartbeat));
+  heartbeat.sequence = 5;
+  EXPECT_EQ(deduplicator.classify(heartbeat), PeerHeartbeatDelivery::latest);
+  EXPECT_EQ(deduplicator.classify(heartbeat), PeerHeartbeatDelivery::duplicate_or_late)
+      << "the same again";
+  heartbeat.sequence = 4;
+  EXPECT_EQ(deduplicator.classify(heartbeat), PeerHeartbeatDelivery::duplicate_or_late)
+      << "sent before it";
+  heartbeat.sequence = 6;
+  EXPECT_EQ(deduplicator.classify(heartbeat), PeerHeartbeatDelivery::latest);
   heartbeat.incarnation = 8;
-  heartbeat.serial = 1;
-  EXPECT_TRUE(order.newer(heartbeat)) << "another life counts anew";
+  heartbeat.sequence = 1;
+  EXPECT_EQ(deduplicator.classify(heartbeat), PeerHeartbeatDelivery::latest)
+      << "another life counts anew";
 }
 
 TEST(PeerHeartbeatExchange, SurviveCutAndTwistedBytes) {
@@ -313,7 +317,7 @@
   const std::string bytes = encode(heartbeat);
   ASSERT_TRUE(decode_peer_heartbeat(bytes));
   EXPECT_EQ(decode_peer_heartbeat(bytes)->misrouted_zones.size(), 2U);
-  EXPECT_EQ(decode_peer_heartbeat(bytes)->cancellations.items.at(0).at_ms, 17);
+  EXPECT_EQ(decode_peer_heartbeat(bytes)->cancellations.items.at(0).cancelled_at_ms, 17);
   for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
     EXPECT_FALSE(decode_peer_heartbeat(bytes.substr(0, cut)));
   }
--- a/tests/holder_test.cpp
+++ b/tests/holder_test.cpp
@@ -155,7 +155,8 @@
   // cancel_s - lease_s is 25 s: a cancellation may have been accepted right after the last read.
   run(Duration{6'000});
   EXPECT_EQ(handle_heartbeat(1, token()).status, 421);
-  holder_.extend_freshness(time_.steady());  // all peers say that nothing was cancelled since
+  holder_.extend_cancellation_freshness(
+      time_.steady());  // all peers say that nothing was cancelled since
   EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
 }
 
--- a/tests/late_message_test.cpp
+++ b/tests/late_message_test.cpp
@@ -187,10 +187,10 @@
   heartbeat.epoch = WorkerEpoch(2);
   heartbeat.sequence = HeartbeatSequence(900);
   heartbeat.token = FencingToken(10);
-  WorkerView view;
+  WorkerStatus view;
   view.apply(heartbeat);
   EXPECT_EQ(classify_presence({JobId("req-1"), 0}, task, view, FencingToken(10)),
-            TaskPresence::absent);
+            TaskPresence::not_reported);
 }
 
 // A command or its answer held up for seconds.
--- a/tests/proof_test.cpp
+++ b/tests/proof_test.cpp
@@ -29,81 +29,83 @@
   return r;
 }
 
-TaskPresence look(const WorkerView& view) {
+TaskPresence look(const WorkerStatus& view) {
   return classify_presence(kTask, bound(), view, FencingToken(kToken));
 }
 
 TEST(Proof, AHeartbeatWithoutTheTaskProvesNothingBeforeTheWorkerSawOurWarrant) {
   // An earlier holder's start may still be on its way to the worker.
-  WorkerView view;
+  WorkerStatus view;
   view.apply(heartbeat(1, 5, kToken - 1));
-  EXPECT_EQ(look(view), TaskPresence::absent);
+  EXPECT_EQ(look(view), TaskPresence::not_reported);
   view.apply(heartbeat(1, 6, kToken));
-  EXPECT_EQ(look(view), TaskPresence::never_here);
+  EXPECT_EQ(look(view), TaskPresence::never_started);
 }
 
 TEST(Proof, ADirectStartCanArriveLateUntilAHigherWarrantIsSeen) {
-  WorkerView view;
+  WorkerStatus view;
   view.apply(heartbeat(1, 5, kToken));
   view.direct_starts[{kTask, Attempt(2)}] = FencingToken(kToken);
   view.apply(heartbeat(1, 6, kToken));
   view.prune();
-  EXPECT_EQ(look(view), TaskPresence::absent);
+  EXPECT_EQ(look(view), TaskPresence::not_reported);
   view.apply(heartbeat(1, 7, kToken + 1));
   view.prune();
   EXPECT_EQ(classify_presence(kTask, bound(), view, FencingToken(kToken + 1)),
-            TaskPresence::never_here);
+            TaskPresence::never_started);
 }
 
 TEST(Proof, AStartInAnAnswerIsSettledByTheNextHeartbeat) {
-  WorkerView view;
+  WorkerStatus view;
   view.apply(heartbeat(1, 5, kToken));
-  view.answered_starts[{kTask, Attempt(2)}] = HeartbeatSequence(5);
-  EXPECT_EQ(look(view), TaskPresence::absent);
+  view.reply_starts[{kTask, Attempt(2)}] = HeartbeatSequence(5);
+  EXPECT_EQ(look(view), TaskPresence::not_reported);
   view.apply(heartbeat(1, 6, kToken));
-  EXPECT_EQ(look(view), TaskPresence::never_here);
+  EXPECT_EQ(look(view), TaskPresence::never_started);
 }
 
 TEST(Proof, ANewEpochIsProofAndALateHeartbeatOfTheOldOneIsDropped) {
-  WorkerView view;
-  EXPECT_TRUE(
-      view.apply(heartbeat(1, 5, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}})));
+  WorkerStatus view;
+  EXPECT_TRUE(view.apply(heartbeat(
+      1, 5, kToken, {{kTask, Attempt(2), TaskStatus::running, TaskEndCause::unspecified, false}})));
   EXPECT_EQ(look(view), TaskPresence::present);
   EXPECT_TRUE(view.apply(heartbeat(2, 6, kToken)));
   EXPECT_EQ(look(view), TaskPresence::lost);
-  EXPECT_FALSE(
-      view.apply(heartbeat(1, 9, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}})));
+  EXPECT_FALSE(view.apply(heartbeat(
+      1, 9, kToken, {{kTask, Attempt(2), TaskStatus::running, TaskEndCause::unspecified, false}})));
   EXPECT_EQ(look(view), TaskPresence::lost);
 }
 
 TEST(Proof, AnOlderTallyIsDropped) {
-  WorkerView view;
-  view.apply(heartbeat(1, 8, kToken, {{kTask, Attempt(2), TaskStatus::running, "", false}}));
+  WorkerStatus view;
+  view.apply(heartbeat(
+      1, 8, kToken, {{kTask, Attempt(2), TaskStatus::running, TaskEndCause::unspecified, false}}));
   EXPECT_FALSE(view.apply(heartbeat(1, 7, kToken)));
   EXPECT_EQ(look(view), TaskPresence::present);
 }
 
 TEST(Proof, AnotherAttemptOfTheTaskIsNotThisOne) {
-  WorkerView view;
-  view.apply(heartbeat(1, 5, kToken, {{kTask, Attempt(1), TaskStatus::ended, "peers", false}}));
-  EXPECT_EQ(look(view), TaskPresence::never_here);
+  WorkerStatus view;
+  view.apply(heartbeat(1, 5, kToken,
+                       {{kTask, Attempt(1), TaskStatus::ended, TaskEndCause::gang_ended, false}}));
+  EXPECT_EQ(look(view), TaskPresence::never_started);
 }
 
-TEST(Proof, SilenceProvesNothing) { EXPECT_EQ(look(WorkerView{}), TaskPresence::absent); }
+TEST(Proof, SilenceProvesNothing) { EXPECT_EQ(look(WorkerStatus{}), TaskPresence::not_reported); }
 
 TEST(Ends, SavedProgressIsKeptAndALostTaskFallsBackToItsSnapshot) {
   const JobSpec job = testing::gang("req-1", 1, 1, 100);  // saves every 10 s
   TaskRecord task = bound();
   task.running = testing::at(1);
-  apply_end(task, job, "halted", true, testing::at(36));
+  apply_task_end(task, job, TaskEndCause::preempted, true, testing::at(36));
   EXPECT_EQ(task.state, TaskState::idle);
   EXPECT_EQ(task.progress, from_seconds(35));
   task = bound();
   task.running = testing::at(1);
-  apply_end(task, job, "machine gone", false, testing::at(36));
+  apply_task_end(task, job, TaskEndCause::machine_gone, false, testing::at(36));
   EXPECT_EQ(task.progress, from_seconds(30));
   task = bound();
-  apply_end(task, job, "done", false, testing::at(36));
+  apply_task_end(task, job, TaskEndCause::completed, false, testing::at(36));
   EXPECT_EQ(task.state, TaskState::done);
   EXPECT_EQ(task.attempt, Attempt(2));
 }
--- a/tests/release_offer_test.cpp
+++ b/tests/release_offer_test.cpp
@@ -51,7 +51,7 @@
     const std::string key = keys::slice(slice.job_id, 0);
     Transaction txn;
     txn.guard(keys::kLeader, ModRevision(offer.term));
-    txn.guard(key, ModRevision(offer.over));
+    txn.guard(key, ModRevision(offer.slice_revision));
     txn.put(key, encode(slice));
     store_.commit(RequestPriority::binding, txn, [](const CommitResult&) {});
   }
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -485,7 +485,7 @@
   const auto deliver = [&cluster = cluster_, holder, offer] {
     const auto it = cluster.controllers.find(holder);
     return it != cluster.controllers.end() && it->second != nullptr &&
-           it->second->holder.accept_offer(offer);
+           it->second->holder.answer_offer(offer) == OfferAnswer::accepted;
   };
   const auto answer = [alive = std::weak_ptr<bool>(alive_), then](OfferOutcome outcome) {
     if (!alive.expired()) then(outcome);
@@ -500,7 +500,7 @@
   const bool answered = !faulty || dice.chance(0.85);
   cluster_.events.after(dice.span(2, 20), [deliver, answer, answered] {
     const bool taken = deliver();
-    if (answered) answer(taken ? OfferOutcome::taken : OfferOutcome::declined);
+    if (answered) answer(taken ? OfferOutcome::accepted : OfferOutcome::declined);
   });
   if (!answered) {
     cluster_.events.after(Duration{1'000}, [answer] { answer(OfferOutcome::unknown); });
--- a/tests/standing_jobs_test.cpp
+++ b/tests/standing_jobs_test.cpp
@@ -31,10 +31,12 @@
 
 TEST(Replica, IsNeverDone) {
   const JobSpec job = standing("req-1", 2, 1);
-  for (const char* cause : {"done", "error", "halted", "machine gone", "lease lost"}) {
+  for (const TaskEndCause cause :
+       {TaskEndCause::completed, TaskEndCause::failed, TaskEndCause::preempted,
+        TaskEndCause::machine_gone, TaskEndCause::lease_expired}) {
     TaskRecord task = running_since(from_unix_milliseconds(1'000'000));
-    apply_end(task, job, cause, true, WallTime{Duration{2'000'000}});
-    EXPECT_EQ(task.state, TaskState::idle) << cause;
+    apply_task_end(task, job, cause, true, WallTime{Duration{2'000'000}});
+    EXPECT_EQ(task.state, TaskState::idle) << name_of(cause);
     EXPECT_EQ(task.progress, Duration{0}) << "it has no work that could be saved";
     EXPECT_EQ(task.machine_id, MachineId{});
   }
@@ -46,18 +48,20 @@
   for (std::uint32_t n = 1; n <= 4; ++n) {
     task = running_since(from_unix_milliseconds(1'000'000));
     task.faults = n - 1;
-    apply_end(task, job, n % 2 == 0 ? "error" : "done", false, WallTime{Duration{1'001'000}});
+    apply_task_end(task, job, n % 2 == 0 ? TaskEndCause::failed : TaskEndCause::completed, false,
+                   WallTime{Duration{1'001'000}});
     EXPECT_EQ(task.faults, n);
     EXPECT_EQ(task.failed_on, MachineId("vm-1"));
   }
   // One that had run for long failed for the first time: it runs again at once.
   task = running_since(from_unix_milliseconds(1'000'000));
   task.faults = 4;
-  apply_end(task, job, "error", false, WallTime{Duration{1'000'000}} + kProvenReplicaRun);
+  apply_task_end(task, job, TaskEndCause::failed, false,
+                 WallTime{Duration{1'000'000}} + kStableReplicaRunTime);
   EXPECT_EQ(task.faults, 1U);
   task = running_since(from_unix_milliseconds(1'000'000));
   task.faults = 4;
-  apply_end(task, job, "machine gone", false, WallTime{Duration{1'001'000}});
+  apply_task_end(task, job, TaskEndCause::machine_gone, false, WallTime{Duration{1'001'000}});
   EXPECT_EQ(task.faults, 4U) << "the loss of a machine is not its fault";
 }
 
--- a/tests/worker_partition_test.cpp
+++ b/tests/worker_partition_test.cpp
@@ -10,15 +10,15 @@
 
 TEST(OrderConnections, FollowTheSocketsThatTheMachineHas) {
   Settings settings;
-  EXPECT_EQ(order_connections(settings), 128U) << "nothing is said of sockets";
+  EXPECT_EQ(max_order_connections(settings), 128U) << "nothing is said of sockets";
   settings.max_sockets = 5000;
-  EXPECT_EQ(order_connections(settings), 1250U);
+  EXPECT_EQ(max_order_connections(settings), 1250U);
   settings.max_sockets = 10;
-  EXPECT_EQ(order_connections(settings), 32U);
+  EXPECT_EQ(max_order_connections(settings), 32U);
   settings.max_sockets = 20'000;
-  EXPECT_EQ(order_connections(settings), 5000U);
+  EXPECT_EQ(max_order_connections(settings), 5000U);
   settings.ram_mb = 56;
-  EXPECT_EQ(order_connections(settings), 896U) << "an idle connection takes memory, too";
+  EXPECT_EQ(max_order_connections(settings), 896U) << "an idle connection takes memory, too";
 }
 
 TEST(MirrorLoad, APageThatCannotBeHadIsAskedForAgainByItself) {
@@ -371,9 +371,9 @@
     ReleaseOffer offer;
     offer.term = store_.get(keys::kLeader)->mod_revision.get();
     offer.job_id = "req-1";
-    offer.revision = cache_.revision().get();
+    offer.cache_revision = cache_.revision().get();
     offer.tasks = {{0, 1, "a", "vm-1"}};
-    offer.serial = ++last_serial_;
+    offer.sequence = ++last_serial_;
     offer.holder_incarnation = 7;
     offer.job_revision = store_.get(keys::job(job.spec.job_id))->mod_revision.get();
     return offer;
@@ -386,14 +386,15 @@
 TEST_F(OfferTest, IsBoundInOneCommitAndThenStarted) {
   const auto offer = offered();
   const auto before = store_.commits.size();
-  EXPECT_TRUE(holder_.accept_offer(offer));
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
   EXPECT_EQ(store_.commits.size(), before + 1);
   EXPECT_EQ(task().state, TaskState::bound);
   run(Duration{50});
   EXPECT_TRUE(sent("start"));
   const std::string bound = store_.get(keys::slice(JobId("req-1"), 0))->value;
   const auto commits = store_.commits.size();
-  EXPECT_TRUE(holder_.accept_offer(offer)) << "a copy gets the answer of the first";
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted)
+      << "a copy gets the answer of the first";
   run(Duration{500});
   EXPECT_EQ(store_.get(keys::slice(JobId("req-1"), 0))->value, bound) << "and changes nothing";
   EXPECT_EQ(store_.commits.size(), commits);
@@ -401,8 +402,8 @@
 
 TEST_F(OfferTest, WaitsForWhatTheLeaderKnew) {
   auto offer = offered();
-  offer.revision += 1;
-  EXPECT_TRUE(holder_.accept_offer(offer));
+  offer.cache_revision += 1;
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
   EXPECT_FALSE(store_.get(keys::slice(JobId("req-1"), 0)));
   store_.put("mv/grants/req-9",
              encode(GuaranteeRecord{JobId("req-9"), {}, {}}, testing::kValueBytes));
@@ -413,32 +414,34 @@
 TEST_F(OfferTest, ABindingThatArrivesAfterAChangeOfLeaderFails) {
   const auto offer = offered();
   store_.scripts = {Script::arrive_late};
-  holder_.accept_offer(offer);
+  holder_.answer_offer(offer);
   ASSERT_EQ(store_.late.size(), 1U);
   store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), ProcessIncarnation(2)}));
   EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
   run(Duration{100});
-  EXPECT_FALSE(holder_.accept_offer(offer)) << "the offer is of an earlier term";
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::declined)
+      << "the offer is of an earlier term";
 }
 
 TEST_F(OfferTest, IsDeclinedWhereItCannotBeBoundWhole) {
   auto offer = offered();
   offer.tasks[0].machine_id = "vm-9";
   offer.tasks[0].zone = "b";
-  EXPECT_FALSE(holder_.accept_offer(offer)) << "another's block";
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::declined) << "another's block";
   offer = offered();
   cancel();
   run(Duration{50});
-  EXPECT_FALSE(holder_.accept_offer(offer));
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::declined);
   offer = offered();
   offer.holder_incarnation = 6;
   const auto commits = store_.commits.size();
-  EXPECT_TRUE(holder_.accept_offer(offer)) << "an earlier life, for which it is, may have taken it";
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted)
+      << "an earlier life, for which it is, may have taken it";
   run(Duration{3'000});
   EXPECT_EQ(store_.commits.size(), commits) << "but it is not bound";
   offer = offered();
   --offer.job_revision;
-  EXPECT_FALSE(holder_.accept_offer(offer)) << "the job has changed";
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::declined) << "the job has changed";
   EXPECT_FALSE(decode_offer("nonsense"));
   EXPECT_EQ(decode_offer(encode(offer))->tasks.at(0).machine_id, "vm-1");
 }
@@ -448,8 +451,8 @@
 TEST_F(OfferTest, ACopyIsNotDeclinedWhileTheFirstIsBeingBound) {
   const auto offer = offered();
   store_.scripts = {Script::arrive_late};
-  EXPECT_TRUE(holder_.accept_offer(offer));
-  EXPECT_TRUE(holder_.accept_offer(offer));
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
   ASSERT_EQ(store_.late.size(), 1U) << "and it is committed once";
   EXPECT_EQ(store_.arrive().outcome, Outcome::done);
 }
@@ -472,7 +475,7 @@
   slice.tasks[0].epoch = WorkerEpoch(1);
   store_.put(keys::slice(slice.job_id, 0), encode(slice));
   run(Duration{50});
-  EXPECT_FALSE(holder_.accept_offer(offer)) << "that machine has not reported";
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::declined) << "that machine has not reported";
   handle_heartbeat(1, token(), "", "vm-2");
   run(Duration{100});
   // The room of the first offer, the whole of the team's limit, goes to another job.
@@ -483,10 +486,10 @@
   run(Duration{50});
   ReleaseOffer second = offer;
   second.job_id = "req-2";
-  second.serial = offer.serial + 1;
+  second.sequence = offer.sequence + 1;
   second.job_revision = store_.get(keys::job(other.spec.job_id))->mod_revision.get();
-  EXPECT_TRUE(holder_.accept_offer(second));
-  holder_.accept_offer(offer);
+  EXPECT_EQ(holder_.answer_offer(second), OfferAnswer::accepted);
+  holder_.answer_offer(offer);
   run(Duration{500});
   std::size_t placed = 0;
   for (const std::string job_id : {"req-1", "req-2"}) {
