--- a/src/shards/heartbeat_handler.cpp
+++ b/src/shards/heartbeat_handler.cpp
@@ -58,7 +58,8 @@
     return {kStatusUnavailable, R"({"error":"its lease must lapse"})"};
   if (!newer) return {kStatusOk, write_heartbeat_answer(token, {})};
   update_reachability(*heartbeat, worker, token);
-  return {kStatusOk, write_heartbeat_answer(token, orders_.orders_for_heartbeat_reply(*heartbeat, worker))};
+  return {kStatusOk,
+          write_heartbeat_answer(token, orders_.orders_for_heartbeat_reply(*heartbeat, worker))};
 }
 
 void HeartbeatHandler::handle_order_reply(KnownWorker& worker, const WorkerHeartbeat& heartbeat) {
