--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -4,8 +4,8 @@
 
 #include "api/job_api.hpp"
 #include "api/job_explanation.hpp"
-#include "helpers.hpp"
-#include "scripted_store.hpp"
+#include "support/helpers.hpp"
+#include "support/scripted_store.hpp"
 
 namespace marblevale {
 namespace {
@@ -463,7 +463,7 @@
 }
 
 /// Users who ask about their jobs many times as often as usual, within one interval of the watch.
-class QuestionStormTest : public AdmissionTest {
+class JobQueryOverloadTest : public AdmissionTest {
  protected:
   struct Tally {
     int answered = 0;  // 200
@@ -488,7 +488,7 @@
   Tally tally_;
 };
 
-TEST_F(QuestionStormTest, IsAnsweredFromOneWordOfTheWatchAndTheRestIsRefusedAtOnce) {
+TEST_F(JobQueryOverloadTest, IsAnsweredFromOneWordOfTheWatchAndTheRestIsRefusedAtOnce) {
   accept_jobs();
   store_.reads = 0;
   const std::size_t commits = store_.commits.size();
@@ -508,7 +508,7 @@
   EXPECT_EQ(store_.commits.size(), commits);
 }
 
-TEST_F(QuestionStormTest, KeepsOutNoCancellationNorARepeatedSubmission) {
+TEST_F(JobQueryOverloadTest, KeepsOutNoCancellationNorARepeatedSubmission) {
   accept_jobs();
   ask_many(10'000);
   EXPECT_EQ(status_in(abort(job_name(0))), "cancelled");
@@ -516,7 +516,7 @@
   EXPECT_EQ(submit(changed("req-000412", job_name(1))).status, 200);
 }
 
-TEST_F(QuestionStormTest, AboutAJobThatIsOverCostsTwoReads) {
+TEST_F(JobQueryOverloadTest, AboutAJobThatIsOverCostsTwoReads) {
   submit(kJob);
   finish(FinalState::done);
   step();
@@ -532,7 +532,7 @@
 }
 
 // A question that nobody answers must not be counted for ever.
-TEST_F(QuestionStormTest, ThatMeetsAnOutageLeavesNoQuestionOpen) {
+TEST_F(JobQueryOverloadTest, ThatMeetsAnOutageLeavesNoQuestionOpen) {
   accept_jobs();
   ask_many(1'000);
   clock_.advance(Duration{5'000});  // the watch says nothing
--- a/tests/cancellation_outage_test.cpp
+++ b/tests/cancellation_outage_test.cpp
@@ -3,8 +3,8 @@
 #include <cmath>
 
 #include "cancellations/cancellations.hpp"
-#include "holder_fixture.hpp"
 #include "peers/peer_heartbeat.hpp"
+#include "support/shard_holder_fixture.hpp"
 
 namespace marblevale {
 namespace {
--- a/tests/late_message_test.cpp
+++ b/tests/delayed_message_test.cpp
@@ -1,7 +1,7 @@
 // A holder and its workers when two faults meet: machines that are silent towards controllers or
 // out of reach for commands, reports, orders and answers that are held up, a shard that moves
 // meanwhile, two lives of one node.
-#include "holder_fixture.hpp"
+#include "support/shard_holder_fixture.hpp"
 
 namespace marblevale {
 namespace {
@@ -9,7 +9,7 @@
 using testing::Script;
 using testing::ShardHolderTest;
 
-class LateMessageTest : public ShardHolderTest {
+class DelayedMessageTest : public ShardHolderTest {
  protected:
   [[nodiscard]] MachineState machine_state(const std::string& machine_id = "vm-1") const {
     const auto it = cache_.records().machines.find(MachineId(machine_id));
@@ -80,7 +80,7 @@
 
 // A silent towards controllers machine reaches no controller, while direct commands reach it.
 
-TEST_F(LateMessageTest, AnswersToOrdersDoNotMakeAMuteMachineLookHealthy) {
+TEST_F(DelayedMessageTest, AnswersToOrdersDoNotMakeAMuteMachineLookHealthy) {
   bind_and_start();
   handle_heartbeat(1, token(), "", "vm-2");
   heartbeats_lost_for(Duration{12'000}, 1, task_index("running"));
@@ -93,7 +93,7 @@
   EXPECT_EQ(machine_state(), MachineState::up);
 }
 
-TEST_F(LateMessageTest, NothingIsBoundToAMachineThatHasNotReportedForAWhile) {
+TEST_F(DelayedMessageTest, NothingIsBoundToAMachineThatHasNotReportedForAWhile) {
   handle_heartbeat(1, token());
   run(Duration{600});
   ASSERT_EQ(machine_state(), MachineState::up);
@@ -107,7 +107,7 @@
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
-TEST_F(LateMessageTest, AMuteMachinesNewEpochIsToldByItsAnswerAndFreesItsTasks) {
+TEST_F(DelayedMessageTest, AMuteMachinesNewEpochIsToldByItsAnswerAndFreesItsTasks) {
   bind_and_start();
   handle_heartbeat(1, token(), "", "vm-2");
   heartbeats_lost_for(Duration{24'000}, 1, task_index("running"));
@@ -117,7 +117,7 @@
   EXPECT_EQ(machine_state(), MachineState::silent);
 }
 
-TEST_F(LateMessageTest, AShardThatComesUsesItsMachinesAtOnceButForSilentOnes) {
+TEST_F(DelayedMessageTest, AShardThatComesUsesItsMachinesAtOnceButForSilentOnes) {
   MachineRecord machine;
   machine.machine_id = MachineId("vm-1");
   machine.address = "10.1.0.1:9000";
@@ -149,7 +149,7 @@
 
 // Heartbeats that are held back, old ones, and copies.
 
-TEST_F(LateMessageTest, AHeartbeatThatWasHeldUpDoesNotMakeAMachineDeaf) {
+TEST_F(DelayedMessageTest, AHeartbeatThatWasHeldUpDoesNotMakeAMachineDeaf) {
   handle_heartbeat(1, token());
   run(Duration{30'000});         // cut off, until its lease is over
   handle_heartbeat(1, token());  // sent before
@@ -161,7 +161,7 @@
   EXPECT_EQ(task().state, TaskState::bound) << "nothing shows that it had the late answer";
 }
 
-TEST_F(LateMessageTest, CopiesFromBeforeTheShardMovedDoNotMakeAMachineDeaf) {
+TEST_F(DelayedMessageTest, CopiesFromBeforeTheShardMovedDoNotMakeAMachineDeaf) {
   handle_heartbeat(1, token());
   run(Duration{600});
   const auto old = token();
@@ -178,7 +178,7 @@
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
-TEST(LateMessageProofTest, AHeartbeatOfAnEarlierEpochProvesNothing) {
+TEST(DelayedHeartbeat, AHeartbeatOfAnEarlierEpochProvesNothing) {
   TaskRecord task;
   task.state = TaskState::bound;
   task.attempt = Attempt(2);
@@ -195,7 +195,7 @@
 
 // A command or its answer held up for seconds.
 
-TEST_F(LateMessageTest, AnAnswerToAnOrderSettlesNoStartThatIsInAHeldUpAnswer) {
+TEST_F(DelayedMessageTest, AnAnswerToAnOrderSettlesNoStartThatIsInAHeldUpAnswer) {
   bind_and_start();  // the order is on its way, so that the next start goes by an answer
   JobRecord job{testing::gang("req-2", 1, 1, 100), time_.wall(), std::nullopt};
   store_.put(keys::job(job.spec.job_id), encode(job));
@@ -227,7 +227,7 @@
   EXPECT_EQ(state(), TaskState::idle);
 }
 
-TEST_F(LateMessageTest, AStartThatWasAnsweredCanComeAgain) {
+TEST_F(DelayedMessageTest, AStartThatWasAnsweredCanComeAgain) {
   bind_and_start();
   answer_orders(200, 1, task_index("running"));
   handle_heartbeat(1, token(), task_index("ended", "error"));
@@ -241,7 +241,7 @@
       << "a higher warrant has ended that";
 }
 
-TEST_F(LateMessageTest, AStartThatCameTooLateIsKilledOnAMuteMachineToo) {
+TEST_F(DelayedMessageTest, AStartThatCameTooLateIsKilledOnAMuteMachineToo) {
   bind_and_start();
   handle_heartbeat(1, token(), "", "vm-2");
   const auto before = workers_.sent.size();
@@ -252,7 +252,7 @@
 
 // Two lives of one node.
 
-TEST_F(LateMessageTest, TheShardOfAnEarlierLifeIsTakenAnewAndItsLateCommitsFail) {
+TEST_F(DelayedMessageTest, TheShardOfAnEarlierLifeIsTakenAnewAndItsLateCommitsFail) {
   store_.scripts.assign(50, Script::refuse);
   give_shard("me", 6);
   const auto earlier = token();
@@ -271,7 +271,7 @@
 
 // A out of reach for commands machine while its shard moves.
 
-TEST_F(LateMessageTest, ADeafMachineWhoseShardMovesGetsNothingNewAndKeepsItsTasksUntilProof) {
+TEST_F(DelayedMessageTest, ADeafMachineWhoseShardMovesGetsNothingNewAndKeepsItsTasksUntilProof) {
   bind_and_start();
   handle_heartbeat(1, token(), task_index("running"));
   run(Duration{100});
@@ -298,7 +298,7 @@
 
 // One done, all done.
 
-TEST_F(LateMessageTest, AKeptResultOfAGangFreesNoPlaceOfThoseThatStillFetch) {
+TEST_F(DelayedMessageTest, AKeptResultOfAGangFreesNoPlaceOfThoseThatStillFetch) {
   handle_heartbeat(1, token(), "", "vm-1");
   handle_heartbeat(1, token(), "", "vm-2");
   put_bound_gang(2, WallTime{});  // started again after its end, which nobody heard of
@@ -312,7 +312,7 @@
   EXPECT_TRUE(store_.get(keys::final_job(JobId("req-1"))));
 }
 
-TEST_F(LateMessageTest, AGangWhoseRestIsLostAfterItsEndIsDone) {
+TEST_F(DelayedMessageTest, AGangWhoseRestIsLostAfterItsEndIsDone) {
   handle_heartbeat(1, token(), "", "vm-1");
   handle_heartbeat(1, token(), "", "vm-2");
   put_bound_gang(2, WallTime{});
@@ -323,7 +323,7 @@
   EXPECT_TRUE(store_.get(keys::final_job(JobId("req-1"))));
 }
 
-TEST_F(LateMessageTest, AGangThatRanIsDoneWithTheFirstOfItsTasks) {
+TEST_F(DelayedMessageTest, AGangThatRanIsDoneWithTheFirstOfItsTasks) {
   handle_heartbeat(1, token(), "", "vm-1");
   handle_heartbeat(1, token(), "", "vm-2");
   put_bound_gang(2, time_.wall());
--- a/tests/failed_start_test.cpp
+++ b/tests/failed_starts_test.cpp
@@ -3,8 +3,8 @@
 #include <memory>
 #include <random>
 
-#include "helpers.hpp"
 #include "scheduling/planner.hpp"
+#include "support/helpers.hpp"
 
 namespace marblevale {
 namespace {
@@ -140,9 +140,9 @@
   double now_ = 0;
 };
 
-class FailedStartTest : public ::testing::TestWithParam<unsigned> {};
+class FailedStartsTest : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(FailedStartTest, SkippingGivesWhatTryingAgainWould) {
+TEST_P(FailedStartsTest, SkippingGivesWhatTryingAgainWould) {
   Cluster remembers(GetParam(), true);
   Cluster tries(GetParam(), false);
   for (int second = 0; second < 300; ++second) {
@@ -151,7 +151,8 @@
   EXPECT_GT(remembers.remembered(), 100U);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, FailedStartTest, ::testing::Values(1U, 2U, 3U, 4U, 5U, 6U, 7U, 8U));
+INSTANTIATE_TEST_SUITE_P(Seeds, FailedStartsTest,
+                         ::testing::Values(1U, 2U, 3U, 4U, 5U, 6U, 7U, 8U));
 
 }  // namespace
 }  // namespace marblevale
--- a/tests/formats_test.cpp
+++ b/tests/formats_test.cpp
@@ -1,10 +1,10 @@
 // Settings, records, reports and heartbeats: what is read back is what was written; bad input is
 // refused with the field's name, and never crashes.
 #include "config/settings.hpp"
-#include "helpers.hpp"
 #include "peers/peer_heartbeat.hpp"
 #include "records/records.hpp"
 #include "scheduling/scale_out.hpp"
+#include "support/helpers.hpp"
 
 namespace marblevale {
 namespace {
@@ -258,7 +258,7 @@
   EXPECT_EQ(guarantee_record.notes.back().what, "49");
 }
 
-TEST(Reports, MustBeWhole) {
+TEST(WorkerHeartbeats, MustBeWhole) {
   const std::string good =
       R"({"host":"vm-1","address":"x:1","build":"g","district":"a","loaners":true,"tenure":1,
           "tally":2,"warrant":3,"recall_s":7.5,
@@ -325,7 +325,7 @@
   EXPECT_FALSE(decode_peer_heartbeat(encode(heartbeat))) << "of another version";
 }
 
-TEST(Demand, RentsTheCheapestKindThatSavesWaiting) {
+TEST(ScaleOut, RentsTheCheapestKindThatSavesWaiting) {
   MachineType type;
   type.name = "g8";
   type.resources = {96, 8, 768};
--- a/tests/leader_change_test.cpp
+++ b/tests/leader_failover_test.cpp
@@ -1,7 +1,7 @@
 // A leader whose term meets another trouble: the state service out, another leader before or after
 // it, commits and answers that come late.
 #include "leader/shard_assigner.hpp"
-#include "leader_fixture.hpp"
+#include "support/leader_loop_fixture.hpp"
 
 namespace marblevale {
 namespace {
@@ -9,7 +9,7 @@
 using testing::ScriptedStore;
 using Script = ScriptedStore::Script;
 
-class LeaderChangeTest : public testing::LeaderTest {
+class LeaderFailoverTest : public testing::LeaderLoopTest {
  protected:
   /// The state service is out: commits are refused, and open watches wait.
   void outage(Duration duration) {
@@ -64,7 +64,7 @@
 
 // `deleting` is committed before the cloud is asked; an outage longer than `cancel_s` would leave a
 // cancelled task where it is.
-TEST_F(LeaderChangeTest, AnOutageDoesNotKeepACancelledTaskOnItsMachine) {
+TEST_F(LeaderFailoverTest, AnOutageDoesNotKeepACancelledTaskOnItsMachine) {
   machine("vm-1");
   machine("vm-2");
   const JobSpec cancelled = testing::gang("req-1", 1, 1, 600);
@@ -97,7 +97,7 @@
   EXPECT_EQ(cache_.records().machines.at(MachineId("vm-2")).record.state, MachineState::up);
 }
 
-TEST_F(LeaderChangeTest, AnAnswerToAHireThatComesWhileNobodyLeadsIsNotCommitted) {
+TEST_F(LeaderFailoverTest, AnAnswerToAHireThatComesWhileNobodyLeadsIsNotCommitted) {
   settings_.peers = {{NodeId("n1"), ZoneId("b"), {}}, {NodeId("n2"), ZoneId("b"), {}}};
   cloud_.scales_out = cloud_.hold_provisioning = true;
   begin();
@@ -127,7 +127,7 @@
             1U);
 }
 
-TEST_F(LeaderChangeTest, AHireThatAnEarlierLeaderHasNotSettledIsAskedForUnderItsName) {
+TEST_F(LeaderFailoverTest, AHireThatAnEarlierLeaderHasNotSettledIsAskedForUnderItsName) {
   ProvisioningRequest provisioning_request;
   provisioning_request.name = "h-5-1";
   provisioning_request.machine_type = "g8";
@@ -143,7 +143,7 @@
 }
 
 // Found by reading: what had been decided under one term was written under the next.
-TEST_F(LeaderChangeTest, ADeletionThatAnEarlierTermDecidedIsNotWrittenByALaterOne) {
+TEST_F(LeaderFailoverTest, ADeletionThatAnEarlierTermDecidedIsNotWrittenByALaterOne) {
   machine("vm-1");
   begin();
   run(Duration{1'100});
@@ -162,7 +162,7 @@
   EXPECT_TRUE(cloud_.removed.empty());
 }
 
-TEST_F(LeaderChangeTest, WorkGoesOnWhileLeadersChangeTenTimes) {
+TEST_F(LeaderFailoverTest, WorkGoesOnWhileLeadersChangeTenTimes) {
   machine("vm-1");
   begin();
   std::vector<std::string> begun;
@@ -193,7 +193,7 @@
   EXPECT_EQ(begun.size(), 10U);
 }
 
-TEST_F(LeaderChangeTest, ShardsDoNotMoveBecauseLeadersChange) {
+TEST_F(LeaderFailoverTest, ShardsDoNotMoveBecauseLeadersChange) {
   settings_.peers = {{NodeId("n2"), ZoneId("a"), {}}};
   store_.put(keys::node(NodeId("n2")),
              encode(NodeRecord{NodeId("n2"), ProcessIncarnation(5), LeaseId(90)}));
@@ -214,7 +214,7 @@
 
 // Found by inc-9b45: a zone's controller that had lost its workers for two minutes was given its
 // shard back every 45 s, and lost it again 20 s later.
-TEST_F(LeaderChangeTest, AShardWhoseHomeDoesNotReachItsWorkersIsAwayLongerEachTime) {
+TEST_F(LeaderFailoverTest, AShardWhoseHomeDoesNotReachItsWorkersIsAwayLongerEachTime) {
   settings_.peers = {{NodeId("n2"), ZoneId("a"), {}}, {NodeId("n3"), ZoneId("b"), {}}};
   for (const char* node : {"n2", "n3"}) {
     store_.put(keys::node(NodeId(node)),
@@ -240,7 +240,7 @@
 
 /// A leader that stood still for longer than its epoch's lease and has no word of the records
 /// yet.
-class PausedLeaderTest : public LeaderChangeTest {
+class LeaderProcessPauseTest : public LeaderFailoverTest {
  protected:
   void stand_still(Duration pause = Duration{5'000}) {
     time_.stand_still(pause);
@@ -261,7 +261,7 @@
 
 // Found by inc-0452: a leader that stood still planned a round and released three tasks before it
 // read that its epoch had ended. The commits failed by their guards; the plan was in vain.
-TEST_F(PausedLeaderTest, ReleasesNothingBeforeItHasReadTheRecordsAgain) {
+TEST_F(LeaderProcessPauseTest, ReleasesNothingBeforeItHasReadTheRecordsAgain) {
   machine("vm-1");
   begin();
   submit(testing::gang("req-1", 1, 2, 60));
@@ -276,7 +276,7 @@
   EXPECT_EQ(tasks("req-1")[0].state, TaskState::released) << "the term goes on";
 }
 
-TEST_F(PausedLeaderTest, RentsNothingBeforeItHasReadTheRecordsAgain) {
+TEST_F(LeaderProcessPauseTest, RentsNothingBeforeItHasReadTheRecordsAgain) {
   begin();
   run(Duration{1'200});
   submit(testing::gang("req-1", 1, 2, 60));
@@ -291,7 +291,7 @@
   EXPECT_FALSE(cloud_.provisioning_requests.empty());
 }
 
-TEST_F(PausedLeaderTest, DecidesOnNoDeletionBeforeItHasReadTheRecordsAgain) {
+TEST_F(LeaderProcessPauseTest, DecidesOnNoDeletionBeforeItHasReadTheRecordsAgain) {
   machine("vm-1");
   begin();
   MachineRecord silent = cache_.records().machines.at(MachineId("vm-1")).record;
@@ -310,7 +310,7 @@
   EXPECT_TRUE(cloud_.removed.empty());
 }
 
-TEST_F(PausedLeaderTest, DropsADeletionThatItHadDecidedOnButNotCommitted) {
+TEST_F(LeaderProcessPauseTest, DropsADeletionThatItHadDecidedOnButNotCommitted) {
   machine("vm-1");
   begin();
   run(Duration{1'100});
@@ -323,7 +323,7 @@
   EXPECT_TRUE(cloud_.removed.empty());
 }
 
-TEST_F(PausedLeaderTest, CarriesOutADeletionThatWasCommitted) {
+TEST_F(LeaderProcessPauseTest, CarriesOutADeletionThatWasCommitted) {
   machine("vm-1");
   begin();
   run(Duration{1'100});
@@ -338,7 +338,7 @@
   EXPECT_EQ(commits_since(), 0U);
 }
 
-TEST_F(PausedLeaderTest, MovesNoShardBeforeItHasReadTheRecordsAgain) {
+TEST_F(LeaderProcessPauseTest, MovesNoShardBeforeItHasReadTheRecordsAgain) {
   store_.put(keys::shard(ZoneId("a")),
              encode(ShardRecord{ZoneId("a"), NodeId("n2"), ProcessIncarnation(5), 1}));
   ShardAssigner shards(loop_, time_, settings_, cache_, election_);
@@ -354,7 +354,7 @@
 
 // Found by reading: a slow answer to its own commit, told after the watch had told the deletion,
 // left the record in this copy for good. A job that was over waited there beside free machines.
-TEST_F(LeaderChangeTest, ALateAnswerDoesNotBringBackWhatWasDeletedSince) {
+TEST_F(LeaderFailoverTest, ALateAnswerDoesNotBringBackWhatWasDeletedSince) {
   begin();
   const JobSpec spec = testing::gang("req-1", 1, 1, 60);
   store_.hold = true;
@@ -371,7 +371,7 @@
   EXPECT_FALSE(cache_.records().jobs.contains(spec.job_id));
 }
 
-TEST_F(LeaderChangeTest, LateMachineTypesDoNotReplaceNewerOnes) {
+TEST_F(LeaderFailoverTest, LateMachineTypesDoNotReplaceNewerOnes) {
   begin();
   std::vector<MachineType> types = cache_.records().types->record;
   types[0].price = 2;
@@ -386,7 +386,7 @@
   EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
 }
 
-TEST_F(LeaderChangeTest, WhatBelongsToAJobThatOnlyThisCopyLacksIsNotSweptUp) {
+TEST_F(LeaderFailoverTest, WhatBelongsToAJobThatOnlyThisCopyLacksIsNotSweptUp) {
   begin();
   run(Duration{1'000});
   // As while the records are read anew, page by page.
@@ -402,7 +402,7 @@
 
 // A late commit can bring back the page of a machine that is long gone; nothing else would ever
 // take it out of the plan, and jobs would be released there again and again.
-TEST_F(LeaderChangeTest, AMachineOfWhichOnlyTheRecordIsLeftDoesNotStayInThePlan) {
+TEST_F(LeaderFailoverTest, AMachineOfWhichOnlyTheRecordIsLeftDoesNotStayInThePlan) {
   settings_.list_lag = Duration{4'000};
   machine_in("a", "vm-1", time_.wall() - Duration{600'000});
   machine_in("a", "vm-2", time_.wall());  // not listed yet
@@ -413,7 +413,7 @@
   EXPECT_EQ(cache_.records().machines.at(MachineId("vm-1")).record.state, MachineState::gone);
 }
 
-TEST_F(LeaderChangeTest, AProfileThatDisagreesWithTheRecordsIsMadeAnew) {
+TEST_F(LeaderFailoverTest, AProfileThatDisagreesWithTheRecordsIsMadeAnew) {
   machine("vm-1");
   submit(testing::gang("req-1", 1, 2, 6'000));
   TaskRecord task = bound("vm-1");
@@ -430,7 +430,7 @@
   EXPECT_EQ(tasks("req-2")[0].state, TaskState::released);
 }
 
-TEST_F(LeaderChangeTest, AJobWhoseTasksAreAllDoneIsEndedWhateverKeptItsHolderFromIt) {
+TEST_F(LeaderFailoverTest, AJobWhoseTasksAreAllDoneIsEndedWhateverKeptItsHolderFromIt) {
   submit(testing::gang("req-1", 1, 1, 60));
   TaskRecord done;
   done.state = TaskState::done;
@@ -442,7 +442,7 @@
   EXPECT_TRUE(store_.get(keys::final_job(JobId("req-1"))));
 }
 
-TEST_F(LeaderChangeTest, AJobOfSeveralSlicesIsEndedByWhoeverLeadsThen) {
+TEST_F(LeaderFailoverTest, AJobOfSeveralSlicesIsEndedByWhoeverLeadsThen) {
   const auto slice = [&](const std::string& job_id, std::uint32_t number, std::uint32_t size) {
     SliceRecord out;
     out.job_id = JobId(job_id);
@@ -482,7 +482,7 @@
 // Found by reading: the leader's own commit of a cancellation is in its copy at once, before the
 // watch tells of a binding that was committed earlier. The job was called over, and its task, no
 // longer anybody's to stop, went on outside its team's limit.
-TEST_F(LeaderChangeTest, ACancelledJobIsNotOverBeforeAllThatCameBeforeIsKnown) {
+TEST_F(LeaderFailoverTest, ACancelledJobIsNotOverBeforeAllThatCameBeforeIsKnown) {
   machine("vm-1");
   begin();
   run(Duration{100});
@@ -508,7 +508,7 @@
 }
 
 // Team at its limit, a change of leader, a machine that can't be asked, and a cancellation.
-TEST_F(LeaderChangeTest, ACancelledTaskCountsAgainstTheLimitUntilProof) {
+TEST_F(LeaderFailoverTest, ACancelledTaskCountsAgainstTheLimitUntilProof) {
   machine("vm-1");
   machine("vm-2");
   const JobSpec cancelled = testing::gang("req-1", 1, 2, 600);
@@ -527,7 +527,7 @@
   EXPECT_EQ(tasks("req-2")[0].state, TaskState::released);
 }
 
-TEST_F(LeaderChangeTest, AReleaseOfAnEarlierTermFailsByTheTerm) {
+TEST_F(LeaderFailoverTest, AReleaseOfAnEarlierTermFailsByTheTerm) {
   machine("vm-1");
   begin();
   const JobSpec first = testing::gang("req-1", 1, 2, 60);
@@ -549,7 +549,7 @@
 }
 
 // Tasks that nobody can ask about, on machines that are silent, out of reach or in no record.
-TEST_F(LeaderChangeTest, TasksOnMachinesThatCannotBeAskedCountUnderANewLeader) {
+TEST_F(LeaderFailoverTest, TasksOnMachinesThatCannotBeAskedCountUnderANewLeader) {
   two_zones();
   limit(3);
   machine("vm-1");
@@ -582,7 +582,7 @@
   }
 }
 
-TEST_F(LeaderChangeTest, TogetherAndSpreadCountTasksOnMachinesThatNoRecordKnows) {
+TEST_F(LeaderFailoverTest, TogetherAndSpreadCountTasksOnMachinesThatNoRecordKnows) {
   two_zones();
   limit(100);
   machine("vm-1");  // in zone a
@@ -610,7 +610,7 @@
   EXPECT_EQ(tasks("req-2").at(1).zone, ZoneId("b"));
 }
 
-TEST_F(LeaderChangeTest, MachinesAreHiredInTheZoneToWhichAJobIsBound) {
+TEST_F(LeaderFailoverTest, MachinesAreHiredInTheZoneToWhichAJobIsBound) {
   two_zones();
   limit(100);
   machine("vm-1");
--- a/tests/granting_test.cpp
+++ b/tests/leader_loop_test.cpp
@@ -1,14 +1,14 @@
 // The leader: election, granting and quota with a scripted state service and a fake clock.
-#include "leader_fixture.hpp"
+#include "support/leader_loop_fixture.hpp"
 
 namespace marblevale {
 namespace {
 
-using testing::LeaderTest;
+using testing::LeaderLoopTest;
 using testing::ScriptedStore;
 using Script = ScriptedStore::Script;
 
-TEST_F(LeaderTest, ReleasesAndGrantsUnderItsTerm) {
+TEST_F(LeaderLoopTest, ReleasesAndGrantsUnderItsTerm) {
   machine("vm-1");
   begin();
   submit(testing::gang("req-1", 1, 1, 60));
@@ -22,13 +22,13 @@
   }
 }
 
-TEST_F(LeaderTest, AnEarlierLifesLeadershipIsTakenOverAtOnce) {
+TEST_F(LeaderLoopTest, AnEarlierLifesLeadershipIsTakenOverAtOnce) {
   store_.put(keys::kLeader, encode(LeaderRecord{NodeId("me"), ProcessIncarnation(3)}));
   begin();
   EXPECT_TRUE(election_.is_established_leader());
 }
 
-TEST_F(LeaderTest, AnotherLeaderIsRespectedUntilItsRecordIsGone) {
+TEST_F(LeaderLoopTest, AnotherLeaderIsRespectedUntilItsRecordIsGone) {
   store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), ProcessIncarnation(3)}));
   begin();
   run(Duration{3000});
@@ -40,7 +40,7 @@
   EXPECT_TRUE(election_.is_established_leader());
 }
 
-TEST_F(LeaderTest, TheOnlyControllerOfAZoneLetsThoseElsewhereStandFirst) {
+TEST_F(LeaderLoopTest, TheOnlyControllerOfAZoneLetsThoseElsewhereStandFirst) {
   settings_.peers = {{NodeId("n1"), ZoneId("b"), {}}, {NodeId("n2"), ZoneId("b"), {}}};
   begin();
   run(Duration{200});
@@ -49,7 +49,7 @@
   EXPECT_TRUE(election_.is_established_leader()) << "nobody else did";
 }
 
-TEST_F(LeaderTest, ALostSessionEndsLeadership) {
+TEST_F(LeaderLoopTest, ALostSessionEndsLeadership) {
   begin();
   ASSERT_TRUE(election_.is_established_leader());
   store_.end_lease(LeaseId(1));
@@ -60,7 +60,7 @@
   EXPECT_FALSE(election_.is_established_leader());
 }
 
-TEST_F(LeaderTest, QuotaCountsWhatAnEarlierLeaderReleased) {
+TEST_F(LeaderLoopTest, QuotaCountsWhatAnEarlierLeaderReleased) {
   machine("vm-1");
   submit(testing::gang("req-old", 1, 2, 600));
   set_task("req-old", bound("vm-1"));
@@ -70,7 +70,7 @@
   EXPECT_TRUE(tasks("req-new").empty()) << "the team's two GPUs are taken";
 }
 
-TEST_F(LeaderTest, AnUnknownReleaseCountsUntilItIsSettled) {
+TEST_F(LeaderLoopTest, AnUnknownReleaseCountsUntilItIsSettled) {
   machine("vm-1");
   begin();
   submit(testing::gang("req-1", 1, 2, 60));
@@ -87,7 +87,7 @@
 }
 
 // Found by an incident: a leader that the state service refused released the same task every 20 ms.
-TEST_F(LeaderTest, ARefusedReleaseIsNotTriedAgainAtOnce) {
+TEST_F(LeaderLoopTest, ARefusedReleaseIsNotTriedAgainAtOnce) {
   machine("vm-1");
   begin();
   submit(testing::gang("req-1", 1, 1, 60));
@@ -100,7 +100,7 @@
   EXPECT_EQ(tasks("req-1").at(0).state, TaskState::released);
 }
 
-TEST_F(LeaderTest, AnArrayBeginsBroadlyWhereRoomIs) {
+TEST_F(LeaderLoopTest, AnArrayBeginsBroadlyWhereRoomIs) {
   settings_.teams[0].gpus = settings_.teams[0].gpus_max = 400;
   for (int i = 0; i < 30; ++i) machine("vm-" + std::to_string(100 + i));
   begin();
@@ -113,7 +113,7 @@
   EXPECT_EQ(released, 200U) << "not one slice after the other";
 }
 
-TEST_F(LeaderTest, AReasonIsKeptUntilItIsRecorded) {
+TEST_F(LeaderLoopTest, AReasonIsKeptUntilItIsRecorded) {
   begin();
   submit(testing::gang("req-1", 1, 1, 60));
   run(Duration{200});
@@ -127,7 +127,7 @@
   EXPECT_EQ(notes("req-1"), std::vector<std::string>{"displaced for req-7 (urgent)"});
 }
 
-TEST_F(LeaderTest, ANewLeaderRecordsTheReasonsThatTheLastOneHadNotWritten) {
+TEST_F(LeaderLoopTest, ANewLeaderRecordsTheReasonsThatTheLastOneHadNotWritten) {
   machine("vm-1");
   submit(testing::gang("req-1", 1, 1, 60));
   TaskRecord task = bound("vm-1");
@@ -138,7 +138,7 @@
   EXPECT_EQ(notes("req-1"), std::vector<std::string>{"displaced for req-7 (urgent)"});
 }
 
-TEST_F(LeaderTest, RoomIsMadeForEachUrgentJobAndNotForOneAfterTheOther) {
+TEST_F(LeaderLoopTest, RoomIsMadeForEachUrgentJobAndNotForOneAfterTheOther) {
   settings_.teams[0].gpus = settings_.teams[0].gpus_max = 100;
   for (const std::string n : {"1", "2"}) {
     machine("vm-" + n);
@@ -160,7 +160,7 @@
   EXPECT_TRUE(tasks("req-2").at(0).stop) << "what is vacated for one job is not the other's";
 }
 
-TEST_F(LeaderTest, TheOrderInWhichZonesComeBackDoesNotDecideWhoseJobGoesFirst) {
+TEST_F(LeaderLoopTest, TheOrderInWhichZonesComeBackDoesNotDecideWhoseJobGoesFirst) {
   settings_.zones = {ZoneId("a"), ZoneId("b")};
   settings_.teams[0].gpus = settings_.teams[0].gpus_max = 100;
   MachineType type;
@@ -195,7 +195,7 @@
   EXPECT_EQ(tasks("req-2")[0].zone, ZoneId("a"));
 }
 
-TEST_F(LeaderTest, ManyThatFallSilentTogetherAreWaitedForLonger) {
+TEST_F(LeaderLoopTest, ManyThatFallSilentTogetherAreWaitedForLonger) {
   const auto silent = [&](const std::string& machine_id) {
     MachineRecord m;
     m.machine_id = MachineId(machine_id);
@@ -213,7 +213,7 @@
   EXPECT_EQ(cloud_.removed.size(), 12U);
 }
 
-TEST_F(LeaderTest, OnlyAListThatMustBeNewerShowsThatAMachineIsGone) {
+TEST_F(LeaderLoopTest, OnlyAListThatMustBeNewerShowsThatAMachineIsGone) {
   settings_.list_lag = Duration{4'000};
   machine("vm-1");
   cloud_.listing.emplace();
@@ -228,7 +228,7 @@
   EXPECT_EQ(cloud_.removed, std::vector<MachineId>{MachineId("vm-1")});
 }
 
-TEST_F(LeaderTest, NothingIsReleasedToAZoneThatItsHolderDoesNotReach) {
+TEST_F(LeaderLoopTest, NothingIsReleasedToAZoneThatItsHolderDoesNotReach) {
   machine("vm-1");
   store_.put(keys::shard(ZoneId("a")),
              encode(ShardRecord{ZoneId("a"), NodeId("me"), ProcessIncarnation(7), 1}));
@@ -245,7 +245,7 @@
   EXPECT_EQ(tasks("req-1")[0].state, TaskState::released);
 }
 
-TEST_F(LeaderTest, ALongArrayCostsNoMoreSlicesThanItCanUse) {
+TEST_F(LeaderLoopTest, ALongArrayCostsNoMoreSlicesThanItCanUse) {
   machine("vm-1");
   begin();
   submit(testing::batch("req-1", 100'000, 1, 60));
@@ -258,7 +258,7 @@
   EXPECT_EQ(released, 2U) << "as many as the team's limit allows";
 }
 
-TEST_F(LeaderTest, AGangRestartsOnlyAfterProofOfAllItsTasks) {
+TEST_F(LeaderLoopTest, AGangRestartsOnlyAfterProofOfAllItsTasks) {
   settings_.teams[0].gpus_max = 8;
   machine("vm-1");
   machine("vm-2");
@@ -280,7 +280,7 @@
   EXPECT_EQ(tasks("req-1").at(1).attempt, Attempt(2));
 }
 
-TEST_F(LeaderTest, ACancelledTaskThatDoesNotEndCostsItsMachine) {
+TEST_F(LeaderLoopTest, ACancelledTaskThatDoesNotEndCostsItsMachine) {
   machine("vm-1");
   JobSpec spec = testing::gang("req-1", 1, 1, 60);
   submit(spec);
@@ -295,7 +295,7 @@
   EXPECT_EQ(cache_.records().machines.at(MachineId("vm-1")).record.state, MachineState::gone);
 }
 
-TEST_F(LeaderTest, AnUnansweredDeletionProvesNothing) {
+TEST_F(LeaderLoopTest, AnUnansweredDeletionProvesNothing) {
   machine("vm-1");
   cloud_.removes = false;
   begin();
@@ -309,7 +309,7 @@
 }
 
 // Found by a rough day: the task failed twice on the same sick machine, which was then absolved.
-TEST_F(LeaderTest, AMachineIsAbsolvedOnlyByAFailureElsewhere) {
+TEST_F(LeaderLoopTest, AMachineIsAbsolvedOnlyByAFailureElsewhere) {
   MachineRecord m;
   m.machine_id = MachineId("vm-1");
   m.machine_type = "g8";
@@ -333,7 +333,7 @@
   EXPECT_EQ(cache_.records().machines.at(m.machine_id).record.state, MachineState::up);
 }
 
-TEST_F(LeaderTest, AMachineIsCondemnedWhenItsTaskRunsElsewhere) {
+TEST_F(LeaderLoopTest, AMachineIsCondemnedWhenItsTaskRunsElsewhere) {
   MachineRecord m;
   m.machine_id = MachineId("vm-1");
   m.machine_type = "g8";
@@ -355,7 +355,7 @@
   EXPECT_EQ(cloud_.removed[0], MachineId("vm-1"));
 }
 
-TEST_F(LeaderTest, RentsUnderNamesThatAreNeverUsedTwice) {
+TEST_F(LeaderLoopTest, RentsUnderNamesThatAreNeverUsedTwice) {
   begin();
   submit(testing::gang("req-1", 1, 1, 60));
   run(Duration{60'000});
@@ -366,7 +366,7 @@
   EXPECT_EQ(names.size(), cloud_.provisioning_requests.size());
 }
 
-TEST_F(LeaderTest, StoredGuaranteesSurviveAChangeOfLeader) {
+TEST_F(LeaderLoopTest, StoredGuaranteesSurviveAChangeOfLeader) {
   machine("vm-1");
   submit(testing::gang("req-old", 1, 2, 600));
   TaskRecord running = bound("vm-1");
@@ -388,7 +388,7 @@
 
 // A task on a machine that no record knows could be proven gone by nobody, and its job would wait
 // for ever: the cloud's answer to the deletion is the proof.
-TEST_F(LeaderTest, ATaskOnAMachineThatNoRecordKnowsIsFreedByDeletingIt) {
+TEST_F(LeaderLoopTest, ATaskOnAMachineThatNoRecordKnowsIsFreedByDeletingIt) {
   submit(testing::gang("req-1", 1, 1, 60));
   set_task("req-1", bound("vm-lost"));
   begin();
@@ -402,7 +402,7 @@
 
 // A process that is back within a fraction of a second, in the middle of an election, with commits
 // of its earlier life still on their way.
-TEST_F(LeaderTest, ALateCommitOfItsEarlierLifeDoesNotUnseatAController) {
+TEST_F(LeaderLoopTest, ALateCommitOfItsEarlierLifeDoesNotUnseatAController) {
   Transaction stand;
   stand.guard(keys::kLeader, ModRevision{});
   stand.put(keys::kLeader, encode(LeaderRecord{NodeId("me"), ProcessIncarnation(3)}));
@@ -418,7 +418,7 @@
   EXPECT_EQ(election_.term(), term);
 }
 
-TEST_F(LeaderTest, AnEarlierLifeThatIsElectedLateIsFollowedByItsSuccessor) {
+TEST_F(LeaderLoopTest, AnEarlierLifeThatIsElectedLateIsFollowedByItsSuccessor) {
   // The earlier life's commit arrives first, while this one stands.
   store_.scripts = {Script::refuse, Script::refuse, Script::refuse};
   begin();
--- a/tests/occupancy_test.cpp
+++ b/tests/occupancy_test.cpp
@@ -3,7 +3,7 @@
 
 #include <random>
 
-#include "helpers.hpp"
+#include "support/helpers.hpp"
 
 namespace marblevale {
 namespace {
--- a/tests/open_releases_test.cpp
+++ b/tests/open_releases_test.cpp
@@ -1,10 +1,10 @@
 // What settles an open release, and what does not: the state machine by itself.
 #include <gtest/gtest.h>
 
-#include "helpers.hpp"
 #include "leader/quota_waits.hpp"
 #include "leader/team_quota_usage.hpp"
-#include "scripted_store.hpp"
+#include "support/helpers.hpp"
+#include "support/scripted_store.hpp"
 
 namespace marblevale {
 namespace {
--- a/tests/scale_test.cpp
+++ b/tests/planner_scale_test.cpp
@@ -1,6 +1,6 @@
 // Planning at the size of the largest deployment: its cost as a count of steps, never as time.
-#include "helpers.hpp"
 #include "scheduling/planner.hpp"
+#include "support/helpers.hpp"
 
 namespace marblevale {
 namespace {
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -3,8 +3,8 @@
 
 #include <memory>
 
-#include "helpers.hpp"
 #include "scheduling/job_queue.hpp"
+#include "support/helpers.hpp"
 
 namespace marblevale {
 namespace {
--- a/tests/rental_outcome_test.cpp
+++ b/tests/provisioning_outcome_test.cpp
@@ -1,11 +1,11 @@
 // Requests to the cloud whose outcome is open: machines that come of a request that was taken for
 // refused.
-#include "leader_fixture.hpp"
+#include "support/leader_loop_fixture.hpp"
 
 namespace marblevale {
 namespace {
 
-class ProvisioningOutcomeTest : public testing::LeaderTest {};
+class ProvisioningOutcomeTest : public testing::LeaderLoopTest {};
 
 // A request went without an answer, its repeat was refused for want of capacity and its record is
 // gone; then the first one is carried out. The machine is in the cloud's list and in no record.
--- a/tests/quota_under_faults_test.cpp
+++ b/tests/quota_under_faults_test.cpp
@@ -1,7 +1,7 @@
 // Random faults of the state service and of the ways between controllers, changes of leader and of
 // shard holder, restarts: no team may have more in use than its limit, by the records or at the
 // workers, and nothing may stay counted for ever. Each seed repeats exactly.
-#include "simulated_cluster.hpp"
+#include "support/simulated_cluster.hpp"
 
 namespace marblevale {
 namespace {
--- a/tests/release_offer_test.cpp
+++ b/tests/release_offer_test.cpp
@@ -1,11 +1,11 @@
 // A leader that offers its releases to the holder of a shard: what is offered counts until it is
 // settled, whatever the holder says and whenever the answer comes.
-#include "leader_fixture.hpp"
+#include "support/leader_loop_fixture.hpp"
 
 namespace marblevale {
 namespace {
 
-using testing::LeaderTest;
+using testing::LeaderLoopTest;
 using testing::ScriptedStore;
 using Script = ScriptedStore::Script;
 
@@ -26,7 +26,7 @@
   std::optional<OfferOutcome> answer;
 };
 
-class OfferingLeaderTest : public LeaderTest {
+class ReleaseOfferTest : public LeaderLoopTest {
  protected:
   void begin_offering() {
     machine("vm-1");
@@ -66,7 +66,7 @@
   ScriptedChannel channel_;
 };
 
-TEST_F(OfferingLeaderTest, AnOfferCountsAgainstTheLimitUntilItIsSettled) {
+TEST_F(ReleaseOfferTest, AnOfferCountsAgainstTheLimitUntilItIsSettled) {
   begin_offering();
   submit(testing::gang("req-1", 1, 2, 60));
   run(Duration{200});
@@ -85,7 +85,7 @@
   EXPECT_EQ(tasks("req-1").at(0).state, TaskState::released) << "by the ordinary way";
 }
 
-TEST_F(OfferingLeaderTest, ABindingSettlesItsOffer) {
+TEST_F(ReleaseOfferTest, ABindingSettlesItsOffer) {
   begin_offering();
   submit(testing::gang("req-1", 1, 1, 60));
   run(Duration{200});
@@ -98,7 +98,7 @@
 
 // Found on a recorded day: 959 offers in 30 s found no binding in time, because their holders had
 // no budget for more writes, and the leader's own releases cost as many again.
-TEST_F(OfferingLeaderTest, NoMoreIsOfferedToAHolderThanItCanBind) {
+TEST_F(ReleaseOfferTest, NoMoreIsOfferedToAHolderThanItCanBind) {
   settings_.teams[0].gpus_max = 1000;
   for (int i = 0; i < 10; ++i) machine("vm-" + std::to_string(10 + i));
   begin_offering();
@@ -112,7 +112,7 @@
   EXPECT_EQ(channel_.offers.size(), 11U) << "one was bound, and the next has its turn";
 }
 
-TEST_F(OfferingLeaderTest, WhatIsDeclinedIsPlannedAnew) {
+TEST_F(ReleaseOfferTest, WhatIsDeclinedIsPlannedAnew) {
   channel_.answer = OfferOutcome::declined;
   begin_offering();
   submit(testing::gang("req-1", 1, 1, 60));
@@ -124,7 +124,7 @@
 
 // An answer names its offer: one that comes late says nothing of a later offer for the same slice,
 // which the holder may still bind.
-TEST_F(OfferingLeaderTest, ALateDeclineOfAnEarlierOfferDoesNotEndALaterOne) {
+TEST_F(ReleaseOfferTest, ALateDeclineOfAnEarlierOfferDoesNotEndALaterOne) {
   begin_offering();
   submit(testing::gang("req-1", 1, 2, 60));
   run(Duration{200});
@@ -148,7 +148,7 @@
 
 // The holder did not answer in time, so the leader committed the release itself, without an answer
 // either. That the holder declined is no word of that commit.
-TEST_F(OfferingLeaderTest, ADeclineDoesNotEndTheCommitThatFollowedTheOffer) {
+TEST_F(ReleaseOfferTest, ADeclineDoesNotEndTheCommitThatFollowedTheOffer) {
   begin_offering();
   submit(testing::gang("req-1", 1, 2, 60));
   std::deque<Script> first_is_late(60, Script::refuse);
--- a/tests/release_outcome_test.cpp
+++ b/tests/release_outcome_test.cpp
@@ -1,17 +1,17 @@
 // Releases whose outcome is open: what may still be applied counts against the team's limit. Each
 // test adds up what the team has in use by the records of the state service.
-#include "leader_fixture.hpp"
+#include "support/leader_loop_fixture.hpp"
 
 namespace marblevale {
 namespace {
 
-using testing::LeaderTest;
+using testing::LeaderLoopTest;
 using testing::ScriptedStore;
 using Script = ScriptedStore::Script;
 
 constexpr double kLimit = 2;  // GPUs of the fixture's only team
 
-class ReleaseOutcomeTest : public LeaderTest {
+class ReleaseOutcomeTest : public LeaderLoopTest {
  protected:
   ReleaseOutcomeTest() { machine("vm-1"); }
 
--- a/tests/standing_jobs_test.cpp
+++ b/tests/service_job_test.cpp
@@ -1,11 +1,11 @@
 // Standing jobs: replicas run until the job is cancelled. One that ends in any way runs again, and
 // one whose machine is about to go moves ahead of the loss.
-#include "holder_fixture.hpp"
-#include "leader_fixture.hpp"
 #include "scheduling/job_queue.hpp"
 #include "scheduling/machine_evacuation.hpp"
 #include "scheduling/preemption.hpp"
 #include "shards/task_presence.hpp"
+#include "support/leader_loop_fixture.hpp"
+#include "support/shard_holder_fixture.hpp"
 
 namespace marblevale {
 namespace {
@@ -65,9 +65,9 @@
   EXPECT_EQ(task.faults, 4U) << "the loss of a machine is not its fault";
 }
 
-class StandingHolderTest : public testing::ShardHolderTest {};
+class ServiceJobHolderTest : public testing::ShardHolderTest {};
 
-TEST_F(StandingHolderTest, AReplicaThatEndsLeavesTheJobUnfinished) {
+TEST_F(ServiceJobHolderTest, AReplicaThatEndsLeavesTheJobUnfinished) {
   handle_heartbeat(1, 0);
   run(Duration{50});
   handle_heartbeat(1, token());
@@ -85,7 +85,7 @@
 
 // While writes are short sixteen commits are on their way, and those that wait have their turn one
 // by one: on a day of hawakir-fields-next replicas were bound 20 to 80 s after their release.
-TEST_F(StandingHolderTest, ItsBindingDoesNotWaitForTheCommitsOfOthers) {
+TEST_F(ServiceJobHolderTest, ItsBindingDoesNotWaitForTheCommitsOfOthers) {
   handle_heartbeat(1, 0);
   run(Duration{50});
   handle_heartbeat(1, token());
@@ -103,7 +103,7 @@
   EXPECT_EQ(binding_priority(cache_.records(), JobId("req-100")), RequestPriority::binding);
 }
 
-class StandingLeaderTest : public testing::LeaderTest {
+class ServiceJobLeaderTest : public testing::LeaderLoopTest {
  protected:
   void machine_in_state(const std::string& machine_id, MachineState state,
                         std::optional<WallTime> reclaim_at = std::nullopt) {
@@ -135,7 +135,7 @@
   }
 };
 
-TEST_F(StandingLeaderTest, AReplicaThatEndedIsReleasedAgain) {
+TEST_F(ServiceJobLeaderTest, AReplicaThatEndedIsReleasedAgain) {
   machine("vm-1");
   machine("vm-2");
   begin();
@@ -150,7 +150,7 @@
   EXPECT_EQ(tasks("req-1")[0].state, TaskState::bound) << "the other is left alone";
 }
 
-TEST_F(StandingLeaderTest, ADoneReplicaOfAnotherVersionRunsAgainAndEndsNothing) {
+TEST_F(ServiceJobLeaderTest, ADoneReplicaOfAnotherVersionRunsAgainAndEndsNothing) {
   machine("vm-1");
   begin();
   TaskRecord done;
@@ -162,7 +162,7 @@
   for (const TaskRecord& task : tasks("req-1")) EXPECT_EQ(task.state, TaskState::released);
 }
 
-TEST_F(StandingLeaderTest, DoneReplicasInAllSlicesEndNoJob) {
+TEST_F(ServiceJobLeaderTest, DoneReplicasInAllSlicesEndNoJob) {
   begin();
   const JobSpec spec = standing("req-1", kSliceTasks + 1, 0);
   for (std::uint32_t number = 0; number < slice_count(spec); ++number) {
@@ -179,7 +179,7 @@
   EXPECT_FALSE(store_.get(keys::final_job(spec.job_id)));
 }
 
-TEST_F(StandingLeaderTest, ACancelledOneEndsOnceNothingOfItIsPlaced) {
+TEST_F(ServiceJobLeaderTest, ACancelledOneEndsOnceNothingOfItIsPlaced) {
   machine("vm-1");
   begin();
   const JobSpec spec = standing("req-1", 1, 1);
@@ -194,7 +194,7 @@
   EXPECT_NE(store_.get(keys::final_job(spec.job_id))->value.find("cancelled"), std::string::npos);
 }
 
-TEST_F(StandingLeaderTest, ReplicasLeaveAMachineThatTheCloudTakesBackAtOnce) {
+TEST_F(ServiceJobLeaderTest, ReplicasLeaveAMachineThatTheCloudTakesBackAtOnce) {
   machine("vm-1");
   machine_in_state("vm-2", MachineState::draining, time_.wall() + Duration{15'000});
   begin();
@@ -211,7 +211,7 @@
 }
 
 // Such a machine would never empty by itself, and would be paid for until the job is cancelled.
-TEST_F(StandingLeaderTest, ReplicasLeaveAQuarantinedMachineOneAtATime) {
+TEST_F(ServiceJobLeaderTest, ReplicasLeaveAQuarantinedMachineOneAtATime) {
   machine("vm-1");
   machine_in_state("vm-2", MachineState::quarantined);
   begin();
@@ -222,7 +222,7 @@
 
 // A replica is down from the end of its worker's lease: its machine is given up then, and not a
 // part of a lease later like others that fell silent.
-TEST_F(StandingLeaderTest, ASilentMachineWithAReplicaIsGivenUpOnceItsLeaseIsOver) {
+TEST_F(ServiceJobLeaderTest, ASilentMachineWithAReplicaIsGivenUpOnceItsLeaseIsOver) {
   const Duration lease_over =
       settings_.workers.lease - scaled(settings_.workers.heartbeat, kSilentHeartbeats);
   machine_in_state("vm-1", MachineState::silent);
@@ -260,9 +260,9 @@
 }
 
 /// One machine of 100 CPUs of which 60 are in use for 50 s more, and are reserved whole after that.
-class StandingPlanTest : public ::testing::Test {
+class ServiceJobPlanTest : public ::testing::Test {
  protected:
-  StandingPlanTest() {
+  ServiceJobPlanTest() {
     profile_.add_machine(testing::machine("m", 8));
     Plan running{{{0, WallTime{}, testing::at(150)}}};
     JobSpec running_job = testing::gang("req-0", 1, 8, 150);
@@ -312,7 +312,7 @@
 
 // An end that never comes conflicts with every reservation behind it: a replica would wait for as
 // long as anything is reserved, beside idle room.
-TEST_F(StandingPlanTest, AReplicaStartsBesideWhatRunsThoughTheRoomIsReservedLater) {
+TEST_F(ServiceJobPlanTest, AReplicaStartsBesideWhatRunsThoughTheRoomIsReservedLater) {
   const auto starts = round();
   ASSERT_EQ(starts.size(), 1U);
   EXPECT_EQ(starts[0].job_id, replica_.job_id);
@@ -323,14 +323,14 @@
       << "what stood in its way is placed again";
 }
 
-TEST_F(StandingPlanTest, AReservationOfTheSameUrgencyStays) {
+TEST_F(ServiceJobPlanTest, AReservationOfTheSameUrgencyStays) {
   later_.urgency = Urgency::production;
   EXPECT_TRUE(round().empty());
   EXPECT_EQ(reservations_.at(later_.job_id).start, testing::at(150));
 }
 
 // Where another of the same urgency keeps it out, the others' reservations are not broken in vain.
-TEST_F(StandingPlanTest, NoReservationGivesWayInVain) {
+TEST_F(ServiceJobPlanTest, NoReservationGivesWayInVain) {
   JobSpec equal = later_;
   equal.job_id = JobId("req-equal");
   equal.urgency = Urgency::production;
@@ -353,13 +353,13 @@
   EXPECT_TRUE(profile_.reservation_still_fits(Owner{3}));
 }
 
-TEST_F(StandingPlanTest, WithoutRoomBesideWhatRunsItWaits) {
+TEST_F(ServiceJobPlanTest, WithoutRoomBesideWhatRunsItWaits) {
   replica_.need.cpus = 50;
   EXPECT_TRUE(round().empty());
   EXPECT_EQ(reservations_.at(later_.job_id).start, testing::at(150));
 }
 
-TEST(StandingQueue, IsNotGatheredInOneZoneWhileWritesAreShort) {
+TEST(ServiceJobQueue, IsNotGatheredInOneZoneWhileWritesAreShort) {
   Records records;
   Settings settings;
   settings.zones = {ZoneId("a"), ZoneId("b")};
--- a/tests/holder_test.cpp
+++ b/tests/shard_holder_test.cpp
@@ -1,5 +1,5 @@
 // A shard's holder: bindings, proofs, cancellations.
-#include "holder_fixture.hpp"
+#include "support/shard_holder_fixture.hpp"
 
 namespace marblevale {
 namespace {
--- a/tests/startup_times_test.cpp
+++ b/tests/startup_times_test.cpp
@@ -1,8 +1,8 @@
 // The times that are logged once after the start of a process.
 #include "app/startup_times.hpp"
 
-#include "helpers.hpp"
-#include "scripted_store.hpp"
+#include "support/helpers.hpp"
+#include "support/scripted_store.hpp"
 
 namespace marblevale {
 namespace {
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -1,7 +1,7 @@
 // Jobs that wait beside a machine that fits, as the records have it.
 #include "scheduling/starvation.hpp"
 
-#include "helpers.hpp"
+#include "support/helpers.hpp"
 
 namespace marblevale {
 namespace {
--- a/tests/lowered_limits_test.cpp
+++ b/tests/store_limit_reduction_test.cpp
@@ -1,10 +1,10 @@
 // Limits of the state service that fall without notice: records fit the smaller values, are written
 // so that the version in production reads them until then, and none stays stuck.
 #include "config/settings.hpp"
-#include "holder_fixture.hpp"
 #include "leader/open_releases.hpp"
-#include "leader_fixture.hpp"
 #include "records/compact_encoding.hpp"
+#include "support/leader_loop_fixture.hpp"
+#include "support/shard_holder_fixture.hpp"
 
 namespace marblevale {
 namespace {
@@ -246,7 +246,7 @@
   EXPECT_FALSE(exceeds_announced(over, limits)) << "the present limits refuse it as well";
 }
 
-class LoweredLimitsTest : public testing::ShardHolderTest {
+class StoreLimitReductionTest : public testing::ShardHolderTest {
  protected:
   /// An array whose 64 tasks are released to vm-1: its slice is too large for the lowered limit.
   void release_large_slice() {
@@ -287,13 +287,13 @@
   }
 };
 
-TEST_F(LoweredLimitsTest, WhatIsOnlyAnnouncedChangesNoForm) {
+TEST_F(StoreLimitReductionTest, WhatIsOnlyAnnouncedChangesNoForm) {
   bind_large_slice();
   EXPECT_GT(stored_slice().size(), kLoweredBytes);
   EXPECT_NE(stored_slice().find("{\"v\":2,"), std::string::npos) << "older versions read only this";
 }
 
-TEST_F(LoweredLimitsTest, ALargeRecordIsRewrittenOnceTheyAreInForce) {
+TEST_F(StoreLimitReductionTest, ALargeRecordIsRewrittenOnceTheyAreInForce) {
   bind_large_slice();
   store_.enforces_announced = true;
   end_first_task();
@@ -303,7 +303,7 @@
   EXPECT_EQ(task().state, TaskState::done);
 }
 
-TEST_F(LoweredLimitsTest, NoCompactFormWhileAControllerLivesThatCannotReadIt) {
+TEST_F(StoreLimitReductionTest, NoCompactFormWhileAControllerLivesThatCannotReadIt) {
   bind_large_slice();
   store_.put(keys::node(NodeId("other")), R"({"v":1,"node":"other","nonce":3,"permit":9})");
   run(Duration{100});
@@ -318,7 +318,7 @@
   EXPECT_LE(stored_slice().size(), kLoweredBytes);
 }
 
-TEST_F(LoweredLimitsTest, ACompactRecordTellsOfThemAsWell) {
+TEST_F(StoreLimitReductionTest, ACompactRecordTellsOfThemAsWell) {
   bind_large_slice();
   SliceRecord slice = largest_slice();
   slice.job_id = JobId("req-2");
@@ -351,7 +351,7 @@
   EXPECT_EQ(again.guards, request.txn.guards);
 }
 
-class WideGangTest : public testing::LeaderTest {
+class WideGangTest : public testing::LeaderLoopTest {
  protected:
   static constexpr std::uint32_t kTasks = 7 * kSliceTasks;
 
--- a/tests/leader_fixture.hpp
+++ b/tests/support/leader_loop_fixture.hpp
@@ -1,9 +1,9 @@
 // A leader with a scripted state service, a scripted cloud and a fake clock.
 #pragma once
 
-#include "helpers.hpp"
 #include "leader/leader_loop.hpp"
-#include "scripted_store.hpp"
+#include "support/helpers.hpp"
+#include "support/scripted_store.hpp"
 
 namespace marblevale::testing {
 
@@ -56,9 +56,9 @@
   std::optional<std::vector<MachineType>> machine_types;  // none: no answer
 };
 
-class LeaderTest : public ::testing::Test {
+class LeaderLoopTest : public ::testing::Test {
  protected:
-  LeaderTest()
+  LeaderLoopTest()
       : cache_(loop_, time_, store_, 1),
         election_(loop_, time_, settings(), store_, cache_, ProcessIncarnation(7)),
         autoscaler_(loop_, time_, settings_, cache_, election_, cloud_),
--- a/tests/holder_fixture.hpp
+++ b/tests/support/shard_holder_fixture.hpp
@@ -1,9 +1,9 @@
 // A holder with a scripted state service, scripted workers and a fake clock.
 #pragma once
 
-#include "helpers.hpp"
-#include "scripted_store.hpp"
 #include "shards/shard_holder.hpp"
+#include "support/helpers.hpp"
+#include "support/scripted_store.hpp"
 
 namespace marblevale::testing {
 
--- a/tests/simulated_cluster.hpp
+++ b/tests/support/simulated_cluster.hpp
@@ -12,9 +12,9 @@
 #include <vector>
 
 #include "leader/shard_assigner.hpp"
-#include "leader_fixture.hpp"
 #include "protocol/json.hpp"
 #include "shards/shard_holder.hpp"
+#include "support/leader_loop_fixture.hpp"
 
 namespace marblevale::testing {
 
--- a/tests/suspect_machine_test.cpp
+++ b/tests/suspect_machines_test.cpp
@@ -1,12 +1,12 @@
 // Whose fault it is that tasks fail: a machine's, or the jobs' that were submitted with a mistake.
-#include "leader_fixture.hpp"
+#include "support/leader_loop_fixture.hpp"
 
 namespace marblevale {
 namespace {
 
-class SuspectMachineTest : public testing::LeaderTest {
+class SuspectMachinesTest : public testing::LeaderLoopTest {
  protected:
-  SuspectMachineTest() {
+  SuspectMachinesTest() {
     settings_.teams[0].gpus = settings_.teams[0].gpus_max = 0.5;  // nothing new is released
   }
 
@@ -48,7 +48,7 @@
   }
 };
 
-TEST_F(SuspectMachineTest, TwoMistakenJobsCondemnNoMachine) {
+TEST_F(SuspectMachinesTest, TwoMistakenJobsCondemnNoMachine) {
   two_jobs_fail_on_one_machine();
   fails("req-1", "vm-2", 2);
   run(Duration{2'000});
@@ -60,7 +60,7 @@
   EXPECT_EQ(state(), MachineState::up);
 }
 
-TEST_F(SuspectMachineTest, ASickMachineIsFoundByTheSecondJobThatRunsElsewhere) {
+TEST_F(SuspectMachinesTest, ASickMachineIsFoundByTheSecondJobThatRunsElsewhere) {
   two_jobs_fail_on_one_machine();
   fails("req-1", "vm-2", 2);  // this one has a mistake of its own
   machine("vm-3");
@@ -70,7 +70,7 @@
   EXPECT_EQ(cloud_.removed[0], MachineId("vm-1"));
 }
 
-TEST_F(SuspectMachineTest, OnWhichTwoJobsFailedThatRunNowhereElseIsGivenUpInTheEnd) {
+TEST_F(SuspectMachinesTest, OnWhichTwoJobsFailedThatRunNowhereElseIsGivenUpInTheEnd) {
   two_jobs_fail_on_one_machine();
   run(Duration{30'000});
   EXPECT_EQ(state(), MachineState::suspect);
--- a/tests/proof_test.cpp
+++ b/tests/task_presence_test.cpp
@@ -1,7 +1,8 @@
 // What reports prove: late starts, repeated starts, late reports, lapsed epochs.
-#include "helpers.hpp"
 #include "shards/task_presence.hpp"
 
+#include "support/helpers.hpp"
+
 namespace marblevale {
 namespace {
 
@@ -33,7 +34,7 @@
   return classify_presence(kTask, bound(), view, FencingToken(kToken));
 }
 
-TEST(Proof, AHeartbeatWithoutTheTaskProvesNothingBeforeTheWorkerSawOurWarrant) {
+TEST(TaskPresence, AHeartbeatWithoutTheTaskProvesNothingBeforeTheWorkerSawOurWarrant) {
   // An earlier holder's start may still be on its way to the worker.
   WorkerStatus view;
   view.apply(heartbeat(1, 5, kToken - 1));
@@ -42,7 +43,7 @@
   EXPECT_EQ(look(view), TaskPresence::never_started);
 }
 
-TEST(Proof, ADirectStartCanArriveLateUntilAHigherWarrantIsSeen) {
+TEST(TaskPresence, ADirectStartCanArriveLateUntilAHigherWarrantIsSeen) {
   WorkerStatus view;
   view.apply(heartbeat(1, 5, kToken));
   view.direct_starts[{kTask, Attempt(2)}] = FencingToken(kToken);
@@ -55,7 +56,7 @@
             TaskPresence::never_started);
 }
 
-TEST(Proof, AStartInAnAnswerIsSettledByTheNextHeartbeat) {
+TEST(TaskPresence, AStartInAnAnswerIsSettledByTheNextHeartbeat) {
   WorkerStatus view;
   view.apply(heartbeat(1, 5, kToken));
   view.reply_starts[{kTask, Attempt(2)}] = HeartbeatSequence(5);
@@ -64,7 +65,7 @@
   EXPECT_EQ(look(view), TaskPresence::never_started);
 }
 
-TEST(Proof, ANewEpochIsProofAndALateHeartbeatOfTheOldOneIsDropped) {
+TEST(TaskPresence, ANewEpochIsProofAndALateHeartbeatOfTheOldOneIsDropped) {
   WorkerStatus view;
   EXPECT_TRUE(view.apply(heartbeat(
       1, 5, kToken, {{kTask, Attempt(2), TaskStatus::running, TaskEndCause::unspecified, false}})));
@@ -76,7 +77,7 @@
   EXPECT_EQ(look(view), TaskPresence::lost);
 }
 
-TEST(Proof, AnOlderTallyIsDropped) {
+TEST(TaskPresence, AnOlderTallyIsDropped) {
   WorkerStatus view;
   view.apply(heartbeat(
       1, 8, kToken, {{kTask, Attempt(2), TaskStatus::running, TaskEndCause::unspecified, false}}));
@@ -84,16 +85,18 @@
   EXPECT_EQ(look(view), TaskPresence::present);
 }
 
-TEST(Proof, AnotherAttemptOfTheTaskIsNotThisOne) {
+TEST(TaskPresence, AnotherAttemptOfTheTaskIsNotThisOne) {
   WorkerStatus view;
   view.apply(heartbeat(1, 5, kToken,
                        {{kTask, Attempt(1), TaskStatus::ended, TaskEndCause::gang_ended, false}}));
   EXPECT_EQ(look(view), TaskPresence::never_started);
 }
 
-TEST(Proof, SilenceProvesNothing) { EXPECT_EQ(look(WorkerStatus{}), TaskPresence::not_reported); }
+TEST(TaskPresence, SilenceProvesNothing) {
+  EXPECT_EQ(look(WorkerStatus{}), TaskPresence::not_reported);
+}
 
-TEST(Ends, SavedProgressIsKeptAndALostTaskFallsBackToItsSnapshot) {
+TEST(TaskEnd, SavedProgressIsKeptAndALostTaskFallsBackToItsSnapshot) {
   const JobSpec job = testing::gang("req-1", 1, 1, 100);  // saves every 10 s
   TaskRecord task = bound();
   task.running = testing::at(1);
--- a/tests/guest_work_test.cpp
+++ b/tests/team_without_quota_test.cpp
@@ -1,8 +1,8 @@
 // Work of teams without a guarantee beside that of teams which have one, and jobs that fail
 // everywhere.
-#include "leader_fixture.hpp"
 #include "scheduling/job_queue.hpp"
 #include "scheduling/preemption.hpp"
+#include "support/leader_loop_fixture.hpp"
 
 namespace marblevale {
 namespace {
@@ -49,7 +49,7 @@
 
 // Found on a day with a guest team: its idle-only work held the machines, and the arrays of the
 // guaranteed teams beyond their guarantee, of the same urgency, missed their deadlines.
-TEST(GuestWork, GoesAfterThatOfTeamsWithAGuarantee) {
+TEST(TeamWithoutQuota, GoesAfterThatOfTeamsWithAGuarantee) {
   Records records;
   add(records, low("req-guest", "guest", 10), 0);
   add(records, low("req-crew", "crew", 100), 1);
@@ -57,14 +57,14 @@
 }
 
 // It must begin some day, too: within four minutes the largest of each class.
-TEST(GuestWork, GoesFirstOfItsRankOnceItIsOverdue) {
+TEST(TeamWithoutQuota, GoesFirstOfItsRankOnceItIsOverdue) {
   Records records;
   add(records, low("req-guest", "guest", 10), 0);
   add(records, low("req-crew", "crew", 100), 190);
   EXPECT_EQ(order(records, 200), (std::vector<std::string>{"req-guest", "req-crew"}));
 }
 
-TEST(GuestWork, IsStoppedBeforeThatOfTeamsWithAGuarantee) {
+TEST(TeamWithoutQuota, IsStoppedBeforeThatOfTeamsWithAGuarantee) {
   Records records;
   MachineType type;
   type.name = "g8";
@@ -100,7 +100,7 @@
 }
 
 // CPUs that a task without accelerators takes beside idle ones make these useless to others.
-TEST(GuestWork, WithoutAcceleratorsGoesWhereTheyAreInUse) {
+TEST(TeamWithoutQuota, WithoutAcceleratorsGoesWhereTheyAreInUse) {
   Profile profile;
   profile.add_machine(machine("idle", 2));
   const auto busy = profile.add_machine(machine("busy", 2));
@@ -118,10 +118,10 @@
   }
 }
 
-using GuestScaleOutTest = testing::LeaderTest;
+using TeamWithoutQuotaScaleOutTest = testing::LeaderLoopTest;
 
 // Idle-only work: nobody set an objective for its class, and its team has no guarantee.
-TEST_F(GuestScaleOutTest, NothingIsRentedForIdleOnlyWorkUntilItIsOverdue) {
+TEST_F(TeamWithoutQuotaScaleOutTest, NothingIsRentedForIdleOnlyWorkUntilItIsOverdue) {
   Team guest;
   guest.name = TeamId("guest");
   settings_.teams.push_back(guest);
@@ -134,7 +134,7 @@
   EXPECT_FALSE(cloud_.provisioning_requests.empty()) << "it has waited for over 150 s";
 }
 
-TEST_F(GuestScaleOutTest, MachinesAreRentedForAClassWithAnObjective) {
+TEST_F(TeamWithoutQuotaScaleOutTest, MachinesAreRentedForAClassWithAnObjective) {
   Team guest;
   guest.name = TeamId("guest");
   settings_.teams.push_back(guest);
--- a/tests/worker_partition_test.cpp
+++ b/tests/worker_partition_test.cpp
@@ -1,6 +1,6 @@
 // Machines that hear nothing, copies of reports that come late, controllers that are cut off, and
 // releases that are offered straight to a holder.
-#include "holder_fixture.hpp"
+#include "support/shard_holder_fixture.hpp"
 
 namespace marblevale {
 namespace {
@@ -21,7 +21,7 @@
   EXPECT_EQ(max_order_connections(settings), 896U) << "an idle connection takes memory, too";
 }
 
-TEST(MirrorLoad, APageThatCannotBeHadIsAskedForAgainByItself) {
+TEST(WatchCacheLoad, APageThatCannotBeHadIsAskedForAgainByItself) {
   testing::FakeTime time;
   Loop loop(&time);
   testing::ScriptedStore store;
@@ -357,7 +357,7 @@
   EXPECT_EQ(handle_heartbeat(1, token()).status, 421);
 }
 
-class OfferTest : public WorkerPartitionTest {
+class ShardHolderOfferTest : public WorkerPartitionTest {
  protected:
   /// A job of one task that nobody has released yet, and the leader's offer for it.
   ReleaseOffer offered() {
@@ -383,7 +383,7 @@
   std::uint64_t last_serial_ = 0;
 };
 
-TEST_F(OfferTest, IsBoundInOneCommitAndThenStarted) {
+TEST_F(ShardHolderOfferTest, IsBoundInOneCommitAndThenStarted) {
   const auto offer = offered();
   const auto before = store_.commits.size();
   EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
@@ -400,7 +400,7 @@
   EXPECT_EQ(store_.commits.size(), commits);
 }
 
-TEST_F(OfferTest, WaitsForWhatTheLeaderKnew) {
+TEST_F(ShardHolderOfferTest, WaitsForWhatTheLeaderKnew) {
   auto offer = offered();
   offer.cache_revision += 1;
   EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
@@ -411,7 +411,7 @@
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
-TEST_F(OfferTest, ABindingThatArrivesAfterAChangeOfLeaderFails) {
+TEST_F(ShardHolderOfferTest, ABindingThatArrivesAfterAChangeOfLeaderFails) {
   const auto offer = offered();
   store_.scripts = {Script::arrive_late};
   holder_.answer_offer(offer);
@@ -423,7 +423,7 @@
       << "the offer is of an earlier term";
 }
 
-TEST_F(OfferTest, IsDeclinedWhereItCannotBeBoundWhole) {
+TEST_F(ShardHolderOfferTest, IsDeclinedWhereItCannotBeBoundWhole) {
   auto offer = offered();
   offer.tasks[0].machine_id = "vm-9";
   offer.tasks[0].zone = "b";
@@ -448,7 +448,7 @@
 
 // The first is being bound, and its commit is on its way: to decline the copy would have the leader
 // give the room to another job, and then both were bound.
-TEST_F(OfferTest, ACopyIsNotDeclinedWhileTheFirstIsBeingBound) {
+TEST_F(ShardHolderOfferTest, ACopyIsNotDeclinedWhileTheFirstIsBeingBound) {
   const auto offer = offered();
   store_.scripts = {Script::arrive_late};
   EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
@@ -459,7 +459,7 @@
 
 // The leader gives the room of a declined offer to another job at once. A copy that comes when the
 // reason for declining is gone must not be bound, though leader, job and slice are as they were.
-TEST_F(OfferTest, WhatWasDeclinedIsNotBoundFromACopy) {
+TEST_F(ShardHolderOfferTest, WhatWasDeclinedIsNotBoundFromACopy) {
   auto offer = offered();
   offer.tasks[0].machine_id = "vm-2";
   // vm-1 has another's task, so it can't stand in for the machine that has not reported.
