--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -69,7 +69,7 @@
   void settle(const UserAnswer& out) {
     for (int i = 0; i < 20 && out.status == 0; ++i) {
       clock_.advance(Duration{50});
-      store_.tell_watch();
+      store_.deliver_watch_events();
     }
   }
   /// The answer to one of the users' requests.
@@ -141,14 +141,14 @@
   }
   /// One thing happens: an answer of the state service comes, or time passes and the watch tells.
   void step() {
-    if (!store_.held.empty()) {
-      const auto next = std::move(store_.held.front());
-      store_.held.pop_front();
+    if (!store_.held_answers.empty()) {
+      const auto next = std::move(store_.held_answers.front());
+      store_.held_answers.pop_front();
       next();
       return;
     }
     clock_.advance(Duration{50});
-    store_.tell_watch();
+    store_.deliver_watch_events();
   }
   void finish(FinalState state) {
     FinalRecord record;
@@ -172,11 +172,11 @@
 };
 
 TEST_F(AdmissionTest, AnswersOnlyAfterTheCommit) {
-  store_.hold = true;
+  store_.hold_answers = true;
   int status = 0;
   admission_->submit(kJob, [&](const UserAnswer& a) { status = a.status; });
   EXPECT_EQ(status, 0);
-  store_.deliver_all();
+  store_.deliver_held_answers();
   EXPECT_EQ(status, 201);
   EXPECT_TRUE(store_.get(keys::job(JobId("req-000412"))));
 }
@@ -190,19 +190,19 @@
 }
 
 TEST_F(AdmissionTest, AnUnknownCommitIsSettledByRepeatingIt) {
-  store_.scripts = {Script::lose_answer};
+  store_.scripts = {Script::drop_answer};
   EXPECT_EQ(submit(kJob).status, 200);  // the repetition finds what the first one did
   store_.scripts = {};
   finish(FinalState::done);
-  store_.scripts = {Script::lose_request};
+  store_.scripts = {Script::drop_request};
   EXPECT_EQ(submit(kJob).status, 200);  // long over, still known
 }
 
 TEST_F(AdmissionTest, ALateSubmissionCannotBringBackAFinishedJob) {
-  store_.scripts = {Script::arrive_late};
+  store_.scripts = {Script::delay};
   EXPECT_EQ(submit(kJob).status, 201);  // the repetition was accepted
   finish(FinalState::done);
-  EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
+  EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
   EXPECT_FALSE(store_.get(keys::job(JobId("req-000412"))));
 }
 
@@ -366,7 +366,7 @@
 
 TEST_F(AdmissionTest, UnknownJobsGet404OnlyAfterASuccessfulRead) {
   EXPECT_EQ(query("req-1").status, 404);
-  store_.down = true;
+  store_.unavailable = true;
   EXPECT_EQ(query("req-1").status, 503);
   EXPECT_EQ(query("nonsense").status, 404);
 }
@@ -379,15 +379,15 @@
   // Accepted by another controller a moment ago: this one's copy does not have it yet.
   store_.put(keys::job(JobId("req-000412")),
              encode(JobRecord{std::get<JobSpec>(parse_job(doc)), clock_.wall(), std::nullopt}));
-  store_.hold = true;
+  store_.hold_answers = true;
   std::string first;
   std::string second;
   admission_->status("req-000412", [&](const UserAnswer& a) { first = a.body; });
-  store_.hold = false;
+  store_.hold_answers = false;
   finish(FinalState::done);
   admission_->status("req-000412", [&](const UserAnswer& a) { second = a.body; });
   EXPECT_EQ(second, "");
-  store_.deliver_all();
+  store_.deliver_held_answers();
   EXPECT_NE(first.find("queued"), std::string::npos);
   EXPECT_NE(second.find("done"), std::string::npos);
 }
@@ -398,7 +398,8 @@
   UserAnswer out;
   out.status = 0;
   admission_->status("req-000412", [&](const UserAnswer& a) { out = a; });
-  store_.tell_watch();  // opened before the question: what it does not tell may have happened since
+  store_.deliver_watch_events();  // opened before the question: what it does not tell may have
+                                  // happened since
   EXPECT_EQ(out.status, 0);
   finish(FinalState::done);
   settle(out);
@@ -418,7 +419,7 @@
   submit(kJob);
   store_.scripts = {Script::refuse};
   EXPECT_EQ(abort("req-000412").status, 503);
-  store_.scripts = {Script::lose_answer};
+  store_.scripts = {Script::drop_answer};
   const auto answer = abort("req-000412");  // unknown, then read back
   EXPECT_EQ(answer.status, 200);
   EXPECT_NE(answer.body.find("cancelled"), std::string::npos);
@@ -475,7 +476,7 @@
 
   void accept_jobs() {
     for (int i = 0; i < kJobs; ++i) accept_elsewhere(job_name(i));
-    store_.tell_watch();
+    store_.deliver_watch_events();
   }
   void ask_many(int questions) {
     for (int i = 0; i < questions; ++i) {
@@ -497,9 +498,9 @@
     ask_many(5'000);
     EXPECT_GE(tally_.refused, 4'500) << "told at once, not when the watch returns";
     clock_.advance(Duration{50});
-    store_.tell_watch();  // was opened before the questions came
+    store_.deliver_watch_events();  // was opened before the questions came
     clock_.advance(Duration{50});
-    store_.tell_watch();
+    store_.deliver_watch_events();
     EXPECT_EQ(tally_.all(), 5'000);
     EXPECT_GE(tally_.answered, 300) << "in each interval some users learn something";
     EXPECT_LE(tally_.answered, 500) << "answers at one word hold up everything else";
@@ -537,13 +538,13 @@
   ask_many(1'000);
   clock_.advance(Duration{5'000});  // the watch says nothing
   EXPECT_EQ(tally_.refused, 1'000);
-  store_.tell_watch();
+  store_.deliver_watch_events();
   tally_ = {};
   ask_many(300);
   clock_.advance(Duration{50});
-  store_.tell_watch();
+  store_.deliver_watch_events();
   clock_.advance(Duration{50});
-  store_.tell_watch();
+  store_.deliver_watch_events();
   EXPECT_EQ(tally_.answered, 300);
 }
 
@@ -556,7 +557,7 @@
   guarantee_record.note(clock_.wall(), "displaced for req-7 (urgent)");
   store_.put(keys::guarantee_record(guarantee_record.job_id),
              encode(guarantee_record, testing::kValueBytes));
-  store_.tell_watch();
+  store_.deliver_watch_events();
   UserAnswer out;
   out.status = 0;
   admission_->explain("req-000412", [&](const UserAnswer& a) { out = a; });
@@ -587,10 +588,10 @@
   }
   for (int i = 0; i < 10; ++i) {
     clock_.advance(Duration{50});
-    store_.tell_watch();
+    store_.deliver_watch_events();
   }
-  store_.down = true;
-  store_.hold = true;
+  store_.unavailable = true;
+  store_.hold_answers = true;
   std::vector<int> status(std::size_t{2} * kJobs, 0);
   const auto ask = [&](int i) {
     admission_->status("req-" + std::to_string(i), [&status, i](const UserAnswer& a) {
@@ -598,17 +599,17 @@
     });
   };
   for (int i = 0; i < 2 * kJobs; ++i) ask(i);
-  store_.deliver_all();
+  store_.deliver_held_answers();
   clock_.advance(Duration{5000});
   for (const int s : status) EXPECT_EQ(s, 503);
-  store_.down = store_.hold = false;
+  store_.unavailable = store_.hold_answers = false;
   for (int round = 0; round < 3; ++round) {
     for (int i = 0; i < 2 * kJobs; ++i) {
       if (status[static_cast<std::size_t>(i)] != 200) ask(i);
     }
     for (int i = 0; i < 10; ++i) {
       clock_.advance(Duration{100});
-      store_.tell_watch();
+      store_.deliver_watch_events();
     }
   }
   EXPECT_EQ(std::count(status.begin(), status.end(), 200), 2 * kJobs);
@@ -635,7 +636,7 @@
         if (known) {
           for (int i = 0; i < 3; ++i) step();
         }
-        store_.hold = true;
+        store_.hold_answers = true;
         UserAnswer out;
         out.status = 0;
         int answers = 0;
@@ -647,8 +648,8 @@
           if (i == end_after) end_job(job_id, mod_revision);
           step();
         }
-        store_.hold = false;
-        store_.deliver_all();
+        store_.hold_answers = false;
+        store_.deliver_held_answers();
         EXPECT_EQ(answers, 1);
         EXPECT_EQ(out.status, 200) << out.body;
         const std::string final = final_state(job_id);
@@ -698,21 +699,21 @@
 // are sent: first the job, then its end. The other way round would make it unknown.
 TEST_F(AdmissionTest, AJobThatEndsBetweenTheTwoReadsOfAQuestionIsNeverUnknown) {
   const ModRevision mod_revision = accept_elsewhere("req-000412");
-  store_.hold = true;
+  store_.hold_answers = true;
   UserAnswer out;
   out.status = 0;
   admission_->status("req-000412", [&out](const UserAnswer& a) { out = a; });
   end_job("req-000412", mod_revision);
-  store_.hold = false;
-  store_.deliver_all();
+  store_.hold_answers = false;
+  store_.deliver_held_answers();
   EXPECT_EQ(out.status, 200);
   // And one that is accepted and ends between them.
-  store_.hold = true;
+  store_.hold_answers = true;
   out.status = 0;
   admission_->status("req-000413", [&out](const UserAnswer& a) { out = a; });
   end_job("req-000413", accept_elsewhere("req-000413"));
-  store_.hold = false;
-  store_.deliver_all();
+  store_.hold_answers = false;
+  store_.deliver_held_answers();
   EXPECT_EQ(out.status, 200);
   EXPECT_EQ(status_in(out), "done");
 }
@@ -720,15 +721,15 @@
 // The answer to a commit can be held up while the watch tells the commit and what became of its
 // record afterwards: it must not bring back into the copy what has been deleted.
 TEST_F(AdmissionTest, AnAnswerThatComesLateBringsNoJobBackIntoTheCopy) {
-  store_.hold = true;
+  store_.hold_answers = true;
   admission_->submit(kJob, [](const UserAnswer&) {});
-  store_.hold = false;
+  store_.hold_answers = false;
   end_job("req-000412", store_.get(keys::job(JobId("req-000412")))->mod_revision);
   for (int i = 0; i < 3; ++i) {
     clock_.advance(Duration{50});
-    store_.tell_watch();
+    store_.deliver_watch_events();
   }
-  store_.deliver_all();
+  store_.deliver_held_answers();
   EXPECT_FALSE(cache_.records().jobs.contains(JobId("req-000412")));
   EXPECT_EQ(status_in(query("req-000412")), "done");
 }
@@ -744,7 +745,7 @@
       SCOPED_TRACE(job_id + ": request " + std::to_string(static_cast<int>(what)));
       const ModRevision mod_revision = accept_elsewhere(job_id);
       if (ended) end_job(job_id, mod_revision);
-      store_.hold = true;
+      store_.hold_answers = true;
       std::vector<UserAnswer> answers;
       const auto take = [&](const UserAnswer& a) { answers.push_back(a); };
       ask(what, job_id, take);
@@ -754,8 +755,8 @@
       ASSERT_EQ(answers.size(), 1U);
       EXPECT_EQ(answers.front().status, 503);
       EXPECT_GT(answers.front().retry_after, std::chrono::seconds{0});
-      store_.hold = false;
-      store_.deliver_all();
+      store_.hold_answers = false;
+      store_.deliver_held_answers();
       EXPECT_EQ(answers.size(), 1U);
       EXPECT_EQ(ask(what, job_id).status, 200);
     }
@@ -766,12 +767,12 @@
 // what it finds of a job that has ended is told at once to the next that asks.
 TEST_F(AdmissionTest, AQuestionThatCameTooEarlyIsOfUseToTheNext) {
   end_job("req-000412", accept_elsewhere("req-000412"));
-  store_.hold = true;
+  store_.hold_answers = true;
   int status = 0;
   admission_->status("req-000412", [&status](const UserAnswer& a) { status = a.status; });
   clock_.advance(Duration{2000});
   EXPECT_EQ(status, 503);
-  store_.deliver_all();
+  store_.deliver_held_answers();
   admission_->status("req-000412", [&status](const UserAnswer& a) { status = a.status; });
   EXPECT_EQ(status, 200);
 }
@@ -784,13 +785,13 @@
     int status;
   };
   const std::vector<Case> cases{
-      {{Script::lose_answer}, 200},
-      {{Script::lose_request}, 200},
-      {{Script::arrive_late}, 200},
-      {{Script::lose_request, Script::arrive_late, Script::lose_answer}, 200},
+      {{Script::drop_answer}, 200},
+      {{Script::drop_request}, 200},
+      {{Script::delay}, 200},
+      {{Script::drop_request, Script::delay, Script::drop_answer}, 200},
       {{Script::refuse}, 503},
-      {{Script::lose_request, Script::lose_request, Script::lose_request}, 503},
-      {{Script::arrive_late, Script::arrive_late, Script::arrive_late}, 503},
+      {{Script::drop_request, Script::drop_request, Script::drop_request}, 503},
+      {{Script::delay, Script::delay, Script::delay}, 503},
   };
   int number = 0;
   for (const Case& c : cases) {
@@ -819,9 +820,9 @@
       EXPECT_EQ(status_in(out), c.status == 200 ? "cancelled" : "");
       EXPECT_TRUE(store_.scripts.empty());
       // What was told stays, when late commits arrive as well.
-      while (!store_.late.empty()) {
+      while (!store_.delayed.empty()) {
         const Outcome expected = cancelled() ? Outcome::conflict : Outcome::done;
-        EXPECT_EQ(store_.arrive().outcome, expected);
+        EXPECT_EQ(store_.apply_delayed().outcome, expected);
       }
       EXPECT_EQ(status_in(ask(Ask::question, job_id)), cancelled() ? "cancelled" : "queued");
     }
@@ -834,23 +835,23 @@
 TEST_F(AdmissionTest, WhatIsCarriedOutLateChangesNothingThatWasToldSince) {
   for (const bool cancelled : {false, true}) {
     const std::string job_id = cancelled ? "req-1" : "req-2";
-    store_.scripts = {Script::arrive_late};
+    store_.scripts = {Script::delay};
     EXPECT_EQ(ask(Ask::submission, job_id).status, 201) << "by the second commit";
     const ModRevision mod_revision = store_.get(keys::job(JobId(job_id)))->mod_revision;
-    store_.scripts = {Script::arrive_late, Script::arrive_late, Script::arrive_late};
+    store_.scripts = {Script::delay, Script::delay, Script::delay};
     EXPECT_EQ(ask(Ask::cancellation, job_id).status, 503);
     if (cancelled) {
       EXPECT_EQ(status_in(ask(Ask::cancellation, job_id)), "cancelled");
     }
     // The submission comes late once while the job is there, and the rest when it has ended.
-    ASSERT_EQ(store_.late.size(), 4U);
-    const Transaction submission = store_.late.front();
-    EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
+    ASSERT_EQ(store_.delayed.size(), 4U);
+    const Transaction submission = store_.delayed.front();
+    EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
     end_job(job_id, mod_revision);
     const std::string final = cancelled ? "cancelled" : "done";
     EXPECT_EQ(final_state(job_id), final);
-    store_.late.push_back(submission);
-    while (!store_.late.empty()) EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
+    store_.delayed.push_back(submission);
+    while (!store_.delayed.empty()) EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
     EXPECT_FALSE(store_.get(keys::job(JobId(job_id))));
     EXPECT_EQ(final_state(job_id), final);
     for (const Ask what : {Ask::question, Ask::submission, Ask::cancellation, Ask::why}) {
@@ -862,7 +863,7 @@
 // The submission's commit finds by itself that the job is known, when this controller's copy does
 // not have it: accepted elsewhere a moment ago, or over for long.
 TEST_F(AdmissionTest, ASubmissionThatFindsItsJobKnownTellsItsState) {
-  for (const Script script : {Script::normal, Script::lose_request}) {
+  for (const Script script : {Script::normal, Script::drop_request}) {
     const std::string job_id = "req-" + std::to_string(static_cast<int>(script));
     const ModRevision mod_revision = accept_elsewhere(job_id);
     store_.scripts = {script};
@@ -911,10 +912,10 @@
 TEST_F(AdmissionTest, ACancellationOfUnknownOutcomeIsNeitherToldNorListed) {
   accept_elsewhere("req-000412");
   for (int i = 0; i < 3; ++i) step();
-  store_.scripts = {Script::arrive_late, Script::arrive_late, Script::arrive_late};
+  store_.scripts = {Script::delay, Script::delay, Script::delay};
   EXPECT_EQ(ask(Ask::cancellation, "req-000412").status, 503);
   EXPECT_TRUE(cancellations_.list().items.empty());
-  EXPECT_EQ(store_.arrive().outcome, Outcome::done);
+  EXPECT_EQ(store_.apply_delayed().outcome, Outcome::done);
   EXPECT_EQ(status_in(ask(Ask::question, "req-000412")), "cancelled");
   EXPECT_EQ(cancellations_.list().items.size(), 1U);
 }
@@ -956,7 +957,7 @@
   end_job("req-2", ending);
   accept_elsewhere("req-3");
   accept_elsewhere("req-7", clock_.wall());
-  store_.down = true;
+  store_.unavailable = true;
   store_.scripts.assign(1000, Script::refuse);
   const std::vector<Ask> asks{Ask::question, Ask::why, Ask::submission, Ask::cancellation};
   for (int poll = 0; poll < 20; ++poll) {
@@ -970,7 +971,7 @@
     ASSERT_EQ(answers.size(), expected.size() * asks.size());
     for (const auto& a : answers) EXPECT_TRUE(a.status == 503 || status_in(a) == "done") << a.body;
   }
-  store_.down = false;
+  store_.unavailable = false;
   store_.scripts.clear();
   for (const auto& [job_id, state] : expected) {
     SCOPED_TRACE(job_id);
--- a/tests/cancellation_outage_test.cpp
+++ b/tests/cancellation_outage_test.cpp
@@ -143,7 +143,7 @@
     pass(Duration{6'000});
     ASSERT_TRUE(first_.has_tasks());
     ASSERT_TRUE(second_.has_tasks());
-    informed_ = false;
+    watch_answers_ = false;
     pass(Duration{1'000});
     confirmed_ = time_.steady();
     confirmed_wall_ = time_.wall();
@@ -169,13 +169,13 @@
   /// it does.
   void pass(Duration duration) {
     for (std::int64_t at = 0; at < duration.count(); at += 1'000) {
-      if (!informed_) store_.scripts.assign(50, Script::refuse);
+      if (!watch_answers_) store_.scripts.assign(50, Script::refuse);
       if (peer_) ask_peer();
       run(Duration{1'000});
       first_.heartbeat(holder_, time_.steady(), settings_.workers.lease, sequence_);
       second_.heartbeat(holder_, time_.steady(), settings_.workers.lease, sequence_);
     }
-    if (informed_) store_.scripts.clear();
+    if (watch_answers_) store_.scripts.clear();
   }
 
   void ask_peer() {
@@ -277,7 +277,7 @@
 TEST_F(CancellationOutageTest, SoItDoesWhenTheStateServiceIsThere) {
   first_.obeys = false;
   both_run();
-  informed_ = true;
+  watch_answers_ = true;
   store_.scripts.clear();
   cancel();
   EXPECT_TRUE(gone_in_time());
@@ -298,14 +298,14 @@
 TEST_F(CancellationOutageTest, AHolderThatHasJustTakenTheShardRefusesByTheTimeOfTheCancellation) {
   first_.obeys = false;
   both_run();
-  informed_ = true;
+  watch_answers_ = true;
   store_.scripts.clear();
   cancel();
   pass(Duration{22'000});
   give_shard("other", 9);
   pass(Duration{2'000});
   give_shard("me", 7);  // without memory
-  informed_ = false;
+  watch_answers_ = false;
   EXPECT_TRUE(gone_in_time());
 }
 
@@ -314,7 +314,7 @@
   place("req-1", "vm-1");
   run(Duration{20});
   ASSERT_TRUE(cache_.records().placed.contains(MachineId("vm-1")));
-  informed_ = false;  // its binding is the last that this controller hears
+  watch_answers_ = false;  // its binding is the last that this controller hears
   run(Duration{3'000});
   workers_.sent.clear();
   const auto answer = handle_heartbeat(1, token(), "", "vm-1");
@@ -341,7 +341,7 @@
 TEST_F(CancellationOutageTest, WhereCancelLeavesNoTimeBeyondTheLeaseNobodyVouches) {
   settings_.workers.cancel = settings_.workers.lease + Duration{5'000};
   EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
-  informed_ = false;
+  watch_answers_ = false;
   run(Duration{2'000});
   EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
   holder_.extend_cancellation_freshness(time_.steady());
@@ -397,10 +397,10 @@
   for (std::size_t i = 0; i < Cancellations::kMaxUnrecorded; ++i) {
     storm.items.push_back({"req-" + std::to_string(200'000 + i), 1});
   }
-  informed_ = false;
+  watch_answers_ = false;
   cancellations_.merge_peer_list(storm);
   EXPECT_FALSE(cancellations_.holds_all());
-  informed_ = true;
+  watch_answers_ = true;
   run(Duration{1'000});
   EXPECT_TRUE(cancellations_.holds_all()) << "the records are fresher again";
 }
--- a/tests/delayed_message_test.cpp
+++ b/tests/delayed_message_test.cpp
@@ -83,12 +83,12 @@
 TEST_F(DelayedMessageTest, AnswersToOrdersDoNotMakeAMuteMachineLookHealthy) {
   bind_and_start();
   handle_heartbeat(1, token(), "", "vm-2");
-  heartbeats_lost_for(Duration{12'000}, 1, task_index("running"));
+  heartbeats_lost_for(Duration{12'000}, 1, task_status("running"));
   EXPECT_EQ(machine_state(), MachineState::silent) << "its lease is not renewed";
-  heartbeats_lost_for(Duration{9'000}, 1, task_index("running"));
+  heartbeats_lost_for(Duration{9'000}, 1, task_status("running"));
   EXPECT_EQ(machine_state(), MachineState::silent) << "orders that it answers do not bring it back";
   EXPECT_EQ(task().state, TaskState::bound);
-  handle_heartbeat(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_status("running"));
   run(Duration{600});
   EXPECT_EQ(machine_state(), MachineState::up);
 }
@@ -110,7 +110,7 @@
 TEST_F(DelayedMessageTest, AMuteMachinesNewEpochIsToldByItsAnswerAndFreesItsTasks) {
   bind_and_start();
   handle_heartbeat(1, token(), "", "vm-2");
-  heartbeats_lost_for(Duration{24'000}, 1, task_index("running"));
+  heartbeats_lost_for(Duration{24'000}, 1, task_status("running"));
   ASSERT_EQ(task().state, TaskState::bound);
   heartbeats_lost_for(Duration{6'000}, 2, "", 409);
   EXPECT_EQ(task().state, TaskState::idle) << "without waiting for its deletion";
@@ -213,30 +213,30 @@
     return cache_.records().slice(JobId("req-2"), 0)->record.tasks.at(0).state;
   };
   ASSERT_EQ(state(), TaskState::bound);
-  ASSERT_NE(handle_heartbeat(1, token(), task_index("running")).body.find("req-2/0"),
+  ASSERT_NE(handle_heartbeat(1, token(), task_status("running")).body.find("req-2/0"),
             std::string::npos);
   ASSERT_FALSE(sent("req-2/0"));
   job.cancelled = time_.wall();
   store_.put(keys::job(job.spec.job_id), encode(job));
   run(Duration{50});
-  answer_orders(200, 1, task_index("running"));  // overtakes the answer that bears the start
+  answer_orders(200, 1, task_status("running"));  // overtakes the answer that bears the start
   run(Duration{600});
   EXPECT_EQ(state(), TaskState::bound) << "the start may still be executed";
-  handle_heartbeat(1, token(), task_index("running"));  // it had the answer, or has dropped it
+  handle_heartbeat(1, token(), task_status("running"));  // it had the answer, or has dropped it
   run(Duration{600});
   EXPECT_EQ(state(), TaskState::idle);
 }
 
 TEST_F(DelayedMessageTest, AStartThatWasAnsweredCanComeAgain) {
   bind_and_start();
-  answer_orders(200, 1, task_index("running"));
-  handle_heartbeat(1, token(), task_index("ended", "error"));
+  answer_orders(200, 1, task_status("running"));
+  handle_heartbeat(1, token(), task_status("ended", "error"));
   run(Duration{50});
   ASSERT_EQ(task().state, TaskState::idle);
-  EXPECT_EQ(handle_heartbeat(1, token(), task_index("ended", "error")).body.find("clear"),
+  EXPECT_EQ(handle_heartbeat(1, token(), task_status("ended", "error")).body.find("clear"),
             std::string::npos);
   run(Duration{9'000});
-  EXPECT_NE(handle_heartbeat(1, token(), task_index("ended", "error")).body.find("clear"),
+  EXPECT_NE(handle_heartbeat(1, token(), task_status("ended", "error")).body.find("clear"),
             std::string::npos)
       << "a higher warrant has ended that";
 }
@@ -246,7 +246,7 @@
   handle_heartbeat(1, token(), "", "vm-2");
   const auto before = workers_.sent.size();
   heartbeats_lost_for(Duration{12'000}, 1,
-                      task_index("running") + "," + item("req-9/0", "running", "", 1));
+                      task_status("running") + "," + item("req-9/0", "running", "", 1));
   EXPECT_TRUE(told(before, R"("verb":"kill","part":"req-9/0")"));
 }
 
@@ -273,7 +273,7 @@
 
 TEST_F(DelayedMessageTest, ADeafMachineWhoseShardMovesGetsNothingNewAndKeepsItsTasksUntilProof) {
   bind_and_start();
-  handle_heartbeat(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_status("running"));
   run(Duration{100});
   const auto old = token();
   give_shard("other", 9);
--- a/tests/leader_failover_test.cpp
+++ b/tests/leader_failover_test.cpp
@@ -148,15 +148,15 @@
   begin();
   run(Duration{1'100});
   autoscaler_.request_deletion(MachineId("vm-1"), DeletionReason::idle);
-  store_.hold = true;
+  store_.hold_answers = true;
   store_.scripts.assign(50, Script::refuse);
   run(Duration{1'000});
-  ASSERT_FALSE(store_.held.empty()) << "the commit is on its way";
-  store_.hold = false;
+  ASSERT_FALSE(store_.held_answers.empty()) << "the commit is on its way";
+  store_.hold_answers = false;
   store_.scripts.clear();
   another_leads_for_a_moment();
   run(Duration{1'500});
-  store_.deliver_all();
+  store_.deliver_held_answers();
   run(Duration{3'000});
   EXPECT_EQ(cache_.records().machines.at(MachineId("vm-1")).record.state, MachineState::up);
   EXPECT_TRUE(cloud_.removed.empty());
@@ -170,16 +170,16 @@
     const std::string job_id = "req-" + std::to_string(i);
     submit(testing::gang(job_id, 1, 2, 60));  // as much as the team may take
     // The term ends with the release on its way: carried out, or not, or with the service out.
-    store_.hold = true;
+    store_.hold_answers = true;
     if (i % 3 == 1) store_.scripts.assign(20, Script::refuse);
-    if (i % 3 == 2) store_.scripts.assign(20, Script::lose_request);
+    if (i % 3 == 2) store_.scripts.assign(20, Script::drop_request);
     run(Duration{100});
-    store_.hold = false;
+    store_.hold_answers = false;
     store_.scripts.clear();
     if (i % 3 == 2) outage(Duration{3'000});
     another_leads_for_a_moment();
     run(Duration{100});
-    store_.deliver_all();
+    store_.deliver_held_answers();
     run(Duration{1'500});
     ASSERT_EQ(tasks(job_id).size(), 1U) << job_id;
     EXPECT_EQ(tasks(job_id)[0].state, TaskState::released) << job_id;
@@ -242,8 +242,8 @@
 /// yet.
 class LeaderProcessPauseTest : public LeaderFailoverTest {
  protected:
-  void stand_still(Duration pause = Duration{5'000}) {
-    time_.stand_still(pause);
+  void pause_process(Duration pause = Duration{5'000}) {
+    time_.pause_process(pause);
     commits_before_ = store_.commits.size();
   }
   /// Time passes, but the watch that was open before the pause is not answered.
@@ -266,9 +266,9 @@
   begin();
   submit(testing::gang("req-1", 1, 2, 60));
   time_.advance(Duration{1});
-  store_.tell_watch();
+  store_.deliver_watch_events();
   ASSERT_TRUE(cache_.records().jobs.contains(JobId("req-1")));
-  stand_still();
+  pause_process();
   without_word(Duration{1'500});
   EXPECT_EQ(commits_since(), 0U);
   run(Duration{1'500});
@@ -283,7 +283,7 @@
   for (int i = 0; i < 20 && store_.commits.empty(); ++i) run(Duration{10});
   run(Duration{200});  // a round has told the cluster what is missing; its next tick is to come
   ASSERT_TRUE(cloud_.provisioning_requests.empty());
-  stand_still();
+  pause_process();
   without_word(Duration{2'500});
   EXPECT_TRUE(cloud_.provisioning_requests.empty());
   EXPECT_EQ(commits_since(), 0U);
@@ -299,7 +299,7 @@
   silent.since = time_.wall();
   store_.put_machine(silent);
   run(Duration{50});
-  stand_still(Duration{60'000});
+  pause_process(Duration{60'000});
   without_word(Duration{2'500});
   EXPECT_EQ(commits_since(), 0U);
   EXPECT_TRUE(cloud_.removed.empty());
@@ -315,7 +315,7 @@
   begin();
   run(Duration{1'100});
   autoscaler_.request_deletion(MachineId("vm-1"), DeletionReason::idle);
-  stand_still();
+  pause_process();
   without_word(Duration{1'500});
   EXPECT_EQ(commits_since(), 0U);
   run(Duration{2'500});
@@ -332,7 +332,7 @@
   run(Duration{1'100});
   ASSERT_EQ(state_of("vm-1"), MachineState::deleting);
   cloud_.removed.clear();
-  stand_still();
+  pause_process();
   without_word(Duration{1'500});
   EXPECT_FALSE(cloud_.removed.empty()) << "a cancelled task may be on it";
   EXPECT_EQ(commits_since(), 0U);
@@ -344,7 +344,7 @@
   ShardAssigner shards(loop_, time_, settings_, cache_, election_);
   begin();
   ASSERT_TRUE(election_.is_established_leader());
-  stand_still();
+  pause_process();
   shards.begin();
   without_word(Duration{1'500});
   EXPECT_EQ(commits_since(), 0U);
@@ -357,17 +357,17 @@
 TEST_F(LeaderFailoverTest, ALateAnswerDoesNotBringBackWhatWasDeletedSince) {
   begin();
   const JobSpec spec = testing::gang("req-1", 1, 1, 60);
-  store_.hold = true;
+  store_.hold_answers = true;
   Transaction txn;
   txn.guard(keys::job(spec.job_id), ModRevision{});
   txn.put(keys::job(spec.job_id), encode(JobRecord{spec, time_.wall(), std::nullopt}));
   cache_.commit(RequestPriority::submission, txn, [](const CommitResult&) {});
-  store_.hold = false;
+  store_.hold_answers = false;
   Transaction over;
   over.remove(keys::job(spec.job_id));
   store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
   run(Duration{50});
-  store_.deliver_all();
+  store_.deliver_held_answers();
   EXPECT_FALSE(cache_.records().jobs.contains(spec.job_id));
 }
 
@@ -376,14 +376,14 @@
   std::vector<MachineType> types = cache_.records().types->record;
   types[0].price = 2;
   cloud_.machine_types = types;
-  store_.scripts = {Script::arrive_late};
+  store_.scripts = {Script::delay};
   run(Duration{1'500});
-  ASSERT_EQ(store_.late.size(), 1U);
+  ASSERT_EQ(store_.delayed.size(), 1U);
   types[0].price = 3;
   cloud_.machine_types = types;
   run(Duration{62'000});
   ASSERT_EQ(cache_.records().types->record[0].price, 3);
-  EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
+  EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
 }
 
 TEST_F(LeaderFailoverTest, WhatBelongsToAJobThatOnlyThisCopyLacksIsNotSweptUp) {
@@ -532,17 +532,17 @@
   begin();
   const JobSpec first = testing::gang("req-1", 1, 2, 60);
   submit(first);
-  store_.scripts = {Script::arrive_late, Script::refuse, Script::refuse, Script::refuse};
+  store_.scripts = {Script::delay, Script::refuse, Script::refuse, Script::refuse};
   run(Duration{100});
-  ASSERT_EQ(store_.late.size(), 1U);
-  ASSERT_EQ(store_.late[0].puts.at(0).key, keys::slice(first.job_id, 0));
+  ASSERT_EQ(store_.delayed.size(), 1U);
+  ASSERT_EQ(store_.delayed[0].puts.at(0).key, keys::slice(first.job_id, 0));
   store_.scripts.clear();
   another_leads();
   // Under the other the team's limit is used by another job.
   submit(testing::gang("req-2", 1, 2, 60));
   set_task("req-2", bound("vm-1"));
   run(Duration{20});
-  EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
+  EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
   it_leads_again();
   run(Duration{2'000});
   EXPECT_TRUE(tasks("req-1").empty());
--- a/tests/leader_loop_test.cpp
+++ b/tests/leader_loop_test.cpp
@@ -52,7 +52,7 @@
 TEST_F(LeaderLoopTest, ALostSessionEndsLeadership) {
   begin();
   ASSERT_TRUE(election_.is_established_leader());
-  store_.end_lease(LeaseId(1));
+  store_.expire_lease(LeaseId(1));
   run(Duration{1500});
   EXPECT_NE(election_.term(), ModRevision{});  // a new epoch, and the record is still its own
   store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), ProcessIncarnation(3)}));
@@ -74,13 +74,13 @@
   machine("vm-1");
   begin();
   submit(testing::gang("req-1", 1, 2, 60));
-  store_.scripts = {Script::arrive_late};
+  store_.scripts = {Script::delay};
   run(Duration{60});
-  ASSERT_EQ(store_.late.size(), 1U);
+  ASSERT_EQ(store_.delayed.size(), 1U);
   submit(testing::gang("req-2", 1, 1, 30));
   run(Duration{200});
   // The late one may still come: no second release may use the same quota.
-  store_.arrive();
+  store_.apply_delayed();
   run(Duration{2000});
   EXPECT_EQ(tasks("req-1").at(0).state, TaskState::released);
   EXPECT_TRUE(tasks("req-2").empty());
@@ -406,14 +406,14 @@
   Transaction stand;
   stand.guard(keys::kLeader, ModRevision{});
   stand.put(keys::kLeader, encode(LeaderRecord{NodeId("me"), ProcessIncarnation(3)}));
-  store_.scripts = {Script::arrive_late};
+  store_.scripts = {Script::delay};
   store_.commit(RequestPriority::lease, stand, [](const CommitResult&) {});
-  ASSERT_EQ(store_.late.size(), 1U);
+  ASSERT_EQ(store_.delayed.size(), 1U);
   begin();
   run(Duration{500});
   ASSERT_TRUE(election_.is_established_leader());
   const ModRevision term = election_.term();
-  EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
+  EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
   run(Duration{1000});
   EXPECT_EQ(election_.term(), term);
 }
--- a/tests/open_releases_test.cpp
+++ b/tests/open_releases_test.cpp
@@ -23,7 +23,7 @@
   }
 
   void tell() {
-    store_.tell_watch();
+    store_.deliver_watch_events();
     time_.advance(Duration{100});
   }
 
--- a/tests/quota_under_faults_test.cpp
+++ b/tests/quota_under_faults_test.cpp
@@ -28,19 +28,19 @@
   }
 
   void submit_some() {
-    testing::Dice& dice = cluster_.dice;
-    if (cluster_.unfinished_jobs() >= kMostOpenJobs || !dice.chance(0.5)) return;
+    testing::RandomSource& random = cluster_.random;
+    if (cluster_.unfinished_jobs() >= kMostOpenJobs || !random.chance(0.5)) return;
     const std::string job_id = "req-" + std::to_string(++last_job_);
-    const auto gpus = static_cast<double>(dice.between(1, 2));
+    const auto gpus = static_cast<double>(random.between(1, 2));
     JobSpec spec =
-        dice.chance(0.5)
+        random.chance(0.5)
             ? testing::gang(job_id, 1, gpus, 5)
-            : testing::batch(job_id, static_cast<std::uint32_t>(dice.between(1, 4)), gpus, 5);
-    spec.team = TeamId(dice.chance(0.5) ? "crew" : "guild");
+            : testing::batch(job_id, static_cast<std::uint32_t>(random.between(1, 4)), gpus, 5);
+    spec.team = TeamId(random.chance(0.5) ? "crew" : "guild");
     // What comes later often goes first: by its urgency, or as the shorter one.
     spec.urgency = static_cast<Urgency>(
-        dice.between(static_cast<int>(Urgency::low), static_cast<int>(Urgency::production)));
-    spec.estimated_run = dice.span(2'000, 20'000);
+        random.between(static_cast<int>(Urgency::low), static_cast<int>(Urgency::production)));
+    spec.estimated_run = random.span(2'000, 20'000);
     cluster_.submit(spec);
   }
 
@@ -52,11 +52,9 @@
   /// Commits of the leader go without an answer; when it repeats them it is refused, and served
   /// again a moment later.
   void lose_then_refuse() {
-    const auto entry = cluster_.store.get(keys::kLeader);
-    LeaderRecord leader;
-    json::Document doc;
-    if (!entry || !json::parse(doc, entry->value) || !decode(doc, leader)) return;
-    const NodeId node = leader.node;
+    const auto leader = testing::stored_record<LeaderRecord>(cluster_.store, keys::kLeader);
+    if (!leader) return;
+    const NodeId node = leader->node;
     set_condition(node, Condition::losing);
     const auto later = [this, node](std::int64_t ms, Condition condition) {
       cluster_.events.after(Duration{ms},
@@ -68,25 +66,25 @@
   }
 
   void change_conditions() {
-    testing::Dice& dice = cluster_.dice;
-    if (dice.chance(0.12)) lose_then_refuse();
+    testing::RandomSource& random = cluster_.random;
+    if (random.chance(0.12)) lose_then_refuse();
     for (auto& [node, controller] : cluster_.controllers) {
       Condition& condition = controller->store.condition;
-      if (condition != Condition::good && dice.chance(0.2)) {
+      if (condition != Condition::good && random.chance(0.2)) {
         condition = Condition::good;
-      } else if (dice.chance(0.04)) {
-        condition = static_cast<Condition>(dice.between(0, 3));
+      } else if (random.chance(0.04)) {
+        condition = static_cast<Condition>(random.between(0, 3));
       }
     }
-    if (dice.chance(0.02) && cluster_.store.get(keys::kLeader)) {
-      cluster_.store.lapse(keys::kLeader);
+    if (random.chance(0.02) && cluster_.store.get(keys::kLeader)) {
+      cluster_.store.expire_lease_of(keys::kLeader);
     }
-    if (dice.chance(0.02)) {
-      const auto node = dice.between(1, 3);
+    if (random.chance(0.02)) {
+      const auto node = random.between(1, 3);
       cluster_.start_controller("n" + std::to_string(node), node == 2 ? "b" : "a");
     }
-    if (dice.chance(0.05) && last_job_ > 0) {
-      cluster_.cancel("req-" + std::to_string(dice.between(1, last_job_)));
+    if (random.chance(0.05) && last_job_ > 0) {
+      cluster_.cancel("req-" + std::to_string(random.between(1, last_job_)));
     }
   }
 
--- a/tests/release_offer_test.cpp
+++ b/tests/release_offer_test.cpp
@@ -152,15 +152,15 @@
   begin_offering();
   submit(testing::gang("req-1", 1, 2, 60));
   std::deque<Script> first_is_late(60, Script::refuse);
-  first_is_late.push_front(Script::arrive_late);
+  first_is_late.push_front(Script::delay);
   store_.key_scripts[keys::slice(JobId("req-1"), 0)] = first_is_late;
   run(Duration{4500});
-  ASSERT_EQ(store_.late.size(), 1U) << "the leader's own commit";
+  ASSERT_EQ(store_.delayed.size(), 1U) << "the leader's own commit";
   channel_.unanswered.at(0)(OfferOutcome::declined);
   submit_urgent("req-2", 1);
   run(Duration{3000});
   bind_offers_for("req-2");
-  store_.arrive();
+  store_.apply_delayed();
   run(Duration{100});
   EXPECT_LE(gpus_in_use({{"req-1", 2}, {"req-2", 1}}), 2);
 }
--- a/tests/release_outcome_test.cpp
+++ b/tests/release_outcome_test.cpp
@@ -38,7 +38,7 @@
 
   /// The late commit arrives.
   void arrive() {
-    store_.arrive();
+    store_.apply_delayed();
     run(Duration{100});
   }
 };
@@ -47,10 +47,10 @@
 // says nothing of the first. The room must not go to another job meanwhile.
 TEST_F(ReleaseOutcomeTest, ARefusedRepeatDoesNotSettleTheUnansweredCommit) {
   begin();
-  refuse_after(Script::arrive_late, "req-1", 60);
+  refuse_after(Script::delay, "req-1", 60);
   submit_gang("req-1", 2);
   run(Duration{60});
-  ASSERT_EQ(store_.late.size(), 1U);
+  ASSERT_EQ(store_.delayed.size(), 1U);
   submit_gang("req-2", 1, Urgency::urgent);
   run(Duration{3000});
   arrive();
@@ -60,10 +60,10 @@
 // As above for an array, of which another job's tasks would take the room.
 TEST_F(ReleaseOutcomeTest, ARefusedRepeatOfAnArraysReleaseDoesNotSettleItEither) {
   begin();
-  refuse_after(Script::arrive_late, "req-1", 60);
+  refuse_after(Script::delay, "req-1", 60);
   submit(testing::batch("req-1", 2, 1, 60));
   run(Duration{60});
-  ASSERT_EQ(store_.late.size(), 1U);
+  ASSERT_EQ(store_.delayed.size(), 1U);
   submit_gang("req-2", 2, Urgency::urgent);
   run(Duration{3000});
   arrive();
@@ -74,7 +74,7 @@
 // its repeat, and the team's next job starts when the first one has ended.
 TEST_F(ReleaseOutcomeTest, AnUnansweredReleaseIsSettledOnceTheStateServiceAnswersAgain) {
   begin();
-  refuse_after(Script::lose_request, "req-1", 5);
+  refuse_after(Script::drop_request, "req-1", 5);
   submit_gang("req-1", 2);
   run(Duration{60});
   submit_gang("req-2", 1, Urgency::urgent);
@@ -94,18 +94,19 @@
 // and an answer that comes in between is heard.
 TEST_F(ReleaseOutcomeTest, WhatIsOpenStaysOpenWhileTheSameTermIsInterrupted) {
   begin();
-  refuse_after(Script::arrive_late, "req-1", 60);
+  refuse_after(Script::delay, "req-1", 60);
   submit_gang("req-1", 2);
   run(Duration{60});
   const ModRevision term = election_.term();
-  store_.end_lease(LeaseId(1));
-  store_.hold = true;
+  store_.expire_lease(LeaseId(1));
+  store_.hold_answers = true;
   run(Duration{1100});
-  for (const auto& answer : std::exchange(store_.held, {})) answer();  // the epoch has ended
+  for (const auto& answer : std::exchange(store_.held_answers, {}))
+    answer();  // the epoch has ended
   run(Duration{1000});
   ASSERT_FALSE(election_.is_established_leader()) << "the next session is not open yet";
-  store_.hold = false;
-  store_.deliver_all();
+  store_.hold_answers = false;
+  store_.deliver_held_answers();
   run(Duration{500});
   ASSERT_TRUE(election_.is_established_leader());
   ASSERT_EQ(election_.term(), term);
@@ -118,7 +119,7 @@
 // A member who asks why a job waits is told of the release that has no answer.
 TEST_F(ReleaseOutcomeTest, AJobThatWaitsForAnUnsettledReleaseIsToldSo) {
   begin();
-  refuse_after(Script::lose_request, "req-1", 200);
+  refuse_after(Script::drop_request, "req-1", 200);
   submit_gang("req-1", 2);
   run(Duration{60});
   submit_gang("req-2", 1, Urgency::urgent);
@@ -154,17 +155,17 @@
   submit(testing::gang("req-1", 1, 2, 600));
   set_task("req-1", bound("vm-1"));
   begin();
-  refuse_after(Script::arrive_late, "req-1", 20);
+  refuse_after(Script::delay, "req-1", 20);
   MachineRecord taken = cache_.records().machines.at(MachineId("vm-1")).record;
   taken.reclaim_at = time_.wall() + Duration{4'000};
   store_.put_machine(taken);
   machine("vm-2");
   run(Duration{500});
-  ASSERT_EQ(store_.late.size(), 1U) << "the stop";
+  ASSERT_EQ(store_.delayed.size(), 1U) << "the stop";
   submit_gang("req-2", 1, Urgency::urgent);
   run(Duration{5'000});
   EXPECT_TRUE(tasks("req-2").empty());
-  store_.arrive();
+  store_.apply_delayed();
   run(Duration{5'000});
   EXPECT_TRUE(tasks("req-1").at(0).stop);
   EXPECT_TRUE(tasks("req-2").empty());
@@ -175,7 +176,7 @@
 TEST_F(ReleaseOutcomeTest, AnOwnCommitOfTheJobDoesNotHideTheReleaseThatCameBefore) {
   begin();
   run(Duration{600});
-  refuse_after(Script::lose_answer, "req-1", 3);
+  refuse_after(Script::drop_answer, "req-1", 3);
   submit_gang("req-1", 2);
   run(Duration{10});
   run_without_watch(Duration{60});
--- a/tests/service_job_test.cpp
+++ b/tests/service_job_test.cpp
@@ -74,9 +74,9 @@
   release(standing("req-1", 1, 1));
   run(Duration{500});
   ASSERT_EQ(task().state, TaskState::bound);
-  handle_heartbeat(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_status("running"));
   run(Duration{500});
-  handle_heartbeat(1, token(), task_index("ended", "done"));
+  handle_heartbeat(1, token(), task_status("ended", "done"));
   run(Duration{12'000});
   EXPECT_EQ(task().state, TaskState::idle);
   EXPECT_TRUE(store_.get(keys::job(JobId("req-1"))));
@@ -89,15 +89,15 @@
   handle_heartbeat(1, 0);
   run(Duration{50});
   handle_heartbeat(1, token());
-  store_.hold = true;
+  store_.hold_answers = true;
   for (std::size_t i = 0; i < 2 * SliceCommits::kMaxInFlight; ++i) {
     release(testing::batch("req-" + std::to_string(100 + i), 1, 0, 100));
   }
   run(Duration{100});
   release(standing("req-1", 1, 0));
   run(Duration{100});
-  store_.hold = false;
-  store_.deliver_all();
+  store_.hold_answers = false;
+  store_.deliver_held_answers();
   EXPECT_EQ(task().state, TaskState::bound);
   EXPECT_EQ(binding_priority(cache_.records(), JobId("req-1")), RequestPriority::service_binding);
   EXPECT_EQ(binding_priority(cache_.records(), JobId("req-100")), RequestPriority::binding);
--- a/tests/shard_holder_test.cpp
+++ b/tests/shard_holder_test.cpp
@@ -42,14 +42,14 @@
   handle_heartbeat(1, token());
   run(Duration{60});  // the machine is in its page
   store_.scripts.assign(50, Script::refuse);
-  store_.scripts.front() = Script::arrive_late;
+  store_.scripts.front() = Script::delay;
   release();
   run(Duration{30});
-  ASSERT_EQ(store_.late.size(), 1U);
+  ASSERT_EQ(store_.delayed.size(), 1U);
   store_.scripts.clear();
   store_.put(keys::shard(ZoneId("a")),
              encode(ShardRecord{ZoneId("a"), NodeId("other"), ProcessIncarnation(9), 2}));
-  EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
+  EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
   EXPECT_EQ(task().state, TaskState::released);
 }
 
@@ -57,11 +57,11 @@
   handle_heartbeat(1, token());
   run(Duration{60});  // the machine is in its page
   store_.scripts.assign(50, Script::refuse);
-  store_.scripts.front() = Script::arrive_late;
+  store_.scripts.front() = Script::delay;
   release();
   run(Duration{30});
   cancel();
-  EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
+  EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
   store_.scripts.clear();
   run(Duration{1000});
   EXPECT_EQ(task().state, TaskState::idle);  // never bound, so nothing to wait for
@@ -98,19 +98,19 @@
 
 TEST_F(ShardHolderTest, AnEndedTaskIsClearedOnlyWhenItsStartCannotBeRepeated) {
   bind_and_start();
-  auto answer = handle_heartbeat(1, token(), task_index("ended", "error"));
+  auto answer = handle_heartbeat(1, token(), task_status("ended", "error"));
   run(Duration{50});
   EXPECT_EQ(task().state, TaskState::idle);
-  answer = handle_heartbeat(1, token(), task_index("ended", "error"));
+  answer = handle_heartbeat(1, token(), task_status("ended", "error"));
   EXPECT_EQ(answer.body.find("clear"), std::string::npos) << "a late copy would start it again";
   run(Duration{9000});
-  answer = handle_heartbeat(1, token(), task_index("ended", "error"));
+  answer = handle_heartbeat(1, token(), task_status("ended", "error"));
   EXPECT_NE(answer.body.find("clear"), std::string::npos);
 }
 
 TEST_F(ShardHolderTest, ALateHeartbeatDoesNotUndoANewerOne) {
   bind_and_start();
-  handle_heartbeat(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_status("running"));
   sequence_ -= 2;  // an older heartbeat, delivered late, without the task
   handle_heartbeat(1, token());
   run(Duration{50});
@@ -119,7 +119,7 @@
 
 TEST_F(ShardHolderTest, ANewEpochProvesThatTheTaskIsGone) {
   bind_and_start();
-  handle_heartbeat(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_status("running"));
   run(Duration{50});
   handle_heartbeat(2, token());
   run(Duration{50});
@@ -128,14 +128,14 @@
 
 TEST_F(ShardHolderTest, SilenceFreesNothing) {
   bind_and_start();
-  handle_heartbeat(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_status("running"));
   run(Duration{120'000});
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
 TEST_F(ShardHolderTest, ADeletedMachineProvesThatItsTasksAreGone) {
   bind_and_start();
-  handle_heartbeat(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_status("running"));
   run(Duration{50});
   MachineRecord machine;
   machine.machine_id = MachineId("vm-1");
@@ -149,7 +149,7 @@
 
 TEST_F(ShardHolderTest, WithoutTheStateServiceItStopsAnsweringInTime) {
   EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
-  informed_ = false;
+  watch_answers_ = false;
   run(Duration{20'000});
   EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
   // cancel_s - lease_s is 25 s: a cancellation may have been accepted right after the last read.
@@ -163,10 +163,10 @@
 // Found by a rough day: the user had been told `cancelled`, the task ended before it was stopped.
 TEST_F(ShardHolderTest, ACancelledJobStaysCancelledThoughItsTasksAreDone) {
   bind_and_start();
-  handle_heartbeat(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_status("running"));
   run(Duration{50});
   cancel();
-  handle_heartbeat(1, token(), task_index("ended", "done"));
+  handle_heartbeat(1, token(), task_status("ended", "done"));
   run(Duration{500});
   const auto entry = store_.get(keys::final_job(JobId("req-1")));
   ASSERT_TRUE(entry);
@@ -180,13 +180,13 @@
   store_.commit(RequestPriority::record, txn, [](const CommitResult&) {});
   run(Duration{50});
   ASSERT_TRUE(cache_.records().placed.contains(MachineId("vm-1")));
-  EXPECT_NE(handle_heartbeat(1, token(), task_index("running")).body.find("kill"),
+  EXPECT_NE(handle_heartbeat(1, token(), task_status("running")).body.find("kill"),
             std::string::npos);
 }
 
 TEST_F(ShardHolderTest, DoneIsCommittedWithTheEndOfItsLastTask) {
   bind_and_start();
-  handle_heartbeat(1, token(), task_index("ended", "done"));
+  handle_heartbeat(1, token(), task_status("ended", "done"));
   run(Duration{50});
   const auto entry = store_.get(keys::final_job(JobId("req-1")));
   ASSERT_TRUE(entry);
@@ -197,7 +197,7 @@
 
 TEST_F(ShardHolderTest, AFailingTaskMakesItsMachineSuspect) {
   bind_and_start();
-  handle_heartbeat(1, token(), task_index("ended", "error"));
+  handle_heartbeat(1, token(), task_status("ended", "error"));
   run(Duration{50});
   EXPECT_EQ(cache_.records().machines.at(MachineId("vm-1")).record.state, MachineState::suspect);
   EXPECT_EQ(task().faults, 1U);
@@ -224,9 +224,9 @@
   run(Duration{50});
   const std::string running = R"({"part":"req-2/0","try":1,"status":"running"})";
   const std::string failed = R"({"part":"req-2/0","try":1,"status":"ended","cause":"error"})";
-  handle_heartbeat(1, token(), task_index("ended", "error") + "," + running);
+  handle_heartbeat(1, token(), task_status("ended", "error") + "," + running);
   run(Duration{100});
-  handle_heartbeat(1, token(), task_index("ended", "error") + "," + failed);
+  handle_heartbeat(1, token(), task_status("ended", "error") + "," + failed);
   run(Duration{100});
   const MachineRecord& machine = cache_.records().machines.at(MachineId("vm-1")).record;
   EXPECT_EQ(machine.state, MachineState::suspect);
@@ -239,7 +239,7 @@
   machine.state = MachineState::quarantined;
   store_.put_machine(machine);
   run(Duration{50});
-  handle_heartbeat(1, token(), task_index("ended", "error"));
+  handle_heartbeat(1, token(), task_status("ended", "error"));
   run(Duration{1'100});
   EXPECT_EQ(task().faults, 1U);
   EXPECT_EQ(cache_.records().machines.at(MachineId("vm-1")).record.state,
@@ -249,7 +249,7 @@
 // Found by a rough day: after the end of all controllers, tasks went where their image was not.
 TEST_F(ShardHolderTest, ImagesThatRanAreKeptInTheMachinesRecord) {
   bind_and_start();
-  handle_heartbeat(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_status("running"));
   run(Duration{1000});
   const auto& images = cache_.records().machines.at(MachineId("vm-1")).record.images;
   ASSERT_EQ(images.size(), 1U);
@@ -282,7 +282,7 @@
 TEST_F(ShardHolderTest, CommitsOnTheirWayAreBoundedAndNoSliceIsPassedOver) {
   constexpr int kJobs = 40;
   handle_heartbeat(1, token());
-  store_.hold = true;
+  store_.hold_answers = true;
   const auto slice_commits = [&] {
     return std::count_if(store_.commits.begin(), store_.commits.end(), [](const Transaction& txn) {
       return !txn.puts.empty() && txn.puts[0].key.find("slices/") != std::string::npos;
@@ -294,8 +294,8 @@
   }
   run(Duration{400});
   EXPECT_EQ(static_cast<std::size_t>(slice_commits() - before), SliceCommits::kMaxInFlight);
-  store_.hold = false;
-  store_.deliver_all();
+  store_.hold_answers = false;
+  store_.deliver_held_answers();
   run(Duration{400});
   int bound = 0;
   for (int i = 0; i < kJobs; ++i) {
--- a/tests/startup_times_test.cpp
+++ b/tests/startup_times_test.cpp
@@ -28,7 +28,7 @@
 
   void pass(Duration duration) {
     time_.advance(duration);
-    store_.tell_watch();
+    store_.deliver_watch_events();
   }
   void bind_task(WallTime since) {
     TaskRecord task;
--- a/tests/store_limit_reduction_test.cpp
+++ b/tests/store_limit_reduction_test.cpp
@@ -268,7 +268,7 @@
 
   /// The machine reports the first task as ended, and what has to be written is written.
   void end_first_task() {
-    handle_heartbeat(1, token(), task_index("ended", "done"));
+    handle_heartbeat(1, token(), task_status("ended", "done"));
     run(Duration{12'000});
   }
 
@@ -388,7 +388,7 @@
   begin_with_wide_gang();
   store_.lower_limits(LimitsEvidence::compact_record);
   auto& last_step = store_.key_scripts[keys::slice(JobId("req-1"), 6)];
-  last_step.assign(10'000, Script::lose_request);
+  last_step.assign(10'000, Script::drop_request);
   for (int i = 0; i < 400 && placed_by_attempt().empty(); ++i) run(Duration{10});
   ASSERT_EQ(placed_by_attempt(), (std::map<Attempt, std::size_t>{{Attempt(1), 5 * kSliceTasks}}));
   store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), ProcessIncarnation(9)}));
--- a/tests/support/helpers.hpp
+++ b/tests/support/helpers.hpp
@@ -1,4 +1,4 @@
-// Shared by the tests: jobs, machines and queue items in one line each.
+// Jobs, machines and queue items for tests, in one line each.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -10,10 +10,12 @@
 
 namespace marblevale::testing {
 
+/// A time of day in seconds.
 inline WallTime at(double seconds) {
   return from_unix_milliseconds(static_cast<std::int64_t>(seconds * 1000));
 }
 
+/// A gang of the team `crew`: its tasks start together, each on the given GPUs.
 inline JobSpec gang(const std::string& job_id, std::uint32_t task_count, double gpus,
                     double seconds) {
   JobSpec job;
@@ -30,6 +32,7 @@
   return job;
 }
 
+/// An array of the team `crew`: its tasks start independently.
 inline JobSpec batch(const std::string& job_id, std::uint32_t task_count, double gpus,
                      double seconds) {
   JobSpec job = gang(job_id, task_count, gpus, seconds);
@@ -37,6 +40,17 @@
   return job;
 }
 
+/// A service job, which has no checkpoints: its replicas run until it is cancelled.
+inline JobSpec service_job(const std::string& job_id, std::uint32_t replicas, double gpus) {
+  JobSpec job = batch(job_id, replicas, gpus, 90'000'000);
+  job.shape = JobShape::service;
+  job.urgency = Urgency::production;
+  job.checkpoint_interval = Duration{0};
+  job.save_time = Duration{0};
+  return job;
+}
+
+/// A machine as the planner knows it, with the image of the jobs above in its cache.
 inline PlanMachine machine(const std::string& machine_id, double gpus,
                            const std::string& zone = "a") {
   PlanMachine m;
@@ -48,6 +62,7 @@
   return m;
 }
 
+/// The job's entry in the queue, with all its tasks waiting.
 inline QueueItem item(const JobSpec& job, std::uint64_t owner, double accepted = 0) {
   QueueItem out;
   out.job_id = job.job_id;
--- a/tests/support/leader_loop_fixture.hpp
+++ b/tests/support/leader_loop_fixture.hpp
@@ -1,88 +1,40 @@
 // A leader with a scripted state service, a scripted cloud and a fake clock.
 #pragma once
 
+#include <map>
+#include <string>
+#include <vector>
+
+#include "autoscaler/autoscaler.hpp"
 #include "leader/leader_loop.hpp"
-#include "support/helpers.hpp"
-#include "support/scripted_store.hpp"
+#include "support/controller_fixture.hpp"
+#include "support/scripted_cloud.hpp"
 
 namespace marblevale::testing {
 
-class ScriptedCloud : public Cloud {
- public:
-  void list_machine_types(
-      std::function<void(std::optional<std::vector<MachineType>>)> then) override {
-    then(machine_types);
-  }
-  void list_machines(const std::optional<MachineId>&,
-                     std::function<void(std::optional<MachineList>)> then) override {
-    then(listing);
-  }
-  void provision(const ProvisioningRequest& request,
-                 std::function<void(ProvisioningResult)> then) override {
-    provisioning_requests.push_back(request.name);
-    provisioned_in.push_back(request.zone);
-    std::vector<MachineId>& machine_ids = provisioned[request.name];
-    while (scales_out && machine_ids.size() < request.how_many) {
-      machine_ids.emplace_back("vm-" + request.name + "-" + std::to_string(machine_ids.size()));
-    }
-    const ProvisioningOutcome outcome =
-        machine_ids.empty() ? ProvisioningOutcome::no_capacity : ProvisioningOutcome::provisioned;
-    held_provisioning.emplace_back([then = std::move(then), outcome, machine_ids] {
-      then({outcome, machine_ids});
-    });
-    if (!hold_provisioning) answer_provisioning();
-  }
-  void delete_machines(const std::vector<MachineId>& machine_ids,
-                       std::function<void(DeletionOutcome)> then) override {
-    removed.insert(removed.end(), machine_ids.begin(), machine_ids.end());
-    then(removes ? DeletionOutcome::deleted : DeletionOutcome::unknown);
-  }
-  void answer_provisioning() {
-    while (!held_provisioning.empty()) {
-      const auto next = std::move(held_provisioning.front());
-      held_provisioning.pop_front();
-      next();
-    }
-  }
-  std::vector<std::string> provisioning_requests;
-  std::vector<ZoneId> provisioned_in;
-  bool scales_out = false;
-  std::map<std::string, std::vector<MachineId>> provisioned;  // by the request's name
-  bool hold_provisioning = false;
-  std::deque<std::function<void()>> held_provisioning;
-  std::vector<MachineId> removed;
-  bool removes = true;
-  std::optional<MachineList> listing;                     // none: no answer
-  std::optional<std::vector<MachineType>> machine_types;  // none: no answer
-};
-
-class LeaderLoopTest : public ::testing::Test {
+/// The only controller of its cluster: it leads once `begin` has run. Its only team, `crew`, has a
+/// limit of two GPUs.
+class LeaderLoopTest : public ControllerTest {
  protected:
   LeaderLoopTest()
-      : cache_(loop_, time_, store_, 1),
-        election_(loop_, time_, settings(), store_, cache_, ProcessIncarnation(7)),
+      : ControllerTest(leader_settings(), leader_machine_type()),
         autoscaler_(loop_, time_, settings_, cache_, election_, cloud_),
-        leader_loop_(loop_, time_, settings_, cache_, election_, autoscaler_) {
-    MachineType type;
-    type.name = "g8";
-    type.resources = {96, 8, 768};
-    type.boot = Duration{30'000};
-    type.zones = {ZoneId("a")};
-    store_.put(keys::kTypes, encode(std::vector<MachineType>{type}));
-  }
+        leader_loop_(loop_, time_, settings_, cache_, election_, autoscaler_) {}
 
-  Settings& settings() {
-    settings_.node = NodeId("me");
-    settings_.zone = ZoneId("a");
-    settings_.zones = {ZoneId("a")};
-    settings_.workers = {Duration{3000}, Duration{24'000}, Duration{35'000}, Duration{8000},
-                         Duration{49'000}};
+  static Settings leader_settings() {
+    Settings settings = controller_settings();
     Team team;
     team.name = TeamId("crew");
     team.gpus = 2;
     team.gpus_max = 2;
-    settings_.teams = {team};
-    return settings_;
+    settings.teams = {team};
+    return settings;
+  }
+
+  static MachineType leader_machine_type() {
+    MachineType type = machine_type();
+    type.boot = Duration{30'000};
+    return type;
   }
 
   void begin() {
@@ -93,33 +45,40 @@
     run(Duration{20});
   }
 
-  void run(Duration duration) {
-    for (std::int64_t at = 0; at < duration.count(); at += 10) {
-      time_.advance(Duration{10});
-      store_.tell_watch();
-    }
+  void set_limit(double gpus) { settings_.teams[0].gpus = settings_.teams[0].gpus_max = gpus; }
+
+  /// Adds zone `b`, for which machines can be provisioned as well.
+  void use_two_zones() {
+    settings_.zones = {ZoneId("a"), ZoneId("b")};
+    MachineType type = leader_machine_type();
+    type.zones = settings_.zones;
+    store_.put(keys::kTypes, encode(std::vector<MachineType>{type}));
   }
 
-  void machine(const std::string& machine_id) {
-    MachineRecord m;
-    m.machine_id = MachineId(machine_id);
-    m.machine_type = "g8";
-    m.zone = ZoneId("a");
-    m.since = time_.wall();
-    store_.put_machine(m);
+  void machine(const std::string& machine_id, const std::string& zone = "a") {
+    store_.put_machine(machine_record(machine_id, time_.wall(), zone));
   }
 
-  void submit(const JobSpec& spec) {
-    JobRecord job{spec, time_.wall(), std::nullopt};
-    store_.put(keys::job(spec.job_id), encode(job));
+  void machine_in_state(const std::string& machine_id, MachineState state,
+                        std::optional<WallTime> reclaim_at = std::nullopt) {
+    MachineRecord machine = machine_record(machine_id, time_.wall());
+    machine.state = state;
+    machine.reclaim_at = reclaim_at;
+    store_.put_machine(machine);
   }
 
+  /// A machine under suspicion, because a task of the job has failed on it.
+  void suspect_machine(const std::string& machine_id, const std::string& blamed_job) {
+    MachineRecord machine = machine_record(machine_id, time_.wall());
+    machine.state = MachineState::suspect;
+    machine.blamed = JobId(blamed_job);
+    store_.put_machine(machine);
+  }
+
+  void submit(const JobSpec& spec) { put_job(store_, spec, time_.wall()); }
+
   [[nodiscard]] std::vector<TaskRecord> tasks(const std::string& job_id) const {
-    const auto entry = store_.get(keys::slice(JobId(job_id), 0));
-    SliceRecord slice;
-    json::Document doc;
-    if (!entry || !json::parse(doc, entry->value) || !decode(doc, slice)) return {};
-    return slice.tasks;
+    return stored_tasks(store_, job_id);
   }
 
   /// GPUs of the jobs' tasks that are released or bound, as the state service has them. The jobs
@@ -140,30 +99,16 @@
     return out;
   }
 
-  void set_task(const std::string& job_id, const TaskRecord& task) {
-    SliceRecord slice;
-    slice.job_id = JobId(job_id);
-    slice.tasks = {task};
-    store_.put(keys::slice(slice.job_id, 0), encode(slice));
+  void set_tasks(const std::string& job_id, const std::vector<TaskRecord>& tasks) {
+    put_slice(store_, slice_record(JobId(job_id), tasks));
   }
+  void set_task(const std::string& job_id, const TaskRecord& task) { set_tasks(job_id, {task}); }
 
   [[nodiscard]] static TaskRecord bound(const std::string& machine_id) {
-    TaskRecord task;
-    task.state = TaskState::bound;
-    task.attempt = Attempt(1);
-    task.zone = ZoneId("a");
-    task.machine_id = MachineId(machine_id);
-    task.epoch = WorkerEpoch(1);
-    return task;
+    return bound_task(machine_id);
   }
 
-  FakeTime time_;
-  Loop loop_{&time_};
-  Settings settings_;
-  ScriptedStore store_;
   ScriptedCloud cloud_;
-  WatchCache cache_;
-  Election election_;
   Autoscaler autoscaler_;
   LeaderLoop leader_loop_;
 };
--- /dev/null
+++ b/tests/support/planner_helpers.hpp
@@ -0,0 +1,42 @@
+// Profiles, reservations and budgets for tests of the planner.
+#pragma once
+
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "scheduling/planner.hpp"
+#include "support/helpers.hpp"
+
+namespace marblevale::testing {
+
+/// The budget of a planning round that nothing exhausts.
+inline bool unlimited_budget(double) { return false; }
+
+inline Profile profile_of_one_machine(double gpus) {
+  Profile profile;
+  profile.add_machine(machine("m", gpus));
+  return profile;
+}
+
+/// A reservation of one place on each of the machines, as an earlier round has left it.
+inline Reservation reserved(double start, double end,
+                            const std::vector<std::string>& machine_ids = {"m"}) {
+  Reservation out;
+  for (const auto& machine_id : machine_ids) {
+    out.places.push_back({MachineId(machine_id), at(start), at(end)});
+  }
+  out.granted_start = out.start = at(start);
+  out.end = at(end);
+  out.changed = false;
+  return out;
+}
+
+inline std::vector<std::string> started_jobs(const std::vector<Start>& starts) {
+  std::vector<std::string> out;
+  out.reserve(starts.size());
+  for (const Start& start : starts) out.push_back(start.job_id.get());
+  return out;
+}
+
+}  // namespace marblevale::testing
--- a/tests/support/scripted_store.hpp
+++ b/tests/support/scripted_store.hpp
@@ -1,5 +1,5 @@
-// A state service in memory, by the published protocol: guards, revisions, leases, watches. What it
-// does with the next commits, and when it answers, is scripted by the test.
+// A state service in memory, as the published protocol describes it: guards, revisions, leases,
+// watches. A test scripts what becomes of the next commits and when they are answered.
 #pragma once
 
 #include <algorithm>
@@ -9,61 +9,26 @@
 #include <set>
 #include <string>
 
-#include "core/time.hpp"
-#include "net/loop.hpp"
 #include "records/records.hpp"
 #include "store/client.hpp"
+#include "support/fake_time.hpp"
 
 namespace marblevale::testing {
 
-/// What a value may take where a test does not say otherwise.
+/// The largest value that the state service accepts unless a test announces another limit.
 inline constexpr std::size_t kValueBytes = 8192;
 
-/// Time that stands still until the test moves it; timers fire in their order on the way.
-class FakeTime : public Clock, public TimerQueue {
- public:
-  [[nodiscard]] SteadyTime steady() const override { return SteadyTime{Duration{now_}}; }
-  [[nodiscard]] WallTime wall() const override { return from_unix_milliseconds(now_ + 1'000'000); }
-
-  void arm(Timer& timer, Duration after) override {
-    disarm(timer);
-    due_.emplace(std::make_pair(now_ + after.count(), serial_++), &timer);
-  }
-  void disarm(Timer& timer) override {
-    std::erase_if(due_, [&](const auto& entry) { return entry.second == &timer; });
-  }
-  [[nodiscard]] bool armed(const Timer& timer) const override {
-    return std::any_of(due_.begin(), due_.end(),
-                       [&](const auto& entry) { return entry.second == &timer; });
-  }
-
-  void advance(Duration by) {
-    const std::int64_t until = now_ + by.count();
-    while (!due_.empty() && due_.begin()->first.first <= until) {
-      now_ = std::max(now_, due_.begin()->first.first);
-      Timer* timer = due_.begin()->second;
-      due_.erase(due_.begin());
-      timer->fire();
-    }
-    now_ = until;
-  }
-
-  /// The clocks run on, and nothing is done meanwhile: all that was due is late.
-  void stand_still(Duration duration) { now_ += duration.count(); }
-
- private:
-  std::int64_t now_ = 10'000'000;
-  std::uint64_t serial_ = 0;
-  std::map<std::pair<std::int64_t, std::uint64_t>, Timer*> due_;
-};
-
+/// The state service of a test, which reads and writes it directly as well, in the place of other
+/// controllers. Open watches are answered by `deliver_watch_events`.
 class ScriptedStore : public Store {
  public:
-  enum class Script { normal, refuse, lose_request, lose_answer, arrive_late };
+  /// What becomes of a commit: executed; refused; lost before it is executed; executed without an
+  /// answer; executed without an answer when the test calls `apply_delayed`.
+  enum class Script { normal, refuse, drop_request, drop_answer, delay };
 
   void read(const std::string& key, std::function<void(ReadResult)> then) override {
     ++reads;
-    if (down) {
+    if (unavailable) {
       deliver([then = std::move(then)] { then({}); });
       return;
     }
@@ -79,7 +44,7 @@
   void range(const std::string& prefix, const std::string& after,
              std::function<void(std::optional<RangePage>)> then) override {
     ranges.push_back(after);
-    const bool fails = down || failing_ranges > 0;
+    const bool fails = unavailable || failing_ranges > 0;
     if (failing_ranges > 0) --failing_ranges;
     if (fails) {
       deliver([then = std::move(then)] { then(std::nullopt); });
@@ -115,13 +80,13 @@
       case Script::refuse:
         result.outcome = Outcome::refused;
         break;
-      case Script::lose_answer:
+      case Script::drop_answer:
         apply(txn);
         break;
-      case Script::lose_request:
+      case Script::drop_request:
         break;
-      case Script::arrive_late:
-        late.push_back(txn);
+      case Script::delay:
+        delayed.push_back(txn);
         break;
     }
     deliver([then = std::move(then), result] { then(result); });
@@ -138,7 +103,8 @@
   }
 
   void renew_lease(LeaseId lease_id, std::function<void(LeaseResult)> then) override {
-    const Outcome outcome = ended_.contains(lease_id) ? Outcome::lease_expired : Outcome::done;
+    const Outcome outcome =
+        expired_leases_.contains(lease_id) ? Outcome::lease_expired : Outcome::done;
     deliver([then = std::move(then), outcome, lease_id] { then({outcome, lease_id}); });
   }
 
@@ -149,15 +115,15 @@
     limits_.txn_ops = limits_.next->txn_ops;
     limits_.next.reset();
   }
-  /// Lower limits are announced; they are in force once `enforces_announced` is set.
+  /// Announces lower limits, which are in force once `enforces_announced` is set.
   void announce_limits(std::size_t value_bytes, std::size_t txn_ops) {
     announced_ = AnnouncedLimits{1e6, 1e6, value_bytes, txn_ops};
     limits_.next = announced_;
   }
   [[nodiscard]] double write_slack() override { return slack; }
 
-  /// Tells each open watch what has changed since it was opened.
-  void tell_watch() {
+  /// Answers each open watch with the changes since the revision from which it watches.
+  void deliver_watch_events() {
     std::vector<Watch> open;
     open.swap(watches_);
     for (const Watch& watch : open) {
@@ -175,21 +141,21 @@
     }
   }
 
-  /// Lets one late transaction arrive.
-  CommitResult arrive() {
-    const Transaction txn = late.front();
-    late.pop_front();
+  /// Executes the transaction that has been delayed longest.
+  CommitResult apply_delayed() {
+    const Transaction txn = delayed.front();
+    delayed.pop_front();
     return apply(txn);
   }
 
-  /// What another controller writes.
+  /// Writes as another controller does.
   ModRevision put(const std::string& key, const std::string& value) {
     Transaction txn;
     txn.put(key, value);
     return ModRevision(apply(txn).revision.get());
   }
 
-  /// A machine's record, in its page with those that are there already.
+  /// Writes a machine's record into its page, beside the records that the page has already.
   void put_machine(const MachineRecord& machine) {
     const std::string key = keys::machine_page(machine.zone, machine.machine_id);
     MachinePage page;
@@ -200,15 +166,15 @@
     put(key, encode(page, RecordSize{limits_.value_bytes, false}));
   }
 
-  void end_lease(LeaseId lease_id) { ended_.insert(lease_id); }
+  void expire_lease(LeaseId lease_id) { expired_leases_.insert(lease_id); }
 
-  /// The lease on which the key hangs ends, and all its keys go.
-  void lapse(const std::string& key) {
+  /// Lets the lease of the key expire: all keys that are bound to it are deleted.
+  void expire_lease_of(const std::string& key) {
     const LeaseId lease_id = data_.at(key).lease_id;
-    end_lease(lease_id);
+    expire_lease(lease_id);
     Transaction txn;
-    for (const auto& [path, kept] : data_) {
-      if (kept.lease_id == lease_id) txn.remove(path);
+    for (const auto& [path, stored] : data_) {
+      if (stored.lease_id == lease_id) txn.remove(path);
     }
     apply(txn);
   }
@@ -219,32 +185,32 @@
     return Entry{key, it->second.value, it->second.mod_revision};
   }
 
-  /// Answers wait here while `hold` is set.
-  void deliver_all() {
-    while (!held.empty()) {
-      const auto next = std::move(held.front());
-      held.pop_front();
+  /// Delivers the answers that were kept back while `hold_answers` is set.
+  void deliver_held_answers() {
+    while (!held_answers.empty()) {
+      const auto next = std::move(held_answers.front());
+      held_answers.pop_front();
       next();
     }
   }
 
   double slack = 1;
-  bool down = false;
-  bool hold = false;
+  bool unavailable = false;
+  bool hold_answers = false;
   int reads = 0;
   std::size_t page = 1000;          // items in one answer to a range
   int failing_ranges = 0;           // how many of the next are not answered
   std::vector<std::string> ranges;  // that were asked, by what they begin after
   std::deque<Script> scripts;       // of the next commits, whatever they write
   std::map<std::string, std::deque<Script>> key_scripts;  // of the next commits that write the key
-  std::deque<Transaction> late;
-  std::deque<std::function<void()>> held;
+  std::deque<Transaction> delayed;
+  std::deque<std::function<void()>> held_answers;
   std::vector<Transaction> commits;
   bool enforces_announced = false;  // the announced limits have come
   int refused_for_size = 0;
 
  private:
-  struct Kept {
+  struct StoredValue {
     std::string value;
     ModRevision mod_revision;
     LeaseId lease_id;
@@ -275,8 +241,8 @@
   }
 
   void deliver(std::function<void()> answer) {
-    if (hold) {
-      held.push_back(std::move(answer));
+    if (hold_answers) {
+      held_answers.push_back(std::move(answer));
     } else {
       answer();
     }
@@ -295,7 +261,7 @@
       return result;
     }
     for (const Put& put : txn.puts) {
-      if (put.lease_id != LeaseId{} && ended_.contains(put.lease_id)) {
+      if (put.lease_id != LeaseId{} && expired_leases_.contains(put.lease_id)) {
         result.outcome = Outcome::lease_expired;
         return result;
       }
@@ -313,14 +279,16 @@
     return result;
   }
 
-  std::map<std::string, Kept> data_;
+  std::map<std::string, StoredValue> data_;
   std::vector<Change> log_;
   std::uint64_t revision_ = 0;
   std::uint64_t leases_ = 0;
-  std::set<LeaseId> ended_;
+  std::set<LeaseId> expired_leases_;
   std::vector<Watch> watches_;
   AnnouncedLimits announced_;
   StoreLimits limits_{1e6, 1e6, kValueBytes, 16, 3, {}};  // no pace: tests move time themselves
 };
 
+using Script = ScriptedStore::Script;
+
 }  // namespace marblevale::testing
--- /dev/null
+++ b/tests/support/scripted_workers.hpp
@@ -0,0 +1,27 @@
+// The connection from a shard holder to its workers, with answers that a test scripts.
+#pragma once
+
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "shards/order_sender.hpp"
+
+namespace marblevale::testing {
+
+/// Keeps the orders that are sent to workers. A test answers one by calling its `then`; an order
+/// that it does not answer stays in flight.
+class ScriptedWorkers : public OrderSender {
+ public:
+  struct Sent {
+    std::string address;
+    std::string body;
+    HttpHandler then;
+  };
+  void send(const std::string& address, std::string body, HttpHandler then) override {
+    sent.push_back({address, std::move(body), std::move(then)});
+  }
+  std::vector<Sent> sent;
+};
+
+}  // namespace marblevale::testing
--- a/tests/support/shard_holder_fixture.hpp
+++ b/tests/support/shard_holder_fixture.hpp
@@ -1,39 +1,23 @@
-// A holder with a scripted state service, scripted workers and a fake clock.
+// The holder of a shard with a scripted state service, scripted workers and a fake clock.
 #pragma once
 
+#include <string>
+
+#include "cancellations/cancellations.hpp"
 #include "shards/shard_holder.hpp"
-#include "support/helpers.hpp"
-#include "support/scripted_store.hpp"
+#include "support/controller_fixture.hpp"
+#include "support/scripted_workers.hpp"
 
 namespace marblevale::testing {
 
-using Script = ScriptedStore::Script;
-
-class ScriptedWorkers : public OrderSender {
- public:
-  struct Sent {
-    std::string address;
-    std::string body;
-    HttpHandler then;
-  };
-  void send(const std::string& address, std::string body, HttpHandler then) override {
-    sent.push_back({address, std::move(body), std::move(then)});
-  }
-  std::vector<Sent> sent;
-};
-
-class ShardHolderTest : public ::testing::Test {
+/// The controller holds the shard of zone `a`. Its machines exist by their heartbeats alone, which
+/// a test sends with `handle_heartbeat`.
+class ShardHolderTest : public ControllerTest {
  protected:
   ShardHolderTest()
-      : cache_(loop_, time_, store_, 1),
-        election_(loop_, time_, settings(), store_, cache_, ProcessIncarnation(7)),
+      : ControllerTest(holder_settings(), machine_type()),
         cancellations_(time_, cache_),
         holder_(loop_, time_, settings_, cache_, election_, workers_, cancellations_) {
-    MachineType type;
-    type.name = "g8";
-    type.resources = {96, 8, 768};
-    type.zones = {ZoneId("a")};
-    store_.put(keys::kTypes, encode(std::vector<MachineType>{type}));
     cache_.begin();
     election_.begin();
     holder_.begin();
@@ -41,30 +25,14 @@
     give_shard("me", 7);
   }
 
-  Settings& settings() {
-    settings_.node = NodeId("me");
-    settings_.zone = ZoneId("a");
-    settings_.zones = {ZoneId("a")};
-    settings_.peers.push_back({NodeId("other"), ZoneId("b"), {"10.0.0.2", 1}});
-    settings_.workers = {Duration{3000}, Duration{24'000}, Duration{35'000}, Duration{8000},
-                         Duration{49'000}};
-    return settings_;
-  }
-
-  /// Time passes while the state service keeps the watch informed.
-  void run(Duration duration) {
-    for (std::int64_t at = 0; at < duration.count(); at += 10) {
-      time_.advance(Duration{10});
-      if (informed_) store_.tell_watch();
-    }
+  static Settings holder_settings() {
+    Settings settings = controller_settings();
+    settings.peers.push_back({NodeId("other"), ZoneId("b"), {"10.0.0.2", 1}});
+    return settings;
   }
 
   void give_shard(const std::string& node, std::uint64_t incarnation) {
-    token_ = FencingToken(
-        store_
-            .put(keys::shard(ZoneId("a")),
-                 encode(ShardRecord{ZoneId("a"), NodeId(node), ProcessIncarnation(incarnation), 1}))
-            .get());
+    put_shard("a", node, incarnation);
     run(Duration{20});
   }
 
@@ -72,60 +40,69 @@
     return store_.get(keys::shard(ZoneId("a")))->mod_revision.get();
   }
 
-  HeartbeatReply handle_heartbeat(std::uint64_t epoch, std::uint64_t seen,
+  /// The text of a worker's heartbeat, with the next sequence number. `parts` is the inside of its
+  /// list of tasks, as `task_status` builds it.
+  std::string heartbeat_text(std::uint64_t epoch, std::uint64_t seen_token,
+                             const std::string& parts = "",
+                             const std::string& machine_id = "vm-1") {
+    return R"({"host":")" + machine_id + R"(","address":"10.1.0.1:9000","build":"g8",)" +
+           R"("district":"a","loaners":false,"tenure":)" + std::to_string(epoch) + R"(,"tally":)" +
+           std::to_string(++sequence_) + R"(,"warrant":)" + std::to_string(seen_token) +
+           R"(,"recall_s":null,"parts":[)" + parts + "]}";
+  }
+
+  HeartbeatReply handle_heartbeat(std::uint64_t epoch, std::uint64_t seen_token,
                                   const std::string& parts = "",
                                   const std::string& machine_id = "vm-1") {
-    return holder_.handle_heartbeat(
-        R"({"host":")" + machine_id + R"(","address":"10.1.0.1:9000","build":"g8",)" +
-        R"("district":"a","loaners":false,"tenure":)" + std::to_string(epoch) + R"(,"tally":)" +
-        std::to_string(++sequence_) + R"(,"warrant":)" + std::to_string(seen) +
-        R"(,"recall_s":null,"parts":[)" + parts + "]}");
+    return holder_.handle_heartbeat(heartbeat_text(epoch, seen_token, parts, machine_id));
+  }
+
+  /// One entry of a heartbeat's list of tasks.
+  static std::string part_status(const std::string& id, const std::string& status,
+                                 const std::string& cause = "", std::uint64_t attempt = 1) {
+    return R"({"part":")" + id + R"(","try":)" + std::to_string(attempt) + R"(,"status":")" +
+           status + R"(","cause":")" + cause + R"("})";
   }
 
-  static std::string task_index(const std::string& status, const std::string& cause = "",
-                                const std::string& saved = "false", std::uint64_t attempt = 1) {
+  /// One entry of a heartbeat's list of tasks: the only task of req-1.
+  static std::string task_status(const std::string& status, const std::string& cause = "",
+                                 const std::string& saved = "false", std::uint64_t attempt = 1) {
     return R"({"part":"req-1/0","try":)" + std::to_string(attempt) + R"(,"status":")" + status +
            R"(","cause":")" + cause + R"(","saved":)" + saved + "}";
   }
 
+  /// vm-1 answers its unanswered orders, one after the other, each with a newer heartbeat.
+  void answer_orders(int status, std::uint64_t epoch = 1, const std::string& parts = "") {
+    for (; answered_orders_ < workers_.sent.size(); ++answered_orders_) {
+      const auto then = workers_.sent[answered_orders_].then;
+      then(HttpReply::answer(status, heartbeat_text(epoch, token(), parts)));
+    }
+  }
+
   /// A job of one task that the leader has released to vm-1.
   void release(bool gang = true) {
     release(gang ? testing::gang("req-1", 1, 1, 100) : testing::batch("req-1", 1, 1, 100));
   }
   void release(const JobSpec& spec) {
-    JobRecord job;
-    job.spec = spec;
-    job.accepted = time_.wall();
-    store_.put(keys::job(job.spec.job_id), encode(job));
-    SliceRecord slice;
-    slice.job_id = job.spec.job_id;
-    TaskRecord task;
-    task.state = TaskState::released;
-    task.attempt = Attempt(1);
-    task.zone = ZoneId("a");
-    task.machine_id = MachineId("vm-1");
+    put_job(store_, spec, time_.wall());
+    TaskRecord task = placed_task("vm-1", TaskState::released);
     task.since = time_.wall();
-    slice.tasks = {task};
-    store_.put(keys::slice(slice.job_id, 0), encode(slice));
+    put_slice(store_, slice_record(spec.job_id, {task}));
   }
 
+  /// The only task of req-1, as the state service has it.
   [[nodiscard]] TaskRecord task() const {
-    const auto entry = store_.get(keys::slice(JobId("req-1"), 0));
-    SliceRecord slice;
-    json::Document doc;
-    if (!entry || !json::parse(doc, entry->value) || !decode(doc, slice)) return {};
-    return slice.tasks.at(0);
+    const auto tasks = stored_tasks(store_, "req-1");
+    return tasks.empty() ? TaskRecord{} : tasks.front();
   }
 
+  /// Another controller cancels req-1.
   void cancel() {
-    JobRecord job;
-    json::Document doc;
-    EXPECT_TRUE(json::parse(doc, store_.get(keys::job(JobId("req-1")))->value));
-    EXPECT_TRUE(decode(doc, job));
-    job.cancelled = time_.wall();
-    store_.put(keys::job(JobId("req-1")), encode(job));
+    ASSERT_TRUE(store_.get(keys::job(JobId("req-1"))));
+    cancel_job(store_, "req-1", time_.wall());
   }
 
+  /// Whether an order with this verb, or with this text in quotes, was sent to a worker.
   [[nodiscard]] bool sent(const std::string& verb) const {
     return std::any_of(workers_.sent.begin(), workers_.sent.end(), [&](const auto& s) {
       return s.body.find("\"" + verb + "\"") != std::string::npos;
@@ -140,18 +117,11 @@
     ASSERT_TRUE(sent("start"));
   }
 
-  FakeTime time_;
-  Loop loop_{&time_};
-  Settings settings_;
-  ScriptedStore store_;
   ScriptedWorkers workers_;
-  WatchCache cache_;
-  Election election_;
   Cancellations cancellations_;
   ShardHolder holder_;
-  FencingToken token_;
   std::uint64_t sequence_ = 0;
-  bool informed_ = true;
+  std::size_t answered_orders_ = 0;
 };
 
 }  // namespace marblevale::testing
--- /dev/null
+++ b/tests/support/stored_records.hpp
@@ -0,0 +1,95 @@
+// Records as tests write them to the scripted state service and read them back.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "support/scripted_store.hpp"
+
+namespace marblevale::testing {
+
+/// The record in `text`; none where it cannot be decoded.
+template <typename Record>
+std::optional<Record> decode_record(const std::string& text) {
+  json::Document doc;
+  Record record;
+  if (!json::parse(doc, text) || !decode(doc, record)) return std::nullopt;
+  return record;
+}
+
+/// The record under the key in the state service; none where there is none.
+template <typename Record>
+std::optional<Record> stored_record(const ScriptedStore& store, const std::string& key) {
+  const auto entry = store.get(key);
+  return entry ? decode_record<Record>(entry->value) : std::nullopt;
+}
+
+inline JobRecord job_record(const JobSpec& spec, WallTime accepted,
+                            std::optional<WallTime> cancelled = std::nullopt) {
+  return JobRecord{spec, accepted, cancelled};
+}
+
+inline SliceRecord slice_record(const JobId& job_id, std::vector<TaskRecord> tasks) {
+  SliceRecord slice;
+  slice.job_id = job_id;
+  slice.tasks = std::move(tasks);
+  return slice;
+}
+
+/// A machine of the type `g8`, up unless a test says otherwise.
+inline MachineRecord machine_record(const std::string& machine_id, WallTime since,
+                                    const std::string& zone = "a") {
+  MachineRecord machine;
+  machine.machine_id = MachineId(machine_id);
+  machine.machine_type = "g8";
+  machine.zone = ZoneId(zone);
+  machine.since = since;
+  return machine;
+}
+
+/// The first attempt of a task, placed on the machine.
+inline TaskRecord placed_task(const std::string& machine_id, TaskState state) {
+  TaskRecord task;
+  task.state = state;
+  task.attempt = Attempt(1);
+  task.zone = ZoneId("a");
+  task.machine_id = MachineId(machine_id);
+  return task;
+}
+
+/// A task bound to the machine under the worker's first epoch.
+inline TaskRecord bound_task(const std::string& machine_id) {
+  TaskRecord task = placed_task(machine_id, TaskState::bound);
+  task.epoch = WorkerEpoch(1);
+  return task;
+}
+
+inline ModRevision put_job(ScriptedStore& store, const JobSpec& spec, WallTime accepted,
+                           std::optional<WallTime> cancelled = std::nullopt) {
+  return store.put(keys::job(spec.job_id), encode(job_record(spec, accepted, cancelled)));
+}
+
+inline void put_slice(ScriptedStore& store, const SliceRecord& slice) {
+  store.put(keys::slice(slice.job_id, slice.number), encode(slice));
+}
+
+/// The tasks of a job's first slice; none where it has no slice.
+inline std::vector<TaskRecord> stored_tasks(const ScriptedStore& store, const std::string& job_id) {
+  const auto slice = stored_record<SliceRecord>(store, keys::slice(JobId(job_id), 0));
+  return slice ? slice->tasks : std::vector<TaskRecord>{};
+}
+
+/// Marks the job as cancelled, as another controller does it.
+inline void cancel_job(ScriptedStore& store, const std::string& job_id, WallTime at) {
+  const std::string key = keys::job(JobId(job_id));
+  auto job = stored_record<JobRecord>(store, key);
+  if (!job) return;
+  job->cancelled = at;
+  store.put(key, encode(*job));
+}
+
+}  // namespace marblevale::testing
--- a/tests/worker_partition_test.cpp
+++ b/tests/worker_partition_test.cpp
@@ -32,11 +32,11 @@
     store.put(keys::job(job.spec.job_id), encode(job));
   }
   WatchCache cache(loop, time, store, 1);
-  store.hold = true;
+  store.hold_answers = true;
   cache.begin();
-  store.hold = false;
+  store.hold_answers = false;
   store.failing_ranges = 1;
-  store.deliver_all();
+  store.deliver_held_answers();
   time.advance(Duration{3000});
   EXPECT_TRUE(cache.ready());
   EXPECT_EQ(cache.records().jobs.size(), 35U);
@@ -84,7 +84,7 @@
   handle_heartbeat(1, token(), "", "vm-2");
   run(Duration{600});
   ASSERT_EQ(machine_state("vm-1"), MachineState::up);
-  time_.stand_still(Duration{51'000});
+  time_.pause_process(Duration{51'000});
   handle_heartbeat(1, token(), "", "vm-2");  // the first to be heard again
   run(Duration{1'000});
   EXPECT_EQ(machine_state("vm-1"), MachineState::up) << "it has had no time to report";
@@ -119,14 +119,14 @@
 TEST_F(WorkerPartitionTest, AHolderThatStoodStillStartsNothingBeforeItHasReadTheRecordsAgain) {
   bind_and_start();
   workers_.sent.clear();
-  informed_ = false;
-  time_.stand_still(Duration{3'000});
+  watch_answers_ = false;
+  time_.pause_process(Duration{3'000});
   const HeartbeatReply soon = handle_heartbeat(1, token());
   EXPECT_EQ(soon.status, 200) << "no cancellation can be overdue yet";
   EXPECT_EQ(soon.body.find("start"), std::string::npos);
   run(Duration{1'000});
   EXPECT_FALSE(sent("start"));
-  informed_ = true;
+  watch_answers_ = true;
   run(Duration{50});
   EXPECT_NE(handle_heartbeat(1, token()).body.find("start"), std::string::npos);
 }
@@ -134,14 +134,14 @@
 TEST_F(WorkerPartitionTest, AHolderThatStoodStillForLongAnswersNoHeartbeatBeforeItHasReadAgain) {
   bind_and_start();
   workers_.sent.clear();
-  time_.stand_still(Duration{30'000});
-  informed_ = false;
-  EXPECT_NE(handle_heartbeat(1, token(), task_index("running")).status, 200);
+  time_.pause_process(Duration{30'000});
+  watch_answers_ = false;
+  EXPECT_NE(handle_heartbeat(1, token(), task_status("running")).status, 200);
   run(Duration{1'000});
   EXPECT_TRUE(workers_.sent.empty());
-  informed_ = true;
+  watch_answers_ = true;
   run(Duration{50});
-  EXPECT_EQ(handle_heartbeat(1, token(), task_index("running")).status, 200);
+  EXPECT_EQ(handle_heartbeat(1, token(), task_status("running")).status, 200);
 }
 
 TEST_F(WorkerPartitionTest, AHolderThatWasCutOffDoesNotCallItsMachinesSilentWhenItIsBack) {
@@ -150,7 +150,7 @@
   run(Duration{600});
   ASSERT_EQ(machine_state("vm-1"), MachineState::up);
   // Cut off from the state service; its workers have gone to the shard's new holder, but for one.
-  informed_ = false;
+  watch_answers_ = false;
   for (int i = 0; i < 10; ++i) {
     handle_heartbeat(1, token(), "", "vm-2");
     store_.scripts.assign(20, Script::refuse);
@@ -161,7 +161,7 @@
   store_.put(keys::shard(ZoneId("a")),
              encode(ShardRecord{ZoneId("a"), NodeId("me"), ProcessIncarnation(7), 3}));
   store_.scripts.clear();
-  informed_ = true;
+  watch_answers_ = true;
   run(Duration{2000});
   EXPECT_EQ(machine_state("vm-1"), MachineState::up) << "it may have reported elsewhere";
 }
@@ -187,7 +187,7 @@
   run(Duration{20'000});  // it hangs: the start can't show
   handle_heartbeat(1, token());
   run(Duration{600});
-  handle_heartbeat(1, token(), task_index("fetching"));
+  handle_heartbeat(1, token(), task_status("fetching"));
   run(Duration{600});
   EXPECT_EQ(machine_state(), MachineState::up);
 }
@@ -238,7 +238,7 @@
   store_.put(keys::shard(ZoneId("a")),
              encode(ShardRecord{ZoneId("a"), NodeId("me"), ProcessIncarnation(7), 3}));
   for (int i = 0; i < 20 && workers_.sent.empty(); ++i) {
-    store_.tell_watch();
+    store_.deliver_watch_events();
     time_.advance(Duration{1});
   }
   ASSERT_FALSE(workers_.sent.empty());
@@ -284,7 +284,7 @@
 
 TEST_F(WorkerPartitionTest, ALateCopyProvesNothingToAHolderThatHasJustBegun) {
   bind_and_start();
-  handle_heartbeat(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_status("running"));
   run(Duration{100});
   const auto old = token();
   give_shard("other", 9);
@@ -293,7 +293,7 @@
   handle_heartbeat(1, old);  // a copy from before the task had started
   run(Duration{200});
   EXPECT_EQ(task().state, TaskState::bound);
-  handle_heartbeat(1, token(), task_index("running"));
+  handle_heartbeat(1, token(), task_status("running"));
   run(Duration{200});
   EXPECT_EQ(task().state, TaskState::bound);
 }
@@ -345,7 +345,7 @@
 
 TEST_F(WorkerPartitionTest, AControllerThatIsCutOffGivesWayAsSoonAsAWorkerHasHeardAnother) {
   handle_heartbeat(1, token());
-  informed_ = false;  // neither the state service nor a peer reaches it
+  watch_answers_ = false;  // neither the state service nor a peer reaches it
   const auto ours = token();
   store_.put(keys::shard(ZoneId("a")),
              encode(ShardRecord{ZoneId("a"), NodeId("other"), ProcessIncarnation(9), 2}));
@@ -413,11 +413,11 @@
 
 TEST_F(ShardHolderOfferTest, ABindingThatArrivesAfterAChangeOfLeaderFails) {
   const auto offer = offered();
-  store_.scripts = {Script::arrive_late};
+  store_.scripts = {Script::delay};
   holder_.answer_offer(offer);
-  ASSERT_EQ(store_.late.size(), 1U);
+  ASSERT_EQ(store_.delayed.size(), 1U);
   store_.put(keys::kLeader, encode(LeaderRecord{NodeId("other"), ProcessIncarnation(2)}));
-  EXPECT_EQ(store_.arrive().outcome, Outcome::conflict);
+  EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
   run(Duration{100});
   EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::declined)
       << "the offer is of an earlier term";
@@ -450,11 +450,11 @@
 // give the room to another job, and then both were bound.
 TEST_F(ShardHolderOfferTest, ACopyIsNotDeclinedWhileTheFirstIsBeingBound) {
   const auto offer = offered();
-  store_.scripts = {Script::arrive_late};
+  store_.scripts = {Script::delay};
   EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
   EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
-  ASSERT_EQ(store_.late.size(), 1U) << "and it is committed once";
-  EXPECT_EQ(store_.arrive().outcome, Outcome::done);
+  ASSERT_EQ(store_.delayed.size(), 1U) << "and it is committed once";
+  EXPECT_EQ(store_.apply_delayed().outcome, Outcome::done);
 }
 
 // The leader gives the room of a declined offer to another job at once. A copy that comes when the
