--- a/tests/answered_offers_test.cpp
+++ b/tests/answered_offers_test.cpp
@@ -1,4 +1,4 @@
-// Copies of offers are told from new ones within bounded memory.
+// Duplicates of offers are told apart from new offers, in bounded memory.
 #include "shards/answered_offers.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 using Answer = OfferAnswer;
 
-TEST(AnsweredOffers, ACopyGetsTheAnswerOfTheFirst) {
+TEST(AnsweredOffers, ADuplicateGetsTheFirstAnswer) {
   AnsweredOffers answered;
   EXPECT_EQ(answered.find(5, 2), std::nullopt);
   answered.remember(5, 2, Answer::declined);
@@ -18,7 +18,7 @@
   EXPECT_EQ(answered.find(5, 1), std::nullopt) << "two connections need not keep the order";
 }
 
-TEST(AnsweredOffers, AnotherTermCountsAnew) {
+TEST(AnsweredOffers, ANewTermStartsWithoutAnswers) {
   AnsweredOffers answered;
   answered.remember(5, 9, Answer::declined);
   EXPECT_EQ(answered.find(6, 9), std::nullopt);
@@ -28,7 +28,7 @@
   EXPECT_EQ(answered.find(6, 11), std::nullopt);
 }
 
-TEST(AnsweredOffers, WhatIsForgottenMayHaveBeenTaken) {
+TEST(AnsweredOffers, AForgottenOfferMayHaveBeenTaken) {
   AnsweredOffers answered;
   const auto most = static_cast<std::uint64_t>(AnsweredOffers::kMaxRemembered);
   for (std::uint64_t sequence = 1; sequence <= most + 10; ++sequence) {
--- /dev/null
+++ b/tests/autoscaler_test.cpp
@@ -0,0 +1,144 @@
+// Scale out and in, and machines that are lost: requests of unknown outcome, unanswered deletions
+// and stale lists of the cloud.
+#include "support/leader_loop_fixture.hpp"
+
+namespace marblevale {
+namespace {
+
+class AutoscalerTest : public testing::LeaderLoopTest {};
+
+TEST_F(AutoscalerTest, ManyMachinesThatFallSilentTogetherAreDeletedLater) {
+  for (int i = 0; i < 12; ++i)
+    machine_in_state("vm-" + std::to_string(100 + i), MachineState::silent);
+  begin();
+  run(Duration{24'000});
+  EXPECT_TRUE(cloud_.removed.empty()) << "they may be back";
+  run(Duration{8'000});
+  EXPECT_EQ(cloud_.removed.size(), 12U);
+}
+
+TEST_F(AutoscalerTest, AMachineMissingFromAStaleListIsNotDeleted) {
+  settings_.list_lag = Duration{4'000};
+  machine("vm-1");
+  cloud_.listing.emplace();
+  cloud_.listing->machines.push_back({MachineId("vm-1"), "", "g8", ZoneId("a"), false,
+                                      ProvisioningStatus::running, Duration{60'000}});
+  begin();
+  run(Duration{3'000});
+  cloud_.listing->machines.clear();
+  run(Duration{7'000});
+  EXPECT_TRUE(cloud_.removed.empty()) << "the list may be older than the one that had it";
+  run(Duration{5'000});
+  EXPECT_EQ(cloud_.removed, std::vector<MachineId>{MachineId("vm-1")});
+}
+
+TEST_F(AutoscalerTest, AMachineWhoseCancelledTaskDoesNotEndIsDeleted) {
+  machine("vm-1");
+  JobSpec spec = testing::gang("req-1", 1, 1, 60);
+  submit(spec);
+  set_task("req-1", bound("vm-1"));
+  begin();
+  JobRecord job{spec, time_.wall(), time_.wall()};
+  store_.put(keys::job(spec.job_id), encode(job));
+  run(Duration{10'000});
+  EXPECT_TRUE(cloud_.removed.empty());
+  run(Duration{15'000});
+  ASSERT_EQ(cloud_.removed.size(), 1U);
+  EXPECT_EQ(machine_state("vm-1"), MachineState::gone);
+}
+
+TEST_F(AutoscalerTest, AnUnansweredDeletionIsNoEvidenceOfTermination) {
+  machine("vm-1");
+  cloud_.removes = false;
+  begin();
+  run(Duration{100});
+  autoscaler_.request_deletion(MachineId("vm-1"), DeletionReason::idle);
+  run(Duration{3000});
+  EXPECT_EQ(machine_state("vm-1"), MachineState::deleting);
+  cloud_.removes = true;
+  run(Duration{3000});
+  EXPECT_EQ(machine_state("vm-1"), MachineState::gone);
+}
+
+TEST_F(AutoscalerTest, ProvisioningRequestNamesAreUnique) {
+  begin();
+  submit(testing::gang("req-1", 1, 1, 60));
+  run(Duration{60'000});
+  ASSERT_GE(cloud_.provisioning_requests.size(),
+            2U);  // refused for want of capacity, asked again under a new name
+  const std::set<std::string> names(cloud_.provisioning_requests.begin(),
+                                    cloud_.provisioning_requests.end());
+  EXPECT_EQ(names.size(), cloud_.provisioning_requests.size());
+}
+
+// A task on a machine that no record knows could be proven gone by nobody, and its job would wait
+// forever: the cloud's answer to the deletion is the evidence of termination.
+TEST_F(AutoscalerTest, AMachineWithoutARecordIsDeletedToFreeItsTask) {
+  submit(testing::gang("req-1", 1, 1, 60));
+  set_task("req-1", bound("vm-lost"));
+  begin();
+  run(Duration{10'000});
+  EXPECT_TRUE(cloud_.removed.empty());
+  run(Duration{20'000});
+  ASSERT_FALSE(cloud_.removed.empty());
+  EXPECT_EQ(cloud_.removed[0], MachineId("vm-lost"));
+  EXPECT_EQ(machine_state("vm-lost"), MachineState::gone);
+}
+
+// A request went without an answer, its repeat was refused for want of capacity and its record is
+// gone; then the first one is carried out. The machine is in the cloud's list and in no record.
+TEST_F(AutoscalerTest, AMachineProvisionedAfterItsRequestWasRefusedIsDeleted) {
+  begin();
+  submit(testing::gang("req-1", 1, 2, 60));
+  run(Duration{3'000});
+  ASSERT_FALSE(cloud_.provisioning_requests.empty());
+  EXPECT_TRUE(cache_.records().provisioning_requests.empty()) << "refused: there is no capacity";
+  Transaction over;
+  over.remove(keys::job(JobId("req-1")));
+  store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
+  cloud_.listing.emplace();
+  cloud_.listing->machines.push_back({MachineId("vm-late"), "", "g8", ZoneId("a"), false,
+                                      ProvisioningStatus::running, Duration{600'000}});
+  run(Duration{10'000});
+  EXPECT_EQ(cloud_.removed, std::vector<MachineId>{MachineId("vm-late")});
+}
+
+// A late commit can bring back the page of a machine that is long gone; nothing else would ever
+// take it out of the plan, and jobs would be released there again and again.
+TEST_F(AutoscalerTest, AMachineMissingFromTheCloudLeavesThePlan) {
+  settings_.list_lag = Duration{4'000};
+  store_.put_machine(testing::machine_record("vm-1", time_.wall() - Duration{600'000}));
+  machine("vm-2", "a");  // not listed yet
+  cloud_.listing.emplace();
+  begin();
+  run(Duration{10'000});
+  EXPECT_EQ(cloud_.removed, std::vector<MachineId>{MachineId("vm-1")});
+  EXPECT_EQ(machine_state("vm-1"), MachineState::gone);
+}
+
+TEST_F(AutoscalerTest, MachinesAreProvisionedInTheZoneRequiredByAJob) {
+  use_two_zones();
+  set_limit(100);
+  machine("vm-1");
+  JobSpec required_zone = testing::gang("req-1", 4, 4, 60);
+  required_zone.required_zone = ZoneId("b");
+  submit(required_zone);
+  // An array whose other task still stands in zone b, as far as is known.
+  JobSpec together = testing::batch("req-2", 2, 8, 60);
+  together.together = true;
+  submit(together);
+  SliceRecord slice = testing::slice_record(together.job_id, {bound("vm-lost"), TaskRecord{}});
+  slice.tasks[0].zone = ZoneId("b");
+  put_slice(store_, slice);
+  cloud_.scales_out = true;
+  begin();
+  run(Duration{5'000});
+  ASSERT_FALSE(cloud_.provisioned_in.empty());
+  for (const ZoneId& zone : cloud_.provisioned_in) EXPECT_EQ(zone, ZoneId("b"));
+  std::size_t machine_ids = 0;
+  for (const auto& [name, provisioned] : cloud_.provisioned) machine_ids += provisioned.size();
+  EXPECT_GE(machine_ids, 3U) << "two for the gang, one for the array";
+}
+
+}  // namespace
+}  // namespace marblevale
--- a/tests/cancellation_outage_test.cpp
+++ b/tests/cancellation_outage_test.cpp
@@ -1,9 +1,6 @@
-// Cancellations while the state service is out of reach: what controllers tell one another, when
-// they vouch for one another, and how a cancelled task ends in time all the same.
-#include <cmath>
-
+// Cancellations while the state service is out: controllers report them to each other, and a
+// cancelled task ends in time, by an order or by the expiry of its machine's lease.
 #include "cancellations/cancellations.hpp"
-#include "peers/peer_heartbeat.hpp"
 #include "support/shard_holder_fixture.hpp"
 
 namespace marblevale {
@@ -12,67 +9,6 @@
 using testing::Script;
 using testing::ShardHolderTest;
 
-PeerCancellationList word(SteadyTime asked, WallTime asked_wall, WallTime began, WallTime fresh) {
-  PeerCancellationList out{asked, asked_wall, {}};
-  out.list.started_ms = unix_milliseconds(began);
-  out.list.fresh_until_ms = unix_milliseconds(fresh);
-  out.list.complete = true;
-  return out;
-}
-
-class VouchingTest : public ::testing::Test {
- protected:
-  // Two peers that began long ago; our records are fresh up to 10 s, theirs up to 12 s.
-  std::vector<std::optional<PeerCancellationList>> words_{
-      word(SteadyTime{Duration{14'000}}, WallTime{Duration{14'000}}, WallTime{Duration{1'000}},
-           WallTime{Duration{12'000}}),
-      word(SteadyTime{Duration{14'500}}, WallTime{Duration{14'500}}, WallTime{Duration{2'000}},
-           WallTime{Duration{12'000}})};
-  std::optional<SteadyTime> until() {
-    return cancellation_freshness_.fresh_until(SteadyTime{Duration{15'000}},
-                                               WallTime{Duration{15'000}},
-                                               WallTime{Duration{10'000}}, words_);
-  }
-  CancellationFreshness cancellation_freshness_{Duration{50}};
-};
-
-TEST_F(VouchingTest, CountsFromTheQuestionThatWasSentFirst) {
-  EXPECT_EQ(until(), SteadyTime{Duration{14'000}});
-}
-
-TEST_F(VouchingTest, OnePeerThatIsSilentOrCutItsListIsEnoughToDenyIt) {
-  words_[1]->list.complete = false;
-  EXPECT_FALSE(until());
-  words_[1].reset();
-  EXPECT_FALSE(until());
-}
-
-TEST_F(VouchingTest, ALifeThatBeganSinceCannotTellWhatTheOneBeforeHasConfirmed) {
-  words_[1]->list.started_ms = 13'000;
-  EXPECT_FALSE(until());
-  // Once anybody's records reach beyond its beginning, what its earlier life confirmed is listed.
-  words_[0]->list.fresh_until_ms = 13'200;
-  EXPECT_FALSE(until()) << "each of the two clocks may be off against ours";
-  words_[0]->list.fresh_until_ms = 13'201;
-  EXPECT_TRUE(until());
-}
-
-TEST_F(VouchingTest, GoesOnFromRoundToRoundAsLongAsAllAnswer) {
-  ASSERT_TRUE(until());
-  // The second peer restarts after what all had vouched for: not known any more from then on.
-  words_[0]->requested_at = SteadyTime{Duration{15'000}};
-  words_[1]->requested_at = SteadyTime{Duration{15'000}};
-  words_[1]->list.started_ms = 13'800;
-  EXPECT_TRUE(until()) << "nothing was confirmed beyond our knowledge before it began";
-  words_[1]->list.started_ms = 14'600;
-  EXPECT_FALSE(until());
-}
-
-TEST_F(VouchingTest, AControllerWithoutPeersKnowsAllItHasConfirmed) {
-  words_.clear();
-  EXPECT_EQ(until(), SteadyTime{Duration{15'000}});
-}
-
 /// A worker by the protocol: its lease, its epoch, its tasks; what it does with a `kill` is up to
 /// the test. It is asked to heartbeat once a second of the fake time.
 class Worker {
@@ -140,34 +76,24 @@
     for (const char* machine_id : {"vm-1", "vm-2"})
       place("req-" + std::string(machine_id + 3), machine_id);
     run(Duration{100});
-    pass(Duration{6'000});
+    run_workers(Duration{6'000});
     ASSERT_TRUE(first_.has_tasks());
     ASSERT_TRUE(second_.has_tasks());
     watch_answers_ = false;
-    pass(Duration{1'000});
+    run_workers(Duration{1'000});
     confirmed_ = time_.steady();
     confirmed_wall_ = time_.wall();
   }
 
   void place(const std::string& job_id, const std::string& machine_id) {
-    JobRecord job;
-    job.spec = testing::gang(job_id, 1, 1, 1000);
-    job.accepted = time_.wall();
-    store_.put(keys::job(job.spec.job_id), encode(job));
-    SliceRecord slice;
-    slice.job_id = job.spec.job_id;
-    slice.tasks.resize(1);
-    slice.tasks[0].state = TaskState::bound;
-    slice.tasks[0].attempt = Attempt(1);
-    slice.tasks[0].zone = ZoneId("a");
-    slice.tasks[0].machine_id = MachineId(machine_id);
-    slice.tasks[0].epoch = WorkerEpoch(1);
-    store_.put(keys::slice(slice.job_id, 0), encode(slice));
+    const JobSpec job = testing::gang(job_id, 1, 1, 1000);
+    put_job(store_, job, time_.wall());
+    put_slice(store_, testing::slice_record(job.job_id, {testing::bound_task(machine_id)}));
   }
 
   /// Workers heartbeat; the state service refuses this controller; the peer answers heartbeats, if
   /// it does.
-  void pass(Duration duration) {
+  void run_workers(Duration duration) {
     for (std::int64_t at = 0; at < duration.count(); at += 1'000) {
       if (!watch_answers_) store_.scripts.assign(50, Script::refuse);
       if (peer_) ask_peer();
@@ -199,7 +125,7 @@
   /// Whether req-1's task is gone when `cancel_s` has passed since the confirmation.
   [[nodiscard]] bool gone_in_time() {
     while (first_.has_tasks() && time_.steady() - confirmed_ <= settings_.workers.cancel) {
-      pass(Duration{1'000});
+      run_workers(Duration{1'000});
     }
     return !first_.has_tasks() && time_.steady() - confirmed_ <= settings_.workers.cancel;
   }
@@ -212,24 +138,24 @@
   WallTime confirmed_wall_;
 };
 
-TEST_F(CancellationOutageTest, AToldCancellationEndsItsTaskAtOnceAndCostsNobodyElse) {
+TEST_F(CancellationOutageTest, ACancellationReportedByAPeerEndsOnlyItsTask) {
   both_run();
   peer_ = peer_list();
-  pass(Duration{2'000});
+  run_workers(Duration{2'000});
   EXPECT_FALSE(first_.has_tasks());
-  pass(settings_.workers.cancel * 2);
-  EXPECT_TRUE(second_.has_tasks()) << "all peers vouch that nothing else was cancelled";
+  run_workers(settings_.workers.cancel * 2);
+  EXPECT_TRUE(second_.has_tasks()) << "all peers confirm that nothing else was cancelled";
   EXPECT_EQ(second_.epoch(), 1U);
 }
 
-TEST_F(CancellationOutageTest, WithoutAWordOfThePeersAllLeasesLapseInTime) {
+TEST_F(CancellationOutageTest, WithoutPeerAnswersAllLeasesExpireInTime) {
   both_run();
   EXPECT_TRUE(gone_in_time());
-  pass(Duration{3'000});
+  run_workers(Duration{3'000});
   EXPECT_FALSE(second_.has_tasks());
 }
 
-TEST_F(CancellationOutageTest, APeerThatRestartedAfterItConfirmedDoesNotVouch) {
+TEST_F(CancellationOutageTest, APeerThatRestartedAfterItsConfirmationExtendsNoLease) {
   both_run();
   peer_ = peer_list();
   peer_->started_ms = unix_milliseconds(time_.wall()) + 500;
@@ -238,17 +164,17 @@
   EXPECT_TRUE(gone_in_time());
 }
 
-TEST_F(CancellationOutageTest, APeerThatFallsSilentAfterItHasToldLeavesWhatItTold) {
+TEST_F(CancellationOutageTest, ACancellationStaysKnownWhenItsPeerFallsSilent) {
   both_run();
   peer_ = peer_list();
-  pass(Duration{1'000});
+  run_workers(Duration{1'000});
   peer_.reset();
-  pass(Duration{2'000});
+  run_workers(Duration{2'000});
   EXPECT_FALSE(first_.has_tasks());
   EXPECT_TRUE(second_.has_tasks());
 }
 
-// A machine that renews its lease and does not do as it is told, for whatever reason.
+// A machine that renews its lease and does not execute its orders, for whatever reason.
 TEST_F(CancellationOutageTest, AMachineThatKeepsACancelledTaskLosesItsLeaseInTime) {
   first_.obeys = false;
   both_run();
@@ -258,14 +184,14 @@
 }
 
 // What hangs does not even notice that its lease has lapsed.
-TEST_F(CancellationOutageTest, AMachineIsOverdueOnlyWhereItsCancelledTaskIsNotKnownToHaveEnded) {
+TEST_F(CancellationOutageTest, AMachineIsOverdueOnlyWhileItsCancelledTaskMayRun) {
   both_run();
   first_.hangs = true;
   peer_ = peer_list();
-  pass(Duration{20'000});
+  run_workers(Duration{20'000});
   EXPECT_TRUE(holder_.machines_past_cancellation_deadline().empty())
       << "it may still be ended in the ordinary way";
-  pass(Duration{5'000});
+  run_workers(Duration{5'000});
   EXPECT_EQ(holder_.machines_past_cancellation_deadline(),
             std::vector<MachineId>{MachineId("vm-1")});
   first_.hangs = false;
@@ -274,7 +200,7 @@
       << "though it can't be recorded";
 }
 
-TEST_F(CancellationOutageTest, SoItDoesWhenTheStateServiceIsThere) {
+TEST_F(CancellationOutageTest, AMachineThatKeepsACancelledTaskLosesItsLeaseWithoutAnOutage) {
   first_.obeys = false;
   both_run();
   watch_answers_ = true;
@@ -284,26 +210,26 @@
   EXPECT_TRUE(second_.has_tasks());
 }
 
-TEST_F(CancellationOutageTest, AMachineThatHangsAndResumesJustInsideItsLeaseIsNotKeptAlive) {
+TEST_F(CancellationOutageTest, AMachineThatResumesJustBeforeLeaseExpiryGetsNoNewLease) {
   first_.obeys = false;
   both_run();
   peer_ = peer_list();
-  pass(Duration{20'000});  // the last answer but few
+  run_workers(Duration{20'000});  // the last answer but few
   first_.hangs = true;
-  pass(settings_.workers.lease - Duration{2'000});
+  run_workers(settings_.workers.lease - Duration{2'000});
   first_.hangs = false;
   EXPECT_TRUE(gone_in_time());
 }
 
-TEST_F(CancellationOutageTest, AHolderThatHasJustTakenTheShardRefusesByTheTimeOfTheCancellation) {
+TEST_F(CancellationOutageTest, ANewShardHolderRefusesLeasesByTheTimeOfTheCancellation) {
   first_.obeys = false;
   both_run();
   watch_answers_ = true;
   store_.scripts.clear();
   cancel();
-  pass(Duration{22'000});
+  run_workers(Duration{22'000});
   give_shard("other", 9);
-  pass(Duration{2'000});
+  run_workers(Duration{2'000});
   give_shard("me", 7);  // without memory
   watch_answers_ = false;
   EXPECT_TRUE(gone_in_time());
@@ -314,7 +240,7 @@
   place("req-1", "vm-1");
   run(Duration{20});
   ASSERT_TRUE(cache_.records().placed.contains(MachineId("vm-1")));
-  watch_answers_ = false;  // its binding is the last that this controller hears
+  watch_answers_ = false;  // its binding is the last that this controller observes
   run(Duration{3'000});
   workers_.sent.clear();
   const auto answer = handle_heartbeat(1, token(), "", "vm-1");
@@ -322,10 +248,10 @@
   EXPECT_EQ(answer.body.find("start"), std::string::npos);
   holder_.extend_cancellation_freshness(time_.steady());
   EXPECT_NE(handle_heartbeat(1, token(), "", "vm-1").body.find("start"), std::string::npos)
-      << "all peers vouch that it was not cancelled";
+      << "all peers confirm that it was not cancelled";
 }
 
-TEST_F(CancellationOutageTest, WhatAPeerTellsIsKilledByADirectOrderAndNotStarted) {
+TEST_F(CancellationOutageTest, ACancellationReportedByAPeerIsKilledByADirectOrderAndNotStarted) {
   both_run();
   // The introductions got no answer; nothing is on its way any more.
   const auto introductions = std::move(workers_.sent);
@@ -338,7 +264,7 @@
   EXPECT_FALSE(sent("start"));
 }
 
-TEST_F(CancellationOutageTest, WhereCancelLeavesNoTimeBeyondTheLeaseNobodyVouches) {
+TEST_F(CancellationOutageTest, PeersExtendNoLeaseWhenTheCancelLimitIsTooShort) {
   settings_.workers.cancel = settings_.workers.lease + Duration{5'000};
   EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
   watch_answers_ = false;
@@ -349,69 +275,5 @@
   EXPECT_EQ(handle_heartbeat(1, token()).status, 421);
 }
 
-class CancellationsTest : public ShardHolderTest {
- protected:
-  [[nodiscard]] bool listed(const std::string& job_id) {
-    const auto list = cancellations_.list();
-    return std::any_of(list.items.begin(), list.items.end(),
-                       [&](const auto& item) { return item.job_id == job_id; });
-  }
-};
-
-TEST_F(CancellationsTest, ListsWhatTheRecordsHaveAndWhatWasToldUntilTheRecordsHaveIt) {
-  release();
-  cancel();
-  EXPECT_FALSE(listed("req-1"));
-  run(Duration{20});
-  EXPECT_TRUE(listed("req-1"));
-  cancellations_.add_confirmed(JobId("req-5"), time_.wall());
-  EXPECT_TRUE(listed("req-5"));
-  EXPECT_EQ(cancellations_.cancelled_at(JobId("req-5")), time_.wall());
-  run(Duration{1'000});
-  EXPECT_FALSE(listed("req-5")) << "fresher records lack it: it is over";
-}
-
-TEST_F(CancellationsTest, WhatIsToldIsNewsOnce) {
-  int news = 0;
-  cancellations_.on_confirmed([&] { ++news; });
-  release();
-  cancel();
-  run(Duration{20});
-  for (int i = 0; i < 3; ++i) cancellations_.add_confirmed(JobId("req-1"), time_.wall());
-  EXPECT_EQ(news, 1);
-}
-
-TEST_F(CancellationsTest, AListThatIsCutOrNotAllKeptDoesNotVouch) {
-  EXPECT_TRUE(cancellations_.list().complete);
-  CancellationList storm;
-  for (std::size_t i = 0; i < Cancellations::kMaxListed + 1; ++i) {
-    storm.items.push_back({"req-" + std::to_string(100'000 + i), 1});
-  }
-  cancellations_.merge_peer_list(storm);
-  EXPECT_FALSE(cancellations_.list().complete);
-  EXPECT_LE(cancellations_.list().items.size(), Cancellations::kMaxListed);
-  PeerHeartbeat heartbeat;
-  heartbeat.cancellations = cancellations_.list();
-  EXPECT_TRUE(decode_peer_heartbeat(encode(heartbeat))) << "the longest list fits into a message";
-  EXPECT_TRUE(cancellations_.holds_all());
-  for (std::size_t i = 0; i < Cancellations::kMaxUnrecorded; ++i) {
-    storm.items.push_back({"req-" + std::to_string(200'000 + i), 1});
-  }
-  watch_answers_ = false;
-  cancellations_.merge_peer_list(storm);
-  EXPECT_FALSE(cancellations_.holds_all());
-  watch_answers_ = true;
-  run(Duration{1'000});
-  EXPECT_TRUE(cancellations_.holds_all()) << "the records are fresher again";
-}
-
-TEST_F(CancellationsTest, NonsenseIsLeftOut) {
-  CancellationList list;
-  list.items = {{"", 1}, {"x y", 1}, {"req-7", unix_milliseconds(time_.wall()) + 1'000'000}};
-  cancellations_.merge_peer_list(list);
-  EXPECT_EQ(cancellations_.list().items.size(), 1U);
-  EXPECT_EQ(cancellations_.cancelled_at(JobId("req-7")), time_.wall()) << "never in the future";
-}
-
 }  // namespace
 }  // namespace marblevale
--- /dev/null
+++ b/tests/cancellations_test.cpp
@@ -0,0 +1,141 @@
+// Which cancellations a controller lists, and for how long its peers' lists prove that it knows
+// all.
+#include "cancellations/cancellations.hpp"
+
+#include "peers/peer_heartbeat.hpp"
+#include "support/shard_holder_fixture.hpp"
+
+namespace marblevale {
+namespace {
+
+using testing::ShardHolderTest;
+
+PeerCancellationList peer_answer(SteadyTime asked, WallTime asked_wall, WallTime began,
+                                 WallTime fresh) {
+  PeerCancellationList out{asked, asked_wall, {}};
+  out.list.started_ms = unix_milliseconds(began);
+  out.list.fresh_until_ms = unix_milliseconds(fresh);
+  out.list.complete = true;
+  return out;
+}
+
+class VouchingTest : public ::testing::Test {
+ protected:
+  // Two peers that began long ago; our records are fresh up to 10 s, theirs up to 12 s.
+  std::vector<std::optional<PeerCancellationList>> peer_answers_{
+      peer_answer(SteadyTime{Duration{14'000}}, WallTime{Duration{14'000}},
+                  WallTime{Duration{1'000}}, WallTime{Duration{12'000}}),
+      peer_answer(SteadyTime{Duration{14'500}}, WallTime{Duration{14'500}},
+                  WallTime{Duration{2'000}}, WallTime{Duration{12'000}})};
+  std::optional<SteadyTime> until() {
+    return cancellation_freshness_.fresh_until(SteadyTime{Duration{15'000}},
+                                               WallTime{Duration{15'000}},
+                                               WallTime{Duration{10'000}}, peer_answers_);
+  }
+  CancellationFreshness cancellation_freshness_{Duration{50}};
+};
+
+TEST_F(VouchingTest, HoldsUpToTheTimeOfTheEarliestRequest) {
+  EXPECT_EQ(until(), SteadyTime{Duration{14'000}});
+}
+
+TEST_F(VouchingTest, ASilentPeerOrATruncatedListRevokesIt) {
+  peer_answers_[1]->list.complete = false;
+  EXPECT_FALSE(until());
+  peer_answers_[1].reset();
+  EXPECT_FALSE(until());
+}
+
+TEST_F(VouchingTest, ARestartedPeerDoesNotKnowWhatItsEarlierIncarnationConfirmed) {
+  peer_answers_[1]->list.started_ms = 13'000;
+  EXPECT_FALSE(until());
+  // Once anybody's records reach beyond its beginning, what its earlier incarnation confirmed is
+  // listed.
+  peer_answers_[0]->list.fresh_until_ms = 13'200;
+  EXPECT_FALSE(until()) << "each of the two clocks may be off against ours";
+  peer_answers_[0]->list.fresh_until_ms = 13'201;
+  EXPECT_TRUE(until());
+}
+
+TEST_F(VouchingTest, ContinuesFromRoundToRoundWhileAllPeersAnswer) {
+  ASSERT_TRUE(until());
+  // The second peer restarts after what all had vouched for: not known any more from then on.
+  peer_answers_[0]->requested_at = SteadyTime{Duration{15'000}};
+  peer_answers_[1]->requested_at = SteadyTime{Duration{15'000}};
+  peer_answers_[1]->list.started_ms = 13'800;
+  EXPECT_TRUE(until()) << "nothing was confirmed beyond our knowledge before it began";
+  peer_answers_[1]->list.started_ms = 14'600;
+  EXPECT_FALSE(until());
+}
+
+TEST_F(VouchingTest, AControllerWithoutPeersKnowsAllCancellations) {
+  peer_answers_.clear();
+  EXPECT_EQ(until(), SteadyTime{Duration{15'000}});
+}
+
+class CancellationsTest : public ShardHolderTest {
+ protected:
+  [[nodiscard]] bool listed(const std::string& job_id) {
+    const auto list = cancellations_.list();
+    return std::any_of(list.items.begin(), list.items.end(),
+                       [&](const auto& item) { return item.job_id == job_id; });
+  }
+};
+
+TEST_F(CancellationsTest, ListsStoredAndConfirmedCancellationsUntilTheRecordsAreNewer) {
+  release();
+  cancel();
+  EXPECT_FALSE(listed("req-1"));
+  run(Duration{20});
+  EXPECT_TRUE(listed("req-1"));
+  cancellations_.add_confirmed(JobId("req-5"), time_.wall());
+  EXPECT_TRUE(listed("req-5"));
+  EXPECT_EQ(cancellations_.cancelled_at(JobId("req-5")), time_.wall());
+  run(Duration{1'000});
+  EXPECT_FALSE(listed("req-5")) << "fresher records lack it: it is over";
+}
+
+TEST_F(CancellationsTest, AConfirmedCancellationNotifiesOnce) {
+  int notified = 0;
+  cancellations_.on_confirmed([&] { ++notified; });
+  release();
+  cancel();
+  run(Duration{20});
+  for (int i = 0; i < 3; ++i) cancellations_.add_confirmed(JobId("req-1"), time_.wall());
+  EXPECT_EQ(notified, 1);
+}
+
+TEST_F(CancellationsTest, ATruncatedListIsMarkedIncomplete) {
+  EXPECT_TRUE(cancellations_.list().complete);
+  CancellationList storm;
+  for (std::size_t i = 0; i < Cancellations::kMaxListed + 1; ++i) {
+    storm.items.push_back({"req-" + std::to_string(100'000 + i), 1});
+  }
+  cancellations_.merge_peer_list(storm);
+  EXPECT_FALSE(cancellations_.list().complete);
+  EXPECT_LE(cancellations_.list().items.size(), Cancellations::kMaxListed);
+  PeerHeartbeat heartbeat;
+  heartbeat.cancellations = cancellations_.list();
+  EXPECT_TRUE(decode_peer_heartbeat(encode(heartbeat))) << "the longest list fits into a message";
+  EXPECT_TRUE(cancellations_.holds_all());
+  for (std::size_t i = 0; i < Cancellations::kMaxUnrecorded; ++i) {
+    storm.items.push_back({"req-" + std::to_string(200'000 + i), 1});
+  }
+  watch_answers_ = false;
+  cancellations_.merge_peer_list(storm);
+  EXPECT_FALSE(cancellations_.holds_all());
+  watch_answers_ = true;
+  run(Duration{1'000});
+  EXPECT_TRUE(cancellations_.holds_all()) << "the records are fresher again";
+}
+
+TEST_F(CancellationsTest, InvalidEntriesAreIgnored) {
+  CancellationList list;
+  list.items = {{"", 1}, {"x y", 1}, {"req-7", unix_milliseconds(time_.wall()) + 1'000'000}};
+  cancellations_.merge_peer_list(list);
+  EXPECT_EQ(cancellations_.list().items.size(), 1U);
+  EXPECT_EQ(cancellations_.cancelled_at(JobId("req-7")), time_.wall()) << "never in the future";
+}
+
+}  // namespace
+}  // namespace marblevale
--- a/tests/commit_reply_test.cpp
+++ b/tests/commit_reply_test.cpp
@@ -1,4 +1,4 @@
-// What a reply to a commit says of its outcome.
+// What a reply to a commit says about its outcome, whole or malformed.
 #include <gtest/gtest.h>
 
 #include "store/store_protocol.hpp"
@@ -10,7 +10,7 @@
   return parse_commit_reply(HttpReply::answer(status, body));
 }
 
-TEST(CommitReply, ADefiniteAnswerNamesItsRevision) {
+TEST(CommitReply, ADefiniteAnswerHasItsRevision) {
   const CommitResult done = parse(200, R"({"ledger_rev":432})");
   EXPECT_EQ(done.outcome, Outcome::done);
   EXPECT_EQ(done.revision, Revision(432));
@@ -22,7 +22,7 @@
 
 // Whoever waits for the records to reach the answer's revision would take a revision of 0 for
 // reached.
-TEST(CommitReply, AnAnswerWithoutARevisionSettlesNothing) {
+TEST(CommitReply, AnAnswerWithoutARevisionIsOfUnknownOutcome) {
   for (const int status : {200, 409}) {
     for (const std::string body : {"", "nonsense", "{}", R"({"ledger_rev":null})"}) {
       EXPECT_EQ(parse(status, body).outcome, Outcome::unknown) << status << " " << body;
@@ -30,7 +30,7 @@
   }
 }
 
-TEST(CommitReply, OnlyWhatWasSurelyNotExecutedIsRefused) {
+TEST(CommitReply, OnlyARequestThatWasNotExecutedIsRefused) {
   EXPECT_EQ(parse_commit_reply(HttpReply::never_sent()).outcome, Outcome::refused)
       << "it was never sent";
   EXPECT_EQ(parse_commit_reply(HttpReply::no_answer()).outcome, Outcome::unknown) << "no response";
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,6 +1,6 @@
-// Records and messages of the version in production, recorded by running it: this version reads
-// them, and writes the same bytes, so that both versions can serve on one set of data. A node's
-// record alone has a field more, which the other skips.
+// Records and messages written by the version in production: this version decodes them and encodes
+// the same bytes, so that both can serve on the same data. Only a node's record has one more field,
+// which the other version skips.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -51,7 +51,7 @@
 
 constexpr RecordSize kBeforeLowering{8192, false};
 
-TEST(ProductionRecords, AreReadAndWrittenAgainAsTheyWere) {
+TEST(ProductionRecords, RoundTripByteForByte) {
   const auto plain = [](const auto& record) { return encode(record); };
   const auto within = [](const auto& record) { return encode(record, 8192); };
   const auto sized = [](const auto& record) { return encode(record, kBeforeLowering); };
@@ -66,7 +66,7 @@
   expect_same_bytes<std::vector<MachineType>>("types", plain);
 }
 
-TEST(ProductionRecords, ANodeThatSaysNothingReadsPlainFormsOnly) {
+TEST(ProductionRecords, ANodeWithoutAFormatVersionReadsPlainEncodingsOnly) {
   json::Document doc;
   NodeRecord node;
   const Sample sample = samples("node").front();
@@ -79,7 +79,7 @@
   EXPECT_EQ(ours, sample.text.substr(0, sample.text.size() - 1) + R"(,"reads":2})");
 }
 
-TEST(ProductionMessages, AreReadAndWrittenAgainAsTheyWere) {
+TEST(ProductionMessages, RoundTripByteForByte) {
   const std::string heartbeat = from_hex(samples("heartbeat").front().text);
   const auto heard = decode_peer_heartbeat(heartbeat);
   ASSERT_TRUE(heard);
@@ -92,7 +92,7 @@
   EXPECT_EQ(encode(*offered), offer);
 }
 
-TEST(ProductionRecords, AFieldMoreIsSkipped) {
+TEST(ProductionRecords, AnUnknownFieldIsSkipped) {
   // What both versions rely on when one of them adds a field.
   json::Document doc;
   ASSERT_TRUE(json::parse(doc, R"({"v":1,"node":"n","nonce":1,"permit":2,"later":{"a":[1]}})"));
--- a/tests/failed_starts_test.cpp
+++ b/tests/failed_starts_test.cpp
@@ -1,10 +1,9 @@
-// Starts that failed are remembered from round to round: skipping them gives what trying would.
+// Starts that failed are remembered from round to round: skipping them equals retrying them.
 #include <map>
 #include <memory>
 #include <random>
 
-#include "scheduling/planner.hpp"
-#include "support/helpers.hpp"
+#include "support/planner_helpers.hpp"
 
 namespace marblevale {
 namespace {
@@ -15,8 +14,6 @@
 using testing::item;
 using testing::machine;
 
-bool never(double) { return false; }
-
 std::string numbered(std::string name, std::uint64_t number) {
   name.append(std::to_string(number));
   return name;
@@ -30,9 +27,9 @@
 
 /// A small cluster whose profile is kept up from round to round, as the leader's is. Every decision
 /// but the starts comes from a seed, so that two of them see the same jobs and the same ends.
-class Cluster {
+class SimulatedSchedule {
  public:
-  Cluster(unsigned seed, bool remembers) : random_(seed), remembers_(remembers) {
+  SimulatedSchedule(unsigned seed, bool remembers) : random_(seed), remembers_(remembers) {
     for (const TeamId& team : {TeamId("crew"), TeamId("other")})
       profile_.add_team(team, {500, 20, 5000});
     for (int i = 0; i < 10; ++i) {
@@ -42,12 +39,13 @@
   }
 
   /// One second: ends, arrivals, a round. What was started, in its order.
-  std::vector<std::string> second() {
+  std::vector<std::string> run_one_second() {
     now_ += 1;
     end_some();
     for (std::size_t n = draw(3); n > 0; --n) submit();
     Planner planner(std::move(profile_), queue_, reservations_,
-                    remembers_ ? failed_ : testing::no_failed_starts(), at(now_), never);
+                    remembers_ ? failed_ : testing::no_failed_starts(), at(now_),
+                    testing::unlimited_budget);
     planner.restore();
     planner.admit_arrivals();
     std::size_t cursor = 0;
@@ -55,10 +53,11 @@
     skipped_ += failed_.size();
     profile_ = planner.take_profile();
     std::vector<std::string> out;
+    out.reserve(starts.size());
     for (const Start& start : starts) out.push_back(begin(start));
     return out;
   }
-  [[nodiscard]] std::size_t remembered() const { return skipped_; }
+  [[nodiscard]] std::size_t skipped() const { return skipped_; }
 
  private:
   std::size_t draw(std::size_t below) { return random_() % below; }
@@ -142,13 +141,13 @@
 
 class FailedStartsTest : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(FailedStartsTest, SkippingGivesWhatTryingAgainWould) {
-  Cluster remembers(GetParam(), true);
-  Cluster tries(GetParam(), false);
+TEST_P(FailedStartsTest, SkippingFailedStartsEqualsRetryingThem) {
+  SimulatedSchedule remembering(GetParam(), true);
+  SimulatedSchedule retrying(GetParam(), false);
   for (int second = 0; second < 300; ++second) {
-    ASSERT_EQ(remembers.second(), tries.second()) << "second " << second;
+    ASSERT_EQ(remembering.run_one_second(), retrying.run_one_second()) << "second " << second;
   }
-  EXPECT_GT(remembers.remembered(), 100U);
+  EXPECT_GT(remembering.skipped(), 100U);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FailedStartsTest,
--- /dev/null
+++ b/tests/job_api_consistency_test.cpp
@@ -0,0 +1,128 @@
+// Answers about a job while it ends, or while delayed commits are executed: all answers agree with
+// the record that decides.
+#include "support/job_api_fixture.hpp"
+
+namespace marblevale {
+namespace {
+
+using testing::kUserRequests;
+using testing::Script;
+using testing::UserRequest;
+
+/// A request during which the job ends: `end_after` steps after it was sent.
+struct EndRace {
+  UserRequest request;
+  bool cached;  // this controller has the job in its copy of the records
+  int end_after;
+};
+
+std::ostream& operator<<(std::ostream& out, const EndRace& race) {
+  return out << "request " << static_cast<int>(race.request)
+             << (race.cached ? ", cached" : ", accepted on a peer") << ", ends after step "
+             << race.end_after;
+}
+
+std::vector<EndRace> end_races() {
+  std::vector<EndRace> races;
+  for (const UserRequest request : kUserRequests) {
+    for (const bool cached : {true, false}) {
+      for (int end_after = 0; end_after < 8; ++end_after) {
+        races.push_back({request, cached, end_after});
+      }
+    }
+  }
+  return races;
+}
+
+class JobApiConsistencyTest : public testing::JobApiTest {
+ protected:
+  /// Sends the request, lets the job end during it, and returns the only answer.
+  UserAnswer send_while_job_ends(const EndRace& race, const std::string& job_id) {
+    const ModRevision mod_revision = accept_on_peer(job_id);
+    if (race.cached) update_cache();
+    store_.hold_answers = true;
+    UserAnswer out = unanswered();
+    int answers = 0;
+    send(race.request, job_id, [&](const UserAnswer& a) {
+      out = a;
+      ++answers;
+    });
+    for (int i = 0; i < 20; ++i) {
+      if (i == race.end_after) end_job(job_id, mod_revision);
+      step();
+    }
+    store_.hold_answers = false;
+    store_.deliver_held_answers();
+    EXPECT_EQ(answers, 1);
+    EXPECT_EQ(out.status, 200) << out.body;
+    return out;
+  }
+
+  static void expect_agrees(UserRequest request, const UserAnswer& answer,
+                            const std::string& final) {
+    if (request == UserRequest::cancel) {
+      EXPECT_EQ(status_in(answer), final) << "a cancellation has one of two ends";
+      return;
+    }
+    EXPECT_EQ(final, "done");
+    EXPECT_TRUE(status_in(answer) == "done" || status_in(answer) == "queued") << answer.body;
+  }
+};
+
+// One record decides, and every answer follows it, wherever between a request's reads and commits
+// the job's last task ends, and whether this controller knew the job or another had accepted it.
+TEST_F(JobApiConsistencyTest, EveryAnswerAgreesWithTheFinalRecordWheneverTheJobEnds) {
+  // Another controller, which must read all that it reports.
+  WatchCache peer_cache(loop_, clock_, store_, 2);
+  Cancellations peer_cancellations(clock_, peer_cache);
+  JobApi peer(loop_, clock_, settings_, store_, peer_cache, peer_cancellations);
+  int number = 0;
+  for (const EndRace& race : end_races()) {
+    const std::string job_id = "req-" + std::to_string(++number);
+    std::ostringstream trace;
+    trace << job_id << ": " << race;
+    SCOPED_TRACE(trace.str());
+    const UserAnswer answer = send_while_job_ends(race, job_id);
+    const std::string final = final_state(job_id);
+    expect_agrees(race.request, answer, final);
+    for (JobApi* api : {api_.get(), &peer}) {
+      for (const UserRequest again : kUserRequests) {
+        EXPECT_EQ(status_in(send(again, job_id, api)), final);
+      }
+    }
+  }
+}
+
+// A late commit of this controller comes after newer ones. A job's record is deleted when it ends,
+// so that a revision of 0 holds for it again: the record of its end, which is never deleted, stands
+// in the way of a submission; a cancellation names the revision of what it changes.
+TEST_F(JobApiConsistencyTest, DelayedCommitsDoNotChangeReportedStates) {
+  for (const bool cancelled : {false, true}) {
+    const std::string job_id = cancelled ? "req-1" : "req-2";
+    store_.scripts = {Script::delay};
+    EXPECT_EQ(send(UserRequest::submit, job_id).status, 201) << "by the second commit";
+    const ModRevision mod_revision = store_.get(keys::job(JobId(job_id)))->mod_revision;
+    store_.scripts = {Script::delay, Script::delay, Script::delay};
+    EXPECT_EQ(send(UserRequest::cancel, job_id).status, 503);
+    if (cancelled) {
+      EXPECT_EQ(status_in(send(UserRequest::cancel, job_id)), "cancelled");
+    }
+    // The submission comes late once while the job is there, and the rest when it has ended.
+    ASSERT_EQ(store_.delayed.size(), 4U);
+    const Transaction submission = store_.delayed.front();
+    EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
+    end_job(job_id, mod_revision);
+    const std::string final = cancelled ? "cancelled" : "done";
+    EXPECT_EQ(final_state(job_id), final);
+    store_.delayed.push_back(submission);
+    while (!store_.delayed.empty()) EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
+    EXPECT_FALSE(store_.get(keys::job(JobId(job_id))));
+    EXPECT_EQ(final_state(job_id), final);
+    for (const UserRequest what : kUserRequests) {
+      EXPECT_EQ(status_in(send(what, job_id)), final);
+    }
+  }
+}
+
+}  // namespace
+}  // namespace marblevale
--- /dev/null
+++ b/tests/leader_cache_test.cpp
@@ -0,0 +1,134 @@
+// A leader whose copy of the records lags behind, or receives answers out of order.
+#include "support/leader_loop_fixture.hpp"
+
+namespace marblevale {
+namespace {
+
+using testing::Script;
+
+class LeaderCacheTest : public testing::LeaderLoopTest {};
+
+// A slow answer to its own commit, delivered after the watch had delivered the deletion,
+// left the record in this copy for good. A job that was over waited there beside free machines.
+TEST_F(LeaderCacheTest, ADelayedCommitAnswerDoesNotRestoreADeletedRecord) {
+  begin();
+  const JobSpec spec = testing::gang("req-1", 1, 1, 60);
+  store_.hold_answers = true;
+  Transaction txn;
+  txn.guard(keys::job(spec.job_id), ModRevision{});
+  txn.put(keys::job(spec.job_id), encode(JobRecord{spec, time_.wall(), std::nullopt}));
+  cache_.commit(RequestPriority::submission, txn, [](const CommitResult&) {});
+  store_.hold_answers = false;
+  Transaction over;
+  over.remove(keys::job(spec.job_id));
+  store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
+  run(Duration{50});
+  store_.deliver_held_answers();
+  EXPECT_FALSE(cache_.records().jobs.contains(spec.job_id));
+}
+
+TEST_F(LeaderCacheTest, DelayedMachineTypesDoNotReplaceNewerOnes) {
+  begin();
+  std::vector<MachineType> types = cache_.records().types->record;
+  types[0].price = 2;
+  cloud_.machine_types = types;
+  store_.scripts = {Script::delay};
+  run(Duration{1'500});
+  ASSERT_EQ(store_.delayed.size(), 1U);
+  types[0].price = 3;
+  cloud_.machine_types = types;
+  run(Duration{62'000});
+  ASSERT_EQ(cache_.records().types->record[0].price, 3);
+  EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
+}
+
+TEST_F(LeaderCacheTest, RecordsOfAJobMissingFromTheCacheAreNotCleanedUp) {
+  begin();
+  run(Duration{1'000});
+  // As while the cache is reloaded page by page.
+  submit(testing::gang("req-1", 1, 1, 60));
+  set_task("req-1", bound("vm-1"));
+  const auto slice = store_.get(keys::slice(JobId("req-1"), 0));
+  cache_.apply({slice->key, slice->value, slice->mod_revision});
+  time_.advance(Duration{1'000});
+  EXPECT_TRUE(store_.get(slice->key));
+  run(Duration{1'000});
+  EXPECT_EQ(tasks("req-1").at(0).state, TaskState::bound);
+}
+
+TEST_F(LeaderCacheTest, AProfileThatDisagreesWithTheRecordsIsRebuilt) {
+  machine("vm-1");
+  submit(testing::gang("req-1", 1, 2, 6'000));
+  TaskRecord task = bound("vm-1");
+  task.running = time_.wall();
+  set_task("req-1", task);
+  begin();
+  submit(testing::gang("req-2", 1, 2, 60));
+  run(Duration{1'000});
+  set_limit(4);  // the records' view; the profile was made with the earlier limit
+  run(Duration{20'000});
+  EXPECT_TRUE(tasks("req-2").empty());
+  run(Duration{60'000});
+  ASSERT_EQ(tasks("req-2").size(), 1U);
+  EXPECT_EQ(tasks("req-2")[0].state, TaskState::released);
+}
+
+// The leader's own commit of a cancellation is in its copy at once, before the
+// watch tells of a binding that was committed earlier. The job was called over, and its task, no
+// longer anybody's to stop, went on outside its team's limit.
+TEST_F(LeaderCacheTest, ACancelledJobIsCompletedOnlyOnceEarlierCommitsAreObserved) {
+  machine("vm-1");
+  begin();
+  run(Duration{100});
+  const JobSpec spec = testing::gang("req-1", 1, 1, 60);
+  store_.scripts.assign(1, Script::refuse);
+  submit(spec);
+  run(Duration{30});
+  const auto job = store_.get(keys::job(spec.job_id));
+  ASSERT_TRUE(cache_.records().jobs.contains(spec.job_id));
+  set_task("req-1", bound("vm-1"));
+  Transaction cancel;
+  cancel.guard(job->key, job->mod_revision);
+  cancel.put(job->key, encode(JobRecord{spec, time_.wall(), time_.wall()}));
+  cache_.commit(RequestPriority::binding, cancel,
+                [](const CommitResult& r) { EXPECT_EQ(r.outcome, Outcome::done); });
+  time_.advance(Duration{1'000});
+  EXPECT_TRUE(store_.get(job->key))
+      << "its task is bound, though the watch has not delivered it yet";
+  run(Duration{1'000});
+  EXPECT_TRUE(store_.get(job->key));
+  set_task("req-1", TaskRecord{});
+  run(Duration{1'000});
+  EXPECT_TRUE(store_.get(keys::final_job(spec.job_id)));
+}
+
+TEST_F(LeaderCacheTest, ZoneConstraintsCountTasksOnMachinesWithoutARecord) {
+  use_two_zones();
+  set_limit(100);
+  machine("vm-1");  // in zone a
+  JobSpec together = testing::batch("req-1", 2, 1, 60);
+  together.together = true;
+  JobSpec spread = testing::batch("req-2", 2, 1, 60);
+  spread.spread = true;
+  int n = 1;
+  for (const std::string zone : {"b", "a"}) {
+    SliceRecord slice;
+    slice.job_id = JobId("req-" + std::to_string(n++));
+    slice.tasks = {bound("vm-lost-" + zone), TaskRecord{}};
+    slice.tasks[0].zone = ZoneId(zone);
+    store_.put(keys::slice(slice.job_id, 0), encode(slice));
+  }
+  submit(together);
+  submit(spread);
+  begin();
+  run(Duration{3'000});
+  EXPECT_EQ(tasks("req-1").at(1).state, TaskState::idle) << "its other task is in zone b";
+  EXPECT_EQ(tasks("req-2").at(1).state, TaskState::idle) << "zone a has its half";
+  machine("vm-2", "b");
+  run(Duration{3'000});
+  EXPECT_EQ(tasks("req-1").at(1).zone, ZoneId("b"));
+  EXPECT_EQ(tasks("req-2").at(1).zone, ZoneId("b"));
+}
+
+}  // namespace
+}  // namespace marblevale
--- /dev/null
+++ b/tests/leader_election_test.cpp
@@ -0,0 +1,83 @@
+// Election of the leader: candidacy, lease expiry, and commits of an earlier incarnation of the
+// process.
+#include "support/leader_loop_fixture.hpp"
+
+namespace marblevale {
+namespace {
+
+using testing::Script;
+
+class LeaderElectionTest : public testing::LeaderLoopTest {};
+
+TEST_F(LeaderElectionTest, LeadershipOfAnEarlierIncarnationIsTakenOverAtOnce) {
+  put_leader("me", 3);
+  begin();
+  EXPECT_TRUE(election_.is_established_leader());
+}
+
+TEST_F(LeaderElectionTest, AnotherLeaderStaysUntilItsRecordIsGone) {
+  put_leader("other", 3);
+  begin();
+  run(Duration{3000});
+  EXPECT_FALSE(election_.is_established_leader());
+  Transaction txn;
+  txn.remove(keys::kLeader);
+  store_.commit(RequestPriority::lease, txn, [](const CommitResult&) {});
+  run(Duration{500});
+  EXPECT_TRUE(election_.is_established_leader());
+}
+
+TEST_F(LeaderElectionTest, TheOnlyControllerOfAZoneDelaysItsCandidacy) {
+  settings_.peers = {{NodeId("n1"), ZoneId("b"), {}}, {NodeId("n2"), ZoneId("b"), {}}};
+  begin();
+  run(Duration{200});
+  EXPECT_FALSE(election_.is_established_leader());
+  run(Duration{1000});
+  EXPECT_TRUE(election_.is_established_leader()) << "nobody else did";
+}
+
+TEST_F(LeaderElectionTest, LeaseExpiryEndsLeadership) {
+  begin();
+  ASSERT_TRUE(election_.is_established_leader());
+  store_.expire_lease(LeaseId(1));
+  run(Duration{1500});
+  EXPECT_NE(election_.term(), ModRevision{});  // a new epoch, and the record is still its own
+  put_leader("other", 3);
+  run(Duration{500});
+  EXPECT_FALSE(election_.is_established_leader());
+}
+
+// A process that is back within a fraction of a second, in the middle of an election, with commits
+// of its earlier incarnation still in flight.
+TEST_F(LeaderElectionTest, ADelayedCommitOfAnEarlierIncarnationDoesNotEndTheTerm) {
+  Transaction stand;
+  stand.guard(keys::kLeader, ModRevision{});
+  stand.put(keys::kLeader, encode(LeaderRecord{NodeId("me"), ProcessIncarnation(3)}));
+  store_.scripts = {Script::delay};
+  store_.commit(RequestPriority::lease, stand, [](const CommitResult&) {});
+  ASSERT_EQ(store_.delayed.size(), 1U);
+  begin();
+  run(Duration{500});
+  ASSERT_TRUE(election_.is_established_leader());
+  const ModRevision term = election_.term();
+  EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
+  run(Duration{1000});
+  EXPECT_EQ(election_.term(), term);
+}
+
+TEST_F(LeaderElectionTest, AnEarlierIncarnationElectedLateIsReplacedByTheCurrentOne) {
+  // The earlier incarnation's commit is executed first, while this one is a candidate.
+  store_.scripts = {Script::refuse, Script::refuse, Script::refuse};
+  begin();
+  put_leader("me", 3);
+  store_.put(keys::node(NodeId("me")),
+             encode(NodeRecord{NodeId("me"), ProcessIncarnation(3), LeaseId(1)}));
+  run(Duration{3000});
+  EXPECT_TRUE(election_.is_established_leader());
+  LeaderRecord leader = cache_.records().leader->record;
+  EXPECT_EQ(leader.incarnation, ProcessIncarnation(7));
+  EXPECT_TRUE(cache_.records().alive(NodeId("me"), ProcessIncarnation(7)));
+}
+
+}  // namespace
+}  // namespace marblevale
--- /dev/null
+++ b/tests/misrouted_heartbeats_test.cpp
@@ -0,0 +1,42 @@
+// Heartbeats that reach a controller which does not hold their shard, because workers cannot reach
+// the holder.
+#include "support/shard_holder_fixture.hpp"
+
+namespace marblevale {
+namespace {
+
+class MisroutedHeartbeatsTest : public testing::ShardHolderTest {};
+
+TEST_F(MisroutedHeartbeatsTest, WorkersThatKeepComingBackReportTheirZone) {
+  give_shard("other", 9);
+  for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
+  EXPECT_TRUE(holder_.misrouted_zones().empty());
+  run(Duration{6'500});
+  for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
+  ASSERT_EQ(holder_.misrouted_zones().size(), 1U);
+  EXPECT_EQ(holder_.misrouted_zones()[0], ZoneId("a"));
+}
+
+// Found by inc-0452: a holder that alone had lost its workers kept its shard for 17 s of a lease of
+// 24 s, since only the third visit of its workers was taken for a complaint.
+TEST_F(MisroutedHeartbeatsTest, WorkersOfAnUnreachableHolderReportTheirZoneBySecondVisit) {
+  give_shard("other", 9);
+  for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
+  run(Duration{5'000});  // sent on to their holder: 4 s without an answer, then 1 s more
+  for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
+  EXPECT_EQ(holder_.misrouted_zones(), std::vector<ZoneId>{ZoneId("a")});
+}
+
+TEST_F(MisroutedHeartbeatsTest, WorkersOfAnEndedHolderDoNotReportTheirZoneBeforeItIsReplaced) {
+  give_shard("other", 9);
+  // Its connections are refused: they turn to the next controller a second later. Its epoch ends
+  // after 4 s at the latest.
+  for (int visit = 0; visit < 5; ++visit) {
+    for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
+    EXPECT_TRUE(holder_.misrouted_zones().empty()) << visit;
+    run(Duration{1'100});
+  }
+}
+
+}  // namespace
+}  // namespace marblevale
--- a/tests/occupancy_test.cpp
+++ b/tests/occupancy_test.cpp
@@ -1,4 +1,4 @@
-// The profile that is kept up from change to change, against one made anew from all records.
+// The profile that is updated from change to change, against one that is rebuilt from all records.
 #include "scheduling/occupancy.hpp"
 
 #include <random>
@@ -98,7 +98,7 @@
   WallTime now_ = at(100);
 };
 
-TEST_P(OccupancyTest, IsWhatOneMadeAnewWouldBe) {
+TEST_P(OccupancyTest, IncrementalUpdatesEqualARebuild) {
   std::vector<BootingMachine> booting;
   for (int step = 0; step < 60; ++step) {
     for (std::size_t n = draw(6); n > 0; --n) change_machine();
@@ -112,15 +112,15 @@
     occupancy_.sync(records_, teams_, {}, booting, now_);
     Occupancy fresh;
     fresh.sync(records_, teams_, {}, booting, now_);
-    Profile& kept = occupancy_.profile();
-    Profile& anew = fresh.profile();
-    ASSERT_EQ(kept.count(), anew.count()) << "step " << step;
-    for (const PlanMachine& m : anew.machines()) {
-      const auto there = kept.find(m.machine_id);
+    Profile& updated = occupancy_.profile();
+    Profile& rebuilt = fresh.profile();
+    ASSERT_EQ(updated.count(), rebuilt.count()) << "step " << step;
+    for (const PlanMachine& m : rebuilt.machines()) {
+      const auto there = updated.find(m.machine_id);
       ASSERT_TRUE(there) << m.machine_id.get();
-      ASSERT_EQ(kept.machines()[*there].zone, m.zone);
-      const ResourceTimeline& a = kept.timeline(*there);
-      const ResourceTimeline& b = anew.timeline(*anew.find(m.machine_id));
+      ASSERT_EQ(updated.machines()[*there].zone, m.zone);
+      const ResourceTimeline& a = updated.timeline(*there);
+      const ResourceTimeline& b = rebuilt.timeline(*rebuilt.find(m.machine_id));
       ASSERT_EQ(a.allocations().size(), b.allocations().size())
           << m.machine_id.get() << " step " << step;
       for (int s = 0; s < 200; s += 7) {
@@ -132,8 +132,9 @@
     }
     for (int s = 0; s < 200; s += 7) {
       const WallTime from = now_ + Duration{std::int64_t{s} * 1000};
-      ASSERT_NEAR(kept.team_timeline(TeamId("crew"))->free(from, from + Duration{5000}).gpus,
-                  anew.team_timeline(TeamId("crew"))->free(from, from + Duration{5000}).gpus, 1e-6);
+      ASSERT_NEAR(updated.team_timeline(TeamId("crew"))->free(from, from + Duration{5000}).gpus,
+                  rebuilt.team_timeline(TeamId("crew"))->free(from, from + Duration{5000}).gpus,
+                  1e-6);
     }
   }
 }
--- a/tests/open_releases_test.cpp
+++ b/tests/open_releases_test.cpp
@@ -1,4 +1,4 @@
-// What settles an open release, and what does not: the state machine by itself.
+// The states of an open release: which answers and records resolve it, and which do not.
 #include <gtest/gtest.h>
 
 #include "leader/quota_waits.hpp"
@@ -18,11 +18,11 @@
   OpenReleasesTest() {
     cache_.begin();
     store_.put(keys::job(kJob), encode(JobRecord{testing::gang("req-1", 2, 1, 60), {}, {}}));
-    tell();
+    update_cache();
     releases_.begin_term(ModRevision(1));
   }
 
-  void tell() {
+  void update_cache() {
     store_.deliver_watch_events();
     time_.advance(Duration{100});
   }
@@ -57,7 +57,7 @@
     releases_.on_commit_answer(id, {outcome, revision, {}}, time_.steady());
   }
 
-  /// Whether it is open still after so long without any news.
+  /// Whether it is still open after so long without new records.
   bool open_after(Duration duration) {
     time_.advance(duration);
     releases_.settle(cache_, time_.steady());
@@ -74,13 +74,13 @@
   OpenReleases releases_;
 };
 
-TEST_F(OpenReleasesTest, ARefusalOfAllThatWasSentSettlesIt) {
+TEST_F(OpenReleasesTest, IsResolvedWhenAllItsCommitsWereRefused) {
   answer(sent(), Outcome::refused);
   EXPECT_TRUE(open_after(Duration{100})) << "it rests for a while";
   EXPECT_FALSE(open_after(Duration{500}));
 }
 
-TEST_F(OpenReleasesTest, ARefusalAfterACommitWithoutAnAnswerSettlesNothing) {
+TEST_F(OpenReleasesTest, StaysOpenWhenOnlyTheRetryIsRefused) {
   const ReleaseId id = sent();
   answer(id, Outcome::unknown);
   for (int i = 0; i < 20; ++i) {
@@ -95,7 +95,7 @@
   EXPECT_EQ(releases_.slice(kKey)->tasks.at(0).state, TaskState::released) << "and it counts";
 }
 
-TEST_F(OpenReleasesTest, ARefusedRepeatIsTriedAgainAfterLongerAndLonger) {
+TEST_F(OpenReleasesTest, RefusedRetriesBackOff) {
   const ReleaseId id = sent();
   answer(id, Outcome::unknown);
   std::vector<std::int64_t> pauses;
@@ -109,38 +109,38 @@
   EXPECT_EQ(pauses, (std::vector<std::int64_t>{400, 800, 1'600, 3'200, 3'200, 3'200}));
 }
 
-TEST_F(OpenReleasesTest, ItsOwnAnswerSettlesItOnceTheRecordsHaveIt) {
+TEST_F(OpenReleasesTest, AConflictResolvesItOnceTheCacheHasItsRevision) {
   const ReleaseId id = sent();
   answer(id, Outcome::conflict, Revision(cache_.revision().get() + 1));
   EXPECT_TRUE(open_after(Duration{60'000})) << "what made a guard fail is not in the records yet";
   store_.put("mv/grants/req-9",
              encode(GuaranteeRecord{JobId("req-9"), {}, {}}, testing::kValueBytes));
-  tell();
+  update_cache();
   EXPECT_FALSE(open_after(Duration{0}));
 }
 
-TEST_F(OpenReleasesTest, ANewRevisionOfTheSliceSettlesIt) {
+TEST_F(OpenReleasesTest, ANewRevisionOfTheSliceResolvesIt) {
   answer(sent(), Outcome::unknown);
   store_.put(keys::slice(kJob, 0), encode(request().slices[0]));
-  tell();
+  update_cache();
   EXPECT_FALSE(open_after(Duration{0}));
 }
 
-TEST_F(OpenReleasesTest, ANewRevisionOfTheJobOrItsEndSettlesIt) {
+TEST_F(OpenReleasesTest, ANewRevisionOfTheJobOrItsEndResolvesIt) {
   answer(sent(), Outcome::unknown);
   store_.put(keys::job(kJob), encode(JobRecord{testing::gang("req-1", 2, 1, 60), {}, {}}));
-  tell();
+  update_cache();
   EXPECT_FALSE(open_after(Duration{0}));
   answer(sent(), Outcome::unknown);
   Transaction over;
   over.remove(keys::job(kJob));
   store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
-  tell();
+  update_cache();
   EXPECT_FALSE(open_after(Duration{0}));
 }
 
 // Read page by page, the records may have one slice of a transaction and lack the other.
-TEST_F(OpenReleasesTest, WhileTheRecordsAreReadAnewNothingIsSettled) {
+TEST_F(OpenReleasesTest, NothingIsResolvedWhileTheCacheReloads) {
   const ReleaseId id = sent();
   answer(id, Outcome::conflict, Revision(1));
   // A process that has just begun reads them, as after a watch that fell behind.
@@ -154,7 +154,7 @@
   EXPECT_FALSE(releases_.contains(kKey));
 }
 
-TEST_F(OpenReleasesTest, OnlyAnotherTermEndsIt) {
+TEST_F(OpenReleasesTest, OnlyANewTermDropsIt) {
   const ReleaseId id = sent();
   releases_.begin_term(ModRevision(1));
   EXPECT_TRUE(releases_.contains(kKey)) << "the same term goes on";
@@ -166,7 +166,7 @@
   EXPECT_TRUE(open_after(Duration{1'000})) << "the answer names a release of the earlier term";
 }
 
-TEST_F(OpenReleasesTest, AnOfferIsCommittedWhenItIsNotBoundInTime) {
+TEST_F(OpenReleasesTest, AnOfferThatIsNotBoundInTimeIsCommitted) {
   const ReleaseId id = offered();
   EXPECT_TRUE(open_after(Duration{3'000}));
   EXPECT_TRUE(releases_.retry_due(time_.steady()).empty());
@@ -177,7 +177,7 @@
   EXPECT_TRUE(open_after(Duration{60'000})) << "the holder may still bind it";
 }
 
-TEST_F(OpenReleasesTest, ADeclineSettlesAnOfferUnlessACommitFollowedIt) {
+TEST_F(OpenReleasesTest, ADeclineResolvesAnOfferUnlessACommitFollowedIt) {
   releases_.on_offer_declined(offered(), time_.steady());
   EXPECT_FALSE(open_after(Duration{500}));
   const ReleaseId id = offered();
@@ -201,7 +201,7 @@
       slice.tasks.at(i).state = placed[i] ? TaskState::bound : TaskState::idle;
     }
     store_.put(keys::slice(kJob, 0), encode(slice));
-    tell();
+    update_cache();
     usage_.mark_dirty(kKey);
   }
 
@@ -222,30 +222,30 @@
   EXPECT_EQ(gpus(), 0);
 }
 
-TEST_F(TeamUsageTest, ASliceThatCannotBeReadCountsInFull) {
+TEST_F(TeamUsageTest, AnUndecodableSliceCountsInFull) {
   store_.put(keys::slice(kJob, 0), R"({"v":99})");
-  tell();
+  update_cache();
   usage_.mark_dirty(kKey);
   EXPECT_EQ(gpus(), 2);
 }
 
-TEST_F(TeamUsageTest, AJobThatCannotBeReadMakesTheCountIncomplete) {
+TEST_F(TeamUsageTest, AnUndecodableJobMakesTheCountIncomplete) {
   store_slice({true, true});
   store_.put(keys::job(kJob), R"({"v":99})");
-  tell();
+  update_cache();
   usage_.mark_dirty(kKey);
   gpus();
   EXPECT_TRUE(usage_.incomplete());
   Transaction over;
   over.remove(keys::job(kJob));
   store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
-  tell();
+  update_cache();
   usage_.mark_dirty(kKey);
   EXPECT_EQ(gpus(), 0);
   EXPECT_FALSE(usage_.incomplete()) << "it is over";
 }
 
-TEST_F(TeamUsageTest, WaitsForAnOpenReleaseAreFound) {
+TEST_F(TeamUsageTest, JobsThatWaitForAnOpenReleaseAreFound) {
   Settings settings;
   Team team;
   team.name = TeamId("crew");
--- a/tests/planner_scale_test.cpp
+++ b/tests/planner_scale_test.cpp
@@ -1,6 +1,6 @@
 // Planning at the size of the largest deployment: its cost as a count of steps, never as time.
 #include "scheduling/planner.hpp"
-#include "support/helpers.hpp"
+#include "support/planner_helpers.hpp"
 
 namespace marblevale {
 namespace {
@@ -11,8 +11,6 @@
 using testing::item;
 using testing::machine;
 
-bool never(double) { return false; }
-
 // The sanitizers' build, which is many times slower, plans a smaller cluster; the count that bounds
 // the cost is per machine and job in both.
 #ifdef NDEBUG
@@ -53,14 +51,15 @@
   return jobs;
 }
 
-TEST(Scale, EveryJobOfALargeQueueIsReservedAtABoundedCost) {
+TEST(PlannerScale, EveryJobOfALargeQueueIsReservedAtABoundedCost) {
   const auto jobs = many_jobs(kJobs);
   std::vector<QueueItem> queue;
   for (std::size_t i = 0; i < jobs.size(); ++i) {
     queue.push_back(item(jobs[i], i + 1, static_cast<double>(i) / 100));
   }
   Reservations r;
-  Planner planner(large_cluster(), queue, r, testing::no_failed_starts(), at(100), never);
+  Planner planner(large_cluster(), queue, r, testing::no_failed_starts(), at(100),
+                  testing::unlimited_budget);
   EXPECT_TRUE(planner.admit_arrivals());
   EXPECT_EQ(r.size(), jobs.size());
   const auto admitted = planner.profile().candidates_examined();
--- a/tests/quota_under_faults_test.cpp
+++ b/tests/quota_under_faults_test.cpp
@@ -1,6 +1,6 @@
-// Random faults of the state service and of the ways between controllers, changes of leader and of
-// shard holder, restarts: no team may have more in use than its limit, by the records or at the
-// workers, and nothing may stay counted for ever. Each seed repeats exactly.
+// Random faults of the state service and of the network, failovers, moves of shards and restarts:
+// no team exceeds its limit, by the records or on the workers, and every job ends. Each seed
+// repeats exactly.
 #include "support/simulated_cluster.hpp"
 
 namespace marblevale {
@@ -12,9 +12,9 @@
 
 class QuotaUnderFaults : public ::testing::TestWithParam<std::uint64_t> {
  protected:
-  static constexpr Duration kTroubles{30'000};
+  static constexpr Duration kFaultPeriod{30'000};
   static constexpr Duration kRecovery{120'000};
-  static constexpr std::size_t kMostOpenJobs = 8;
+  static constexpr std::size_t kMaxOpenJobs = 8;
 
   [[nodiscard]] std::string violation() const {
     for (const auto& [team, limit] : {std::pair{"crew", 4.0}, {"guild", 3.0}}) {
@@ -29,7 +29,7 @@
 
   void submit_some() {
     testing::RandomSource& random = cluster_.random;
-    if (cluster_.unfinished_jobs() >= kMostOpenJobs || !random.chance(0.5)) return;
+    if (cluster_.unfinished_jobs() >= kMaxOpenJobs || !random.chance(0.5)) return;
     const std::string job_id = "req-" + std::to_string(++last_job_);
     const auto gpus = static_cast<double>(random.between(1, 2));
     JobSpec spec =
@@ -51,7 +51,7 @@
 
   /// Commits of the leader go without an answer; when it repeats them it is refused, and served
   /// again a moment later.
-  void lose_then_refuse() {
+  void drop_answers_then_refuse() {
     const auto leader = testing::stored_record<LeaderRecord>(cluster_.store, keys::kLeader);
     if (!leader) return;
     const NodeId node = leader->node;
@@ -65,9 +65,9 @@
     later(3'000, Condition::good);
   }
 
-  void change_conditions() {
+  void inject_faults() {
     testing::RandomSource& random = cluster_.random;
-    if (random.chance(0.12)) lose_then_refuse();
+    if (random.chance(0.12)) drop_answers_then_refuse();
     for (auto& [node, controller] : cluster_.controllers) {
       Condition& condition = controller->store.condition;
       if (condition != Condition::good && random.chance(0.2)) {
@@ -88,19 +88,19 @@
     }
   }
 
-  void run_troubles() {
-    for (Duration at{}; at < kTroubles; at = at + SimulatedCluster::kStep) {
+  void run_with_faults() {
+    for (Duration at{}; at < kFaultPeriod; at = at + SimulatedCluster::kStep) {
       if (at.count() % 200 == 0) {
         submit_some();
-        change_conditions();
+        inject_faults();
       }
       cluster_.step();
       const std::string found = violation();
-      ASSERT_EQ(found, "") << "after " << at.count() << " ms of troubles";
+      ASSERT_EQ(found, "") << "after " << at.count() << " ms of faults";
     }
   }
 
-  void end_troubles() {
+  void end_faults() {
     cluster_.network_faults = false;
     for (auto& [node, controller] : cluster_.controllers) {
       controller->store.condition = Condition::good;
@@ -114,13 +114,13 @@
 TEST_P(QuotaUnderFaults, NoTeamExceedsItsLimitAndEveryJobEnds) {
   for (int i = 0; i < 150; ++i) cluster_.step();
   cluster_.network_faults = true;
-  run_troubles();
+  run_with_faults();
   if (HasFatalFailure()) return;
-  end_troubles();
+  end_faults();
   for (Duration at{}; at < kRecovery && cluster_.unfinished_jobs() > 0;
        at = at + SimulatedCluster::kStep) {
     cluster_.step();
-    ASSERT_EQ(violation(), "") << "after the troubles";
+    ASSERT_EQ(violation(), "") << "after the faults";
   }
   EXPECT_EQ(cluster_.unfinished_jobs(), 0U) << "something stayed counted, or was forgotten";
   EXPECT_GT(last_job_, 10);
--- a/tests/release_offer_test.cpp
+++ b/tests/release_offer_test.cpp
@@ -1,14 +1,14 @@
-// A leader that offers its releases to the holder of a shard: what is offered counts until it is
-// settled, whatever the holder says and whenever the answer comes.
+// Releases that the leader offers to the holder of a shard: an offer counts against the limit until
+// it is resolved, whatever the holder answers and whenever the answer arrives.
 #include "support/leader_loop_fixture.hpp"
 
 namespace marblevale {
 namespace {
 
 using testing::LeaderLoopTest;
-using testing::ScriptedStore;
-using Script = ScriptedStore::Script;
+using testing::Script;
 
+/// Keeps the offers, and answers them as the test says.
 class ScriptedChannel : public OfferChannel {
  public:
   void offer(const NodeId& holder, const ReleaseOffer& offer,
@@ -32,8 +32,7 @@
     machine("vm-1");
     store_.put(keys::node(NodeId("other")),
                encode(NodeRecord{NodeId("other"), ProcessIncarnation(5), LeaseId(9)}));
-    store_.put(keys::shard(ZoneId("a")),
-               encode(ShardRecord{ZoneId("a"), NodeId("other"), ProcessIncarnation(5), 1}));
+    put_shard("a", "other", 5);
     leader_loop_.offer_releases_through(channel_);
     begin();
   }
@@ -66,7 +65,7 @@
   ScriptedChannel channel_;
 };
 
-TEST_F(ReleaseOfferTest, AnOfferCountsAgainstTheLimitUntilItIsSettled) {
+TEST_F(ReleaseOfferTest, AnOfferCountsAgainstTheLimitUntilResolved) {
   begin_offering();
   submit(testing::gang("req-1", 1, 2, 60));
   run(Duration{200});
@@ -85,7 +84,7 @@
   EXPECT_EQ(tasks("req-1").at(0).state, TaskState::released) << "by the ordinary way";
 }
 
-TEST_F(ReleaseOfferTest, ABindingSettlesItsOffer) {
+TEST_F(ReleaseOfferTest, ABindingResolvesItsOffer) {
   begin_offering();
   submit(testing::gang("req-1", 1, 1, 60));
   run(Duration{200});
@@ -96,9 +95,9 @@
   EXPECT_EQ(channel_.offers.size(), 1U);
 }
 
-// Found on a recorded day: 959 offers in 30 s found no binding in time, because their holders had
+// 959 offers in 30 s found no binding in time, because their holders had
 // no budget for more writes, and the leader's own releases cost as many again.
-TEST_F(ReleaseOfferTest, NoMoreIsOfferedToAHolderThanItCanBind) {
+TEST_F(ReleaseOfferTest, OffersInFlightToAHolderAreBounded) {
   settings_.teams[0].gpus_max = 1000;
   for (int i = 0; i < 10; ++i) machine("vm-" + std::to_string(10 + i));
   begin_offering();
@@ -112,7 +111,7 @@
   EXPECT_EQ(channel_.offers.size(), 11U) << "one was bound, and the next has its turn";
 }
 
-TEST_F(ReleaseOfferTest, WhatIsDeclinedIsPlannedAnew) {
+TEST_F(ReleaseOfferTest, ADeclinedOfferIsReplanned) {
   channel_.answer = OfferOutcome::declined;
   begin_offering();
   submit(testing::gang("req-1", 1, 1, 60));
@@ -124,7 +123,7 @@
 
 // An answer names its offer: one that comes late says nothing of a later offer for the same slice,
 // which the holder may still bind.
-TEST_F(ReleaseOfferTest, ALateDeclineOfAnEarlierOfferDoesNotEndALaterOne) {
+TEST_F(ReleaseOfferTest, ADelayedDeclineDoesNotResolveALaterOffer) {
   begin_offering();
   submit(testing::gang("req-1", 1, 2, 60));
   run(Duration{200});
@@ -147,8 +146,8 @@
 }
 
 // The holder did not answer in time, so the leader committed the release itself, without an answer
-// either. That the holder declined is no word of that commit.
-TEST_F(ReleaseOfferTest, ADeclineDoesNotEndTheCommitThatFollowedTheOffer) {
+// either. The holder's decline says nothing about that commit.
+TEST_F(ReleaseOfferTest, ADeclineDoesNotResolveTheCommitThatFollowedTheOffer) {
   begin_offering();
   submit(testing::gang("req-1", 1, 2, 60));
   std::deque<Script> first_is_late(60, Script::refuse);
--- a/tests/release_outcome_test.cpp
+++ b/tests/release_outcome_test.cpp
@@ -1,13 +1,12 @@
-// Releases whose outcome is open: what may still be applied counts against the team's limit. Each
-// test adds up what the team has in use by the records of the state service.
+// Releases of unknown outcome: what may still be executed counts against the team's limit. The
+// tests sum up what the team has in use by the records of the state service.
 #include "support/leader_loop_fixture.hpp"
 
 namespace marblevale {
 namespace {
 
 using testing::LeaderLoopTest;
-using testing::ScriptedStore;
-using Script = ScriptedStore::Script;
+using testing::Script;
 
 constexpr double kLimit = 2;  // GPUs of the fixture's only team
 
@@ -23,21 +22,16 @@
     submit(spec);
   }
 
-  /// Time passes, and the watch tells nothing.
-  void run_without_watch(Duration duration) {
-    for (std::int64_t at = 0; at < duration.count(); at += 10) time_.advance(Duration{10});
-  }
-
   /// What becomes of the first commit that writes the job's slice; its repeats are refused so
   /// often.
-  void refuse_after(Script first, const std::string& job_id, std::size_t refusals) {
+  void refuse_retries_after(Script first, const std::string& job_id, std::size_t refusals) {
     std::deque<Script>& scripts = store_.key_scripts[slice_key(job_id)];
     scripts.assign(refusals, Script::refuse);
     scripts.push_front(first);
   }
 
   /// The late commit arrives.
-  void arrive() {
+  void execute_delayed_commit() {
     store_.apply_delayed();
     run(Duration{100});
   }
@@ -45,36 +39,36 @@
 
 // The first commit of the release had no answer and is applied late; its repeat is refused, which
 // says nothing of the first. The room must not go to another job meanwhile.
-TEST_F(ReleaseOutcomeTest, ARefusedRepeatDoesNotSettleTheUnansweredCommit) {
+TEST_F(ReleaseOutcomeTest, ARefusedRetryDoesNotResolveTheUnansweredCommit) {
   begin();
-  refuse_after(Script::delay, "req-1", 60);
+  refuse_retries_after(Script::delay, "req-1", 60);
   submit_gang("req-1", 2);
   run(Duration{60});
   ASSERT_EQ(store_.delayed.size(), 1U);
   submit_gang("req-2", 1, Urgency::urgent);
   run(Duration{3000});
-  arrive();
+  execute_delayed_commit();
   EXPECT_LE(gpus_in_use({{"req-1", 2}, {"req-2", 1}}), kLimit);
 }
 
 // As above for an array, of which another job's tasks would take the room.
-TEST_F(ReleaseOutcomeTest, ARefusedRepeatOfAnArraysReleaseDoesNotSettleItEither) {
+TEST_F(ReleaseOutcomeTest, ARefusedRetryOfAnArraysReleaseDoesNotResolveIt) {
   begin();
-  refuse_after(Script::delay, "req-1", 60);
+  refuse_retries_after(Script::delay, "req-1", 60);
   submit(testing::batch("req-1", 2, 1, 60));
   run(Duration{60});
   ASSERT_EQ(store_.delayed.size(), 1U);
   submit_gang("req-2", 2, Urgency::urgent);
   run(Duration{3000});
-  arrive();
+  execute_delayed_commit();
   EXPECT_LE(gpus_in_use({{"req-1", 1}, {"req-2", 2}}), kLimit);
 }
 
-// Nothing stays counted for ever: once the state service answers again the release is settled by
+// Nothing stays counted forever: once the state service answers again the release is resolved by
 // its repeat, and the team's next job starts when the first one has ended.
-TEST_F(ReleaseOutcomeTest, AnUnansweredReleaseIsSettledOnceTheStateServiceAnswersAgain) {
+TEST_F(ReleaseOutcomeTest, AnUnansweredReleaseIsResolvedOnceTheStateServiceRecovers) {
   begin();
-  refuse_after(Script::drop_request, "req-1", 5);
+  refuse_retries_after(Script::drop_request, "req-1", 5);
   submit_gang("req-1", 2);
   run(Duration{60});
   submit_gang("req-2", 1, Urgency::urgent);
@@ -91,10 +85,10 @@
 }
 
 // A epoch that ends and is opened again under the same leader record: what is open stays open,
-// and an answer that comes in between is heard.
-TEST_F(ReleaseOutcomeTest, WhatIsOpenStaysOpenWhileTheSameTermIsInterrupted) {
+// and an answer that arrives in between counts.
+TEST_F(ReleaseOutcomeTest, AReleaseStaysOpenThroughAnInterruptionOfItsTerm) {
   begin();
-  refuse_after(Script::delay, "req-1", 60);
+  refuse_retries_after(Script::delay, "req-1", 60);
   submit_gang("req-1", 2);
   run(Duration{60});
   const ModRevision term = election_.term();
@@ -112,20 +106,20 @@
   ASSERT_EQ(election_.term(), term);
   submit_gang("req-2", 1, Urgency::urgent);
   run(Duration{1000});
-  arrive();
+  execute_delayed_commit();
   EXPECT_LE(gpus_in_use({{"req-1", 2}, {"req-2", 1}}), kLimit);
 }
 
-// A member who asks why a job waits is told of the release that has no answer.
-TEST_F(ReleaseOutcomeTest, AJobThatWaitsForAnUnsettledReleaseIsToldSo) {
+// The explanation of a waiting job names the release that has no answer.
+TEST_F(ReleaseOutcomeTest, AJobThatWaitsForAnOpenReleaseGetsANote) {
   begin();
-  refuse_after(Script::drop_request, "req-1", 200);
+  refuse_retries_after(Script::drop_request, "req-1", 200);
   submit_gang("req-1", 2);
   run(Duration{60});
   submit_gang("req-2", 1, Urgency::urgent);
   run(Duration{12'000});
-  const auto told = notes("req-2");
-  EXPECT_EQ(std::count_if(told.begin(), told.end(),
+  const auto stored_notes = notes("req-2");
+  EXPECT_EQ(std::count_if(stored_notes.begin(), stored_notes.end(),
                           [](const std::string& note) {
                             return note.find("a release of req-1 has no answer") !=
                                    std::string::npos;
@@ -135,7 +129,7 @@
 
 // Use is counted from what is placed, never from an expected end: at no moment of an overrun,
 // however often the end is reached, does the task seem to be gone.
-TEST_F(ReleaseOutcomeTest, ATaskThatOverrunsCountsAtEveryMoment) {
+TEST_F(ReleaseOutcomeTest, AnOverrunningTaskCountsUntilItEnds) {
   JobSpec overrunning = testing::gang("req-1", 1, 2, 1);
   submit(overrunning);
   TaskRecord task = bound("vm-1");
@@ -151,11 +145,11 @@
 
 // A commit that stops tasks went without an answer, and its repeat is refused: what it stops is on
 // its machine until proof.
-TEST_F(ReleaseOutcomeTest, AStopWithoutAnAnswerFreesNothing) {
+TEST_F(ReleaseOutcomeTest, AnUnansweredStopFreesNoQuota) {
   submit(testing::gang("req-1", 1, 2, 600));
   set_task("req-1", bound("vm-1"));
   begin();
-  refuse_after(Script::delay, "req-1", 20);
+  refuse_retries_after(Script::delay, "req-1", 20);
   MachineRecord taken = cache_.records().machines.at(MachineId("vm-1")).record;
   taken.reclaim_at = time_.wall() + Duration{4'000};
   store_.put_machine(taken);
@@ -173,10 +167,10 @@
 
 // The leader's own commits are in its copy before what others committed earlier: a release may have
 // been applied just before this controller cancelled its job.
-TEST_F(ReleaseOutcomeTest, AnOwnCommitOfTheJobDoesNotHideTheReleaseThatCameBefore) {
+TEST_F(ReleaseOutcomeTest, AnOwnCommitOfTheJobDoesNotResolveAnEarlierRelease) {
   begin();
   run(Duration{600});
-  refuse_after(Script::drop_answer, "req-1", 3);
+  refuse_retries_after(Script::drop_answer, "req-1", 3);
   submit_gang("req-1", 2);
   run(Duration{10});
   run_without_watch(Duration{60});
--- /dev/null
+++ b/tests/service_job_plan_test.cpp
@@ -0,0 +1,108 @@
+// Placement of a replica, which never ends, among reservations that begin later.
+#include "support/planner_helpers.hpp"
+
+namespace marblevale {
+namespace {
+
+/// One machine of 100 CPUs of which 60 are in use for 50 s more, and are reserved whole after that.
+class ServiceJobPlanTest : public ::testing::Test {
+ protected:
+  ServiceJobPlanTest() {
+    profile_.add_machine(testing::machine("m", 8));
+    Plan running{{{0, WallTime{}, testing::at(150)}}};
+    JobSpec running_job = testing::gang("req-0", 1, 8, 150);
+    running_job.need.cpus = 60;
+    profile_.allocate(running, running_job, Owner{99});
+    later_ = testing::gang("req-later", 1, 1, 60);
+    later_.need.cpus = 100;
+    Reservation r;
+    r.places = {{MachineId("m"), testing::at(150), testing::at(210)}};
+    r.granted_start = r.start = testing::at(150);
+    r.end = testing::at(210);
+    r.changed = false;
+    reservations_[later_.job_id] = r;
+    replica_ = testing::service_job("req-live", 1, 0);
+  }
+
+  std::vector<Start> round(std::vector<ReservationDelay>* moved = nullptr) {
+    std::vector<QueueItem> queue{testing::item(replica_, 1, 100), testing::item(later_, 2, 50)};
+    if (started_) queue.erase(queue.begin());
+    Planner planner(std::move(profile_), queue, reservations_, failed_, testing::at(100),
+                    testing::unlimited_budget);
+    const auto all = planner.restore();
+    if (moved != nullptr) *moved = all;
+    planner.admit_arrivals();
+    std::size_t cursor = 0;
+    const auto starts = planner.compress(cursor);
+    profile_ = planner.take_profile();
+    if (!starts.empty()) {
+      // As the next round sees it: running, without an end.
+      started_ = true;
+      reservations_.erase(replica_.job_id);
+      profile_.release(Owner{1});
+      Plan running = starts.front().plan;
+      for (Placement& place : running.placements) place.start = WallTime{};
+      profile_.allocate(running, replica_, Owner{98});
+    }
+    return starts;
+  }
+
+  Profile profile_;
+  JobSpec later_;
+  JobSpec replica_;
+  Reservations reservations_;
+  FailedStarts failed_;
+  bool started_ = false;
+};
+
+// An end that never comes conflicts with every reservation behind it: a replica would wait for as
+// long as anything is reserved, beside idle room.
+TEST_F(ServiceJobPlanTest, AReplicaDisplacesALaterReservationOfLowerUrgency) {
+  const auto starts = round();
+  ASSERT_EQ(starts.size(), 1U);
+  EXPECT_EQ(starts[0].job_id, replica_.job_id);
+  std::vector<ReservationDelay> moved;
+  EXPECT_TRUE(round(&moved).empty());
+  EXPECT_TRUE(reservations_.at(later_.job_id).places.empty() ||
+              reservations_.at(later_.job_id).start > testing::at(150))
+      << "the displaced reservation is placed again";
+}
+
+TEST_F(ServiceJobPlanTest, AReservationOfTheSameUrgencyIsNotDisplaced) {
+  later_.urgency = Urgency::production;
+  EXPECT_TRUE(round().empty());
+  EXPECT_EQ(reservations_.at(later_.job_id).start, testing::at(150));
+}
+
+// Where another of the same urgency keeps it out, the others' reservations are not broken in vain.
+TEST_F(ServiceJobPlanTest, NoReservationIsDisplacedInVain) {
+  JobSpec equal = later_;
+  equal.job_id = JobId("req-equal");
+  equal.urgency = Urgency::production;
+  Reservation r = reservations_.at(later_.job_id);
+  r.places[0].start = testing::at(210);
+  r.places[0].end = testing::at(270);
+  r.granted_start = r.start = testing::at(210);
+  r.end = testing::at(270);
+  reservations_[equal.job_id] = r;
+  std::vector<QueueItem> queue{testing::item(replica_, 1, 100), testing::item(later_, 2, 50),
+                               testing::item(equal, 3, 60)};
+  Planner planner(std::move(profile_), queue, reservations_, failed_, testing::at(100),
+                  testing::unlimited_budget);
+  planner.restore();
+  planner.admit_arrivals();
+  std::size_t cursor = 0;
+  EXPECT_TRUE(planner.compress(cursor).empty());
+  profile_ = planner.take_profile();
+  EXPECT_TRUE(profile_.reservation_still_fits(Owner{2})) << "its reservation stands as before";
+  EXPECT_TRUE(profile_.reservation_still_fits(Owner{3}));
+}
+
+TEST_F(ServiceJobPlanTest, AReplicaWaitsForRunningTasks) {
+  replica_.need.cpus = 50;
+  EXPECT_TRUE(round().empty());
+  EXPECT_EQ(reservations_.at(later_.job_id).start, testing::at(150));
+}
+
+}  // namespace
+}  // namespace marblevale
--- a/tests/service_job_test.cpp
+++ b/tests/service_job_test.cpp
@@ -1,8 +1,6 @@
-// Standing jobs: replicas run until the job is cancelled. One that ends in any way runs again, and
-// one whose machine is about to go moves ahead of the loss.
-#include "scheduling/job_queue.hpp"
+// Service jobs: their replicas run until the job is cancelled. A replica that ends runs again, and
+// one on a machine that goes away is evicted.
 #include "scheduling/machine_evacuation.hpp"
-#include "scheduling/preemption.hpp"
 #include "shards/task_presence.hpp"
 #include "support/leader_loop_fixture.hpp"
 #include "support/shard_holder_fixture.hpp"
@@ -10,15 +8,6 @@
 namespace marblevale {
 namespace {
 
-JobSpec standing(const std::string& job_id, std::uint32_t replicas, double gpus) {
-  JobSpec job = testing::batch(job_id, replicas, gpus, 90'000'000);
-  job.shape = JobShape::service;
-  job.urgency = Urgency::production;
-  job.checkpoint_interval = Duration{0};
-  job.save_time = Duration{0};
-  return job;
-}
-
 TaskRecord running_since(WallTime at) {
   TaskRecord task;
   task.state = TaskState::bound;
@@ -30,7 +19,7 @@
 }
 
 TEST(Replica, IsNeverDone) {
-  const JobSpec job = standing("req-1", 2, 1);
+  const JobSpec job = testing::service_job("req-1", 2, 1);
   for (const TaskEndCause cause :
        {TaskEndCause::completed, TaskEndCause::failed, TaskEndCause::preempted,
         TaskEndCause::machine_gone, TaskEndCause::lease_expired}) {
@@ -42,8 +31,8 @@
   }
 }
 
-TEST(Replica, ThatKeepsEndingIsTriedWithGrowingPauses) {
-  const JobSpec job = standing("req-1", 2, 1);
+TEST(Replica, ThatKeepsEndingIsRetriedWithBackoff) {
+  const JobSpec job = testing::service_job("req-1", 2, 1);
   TaskRecord task;
   for (std::uint32_t n = 1; n <= 4; ++n) {
     task = running_since(from_unix_milliseconds(1'000'000));
@@ -71,7 +60,7 @@
   handle_heartbeat(1, 0);
   run(Duration{50});
   handle_heartbeat(1, token());
-  release(standing("req-1", 1, 1));
+  release(testing::service_job("req-1", 1, 1));
   run(Duration{500});
   ASSERT_EQ(task().state, TaskState::bound);
   handle_heartbeat(1, token(), task_status("running"));
@@ -85,7 +74,7 @@
 
 // While writes are short sixteen commits are on their way, and those that wait have their turn one
 // by one: on a day of hawakir-fields-next replicas were bound 20 to 80 s after their release.
-TEST_F(ServiceJobHolderTest, ItsBindingDoesNotWaitForTheCommitsOfOthers) {
+TEST_F(ServiceJobHolderTest, AReplicasBindingDoesNotWaitForOtherCommits) {
   handle_heartbeat(1, 0);
   run(Duration{50});
   handle_heartbeat(1, token());
@@ -94,7 +83,7 @@
     release(testing::batch("req-" + std::to_string(100 + i), 1, 0, 100));
   }
   run(Duration{100});
-  release(standing("req-1", 1, 0));
+  release(testing::service_job("req-1", 1, 0));
   run(Duration{100});
   store_.hold_answers = false;
   store_.deliver_held_answers();
@@ -105,28 +94,14 @@
 
 class ServiceJobLeaderTest : public testing::LeaderLoopTest {
  protected:
-  void machine_in_state(const std::string& machine_id, MachineState state,
-                        std::optional<WallTime> reclaim_at = std::nullopt) {
-    MachineRecord m;
-    m.machine_id = MachineId(machine_id);
-    m.machine_type = "g8";
-    m.zone = ZoneId("a");
-    m.since = time_.wall();
-    m.state = state;
-    m.reclaim_at = reclaim_at;
-    store_.put_machine(m);
-  }
   [[nodiscard]] TaskRecord replica(const std::string& machine_id) const {
     TaskRecord task = bound(machine_id);
     task.running = time_.wall();
     return task;
   }
-  void set_tasks(const JobSpec& spec, const std::vector<TaskRecord>& tasks) {
+  void submit_with_tasks(const JobSpec& spec, const std::vector<TaskRecord>& tasks) {
     submit(spec);
-    SliceRecord slice;
-    slice.job_id = spec.job_id;
-    slice.tasks = tasks;
-    store_.put(keys::slice(slice.job_id, 0), encode(slice));
+    set_tasks(spec.job_id.get(), tasks);
   }
   [[nodiscard]] std::size_t stopping(const std::string& job_id) const {
     std::size_t count = 0;
@@ -135,14 +110,14 @@
   }
 };
 
-TEST_F(ServiceJobLeaderTest, AReplicaThatEndedIsReleasedAgain) {
+TEST_F(ServiceJobLeaderTest, AnEndedReplicaIsReleasedAgain) {
   machine("vm-1");
   machine("vm-2");
   begin();
   TaskRecord ended;
   ended.attempt = Attempt(1);
   ended.since = time_.wall();
-  set_tasks(standing("req-1", 2, 1), {replica("vm-1"), ended});
+  submit_with_tasks(testing::service_job("req-1", 2, 1), {replica("vm-1"), ended});
   run(Duration{1'500});
   ASSERT_EQ(tasks("req-1").size(), 2U);
   EXPECT_EQ(tasks("req-1")[1].state, TaskState::released);
@@ -150,21 +125,21 @@
   EXPECT_EQ(tasks("req-1")[0].state, TaskState::bound) << "the other is left alone";
 }
 
-TEST_F(ServiceJobLeaderTest, ADoneReplicaOfAnotherVersionRunsAgainAndEndsNothing) {
+TEST_F(ServiceJobLeaderTest, ADoneReplicaOfAnotherVersionRunsAgain) {
   machine("vm-1");
   begin();
   TaskRecord done;
   done.state = TaskState::done;
   done.attempt = Attempt(1);
-  set_tasks(standing("req-1", 2, 1), {done, done});
+  submit_with_tasks(testing::service_job("req-1", 2, 1), {done, done});
   run(Duration{12'000});
   EXPECT_FALSE(store_.get(keys::final_job(JobId("req-1")))) << "it leaves by cancellation alone";
   for (const TaskRecord& task : tasks("req-1")) EXPECT_EQ(task.state, TaskState::released);
 }
 
-TEST_F(ServiceJobLeaderTest, DoneReplicasInAllSlicesEndNoJob) {
+TEST_F(ServiceJobLeaderTest, DoneReplicasInAllSlicesDoNotCompleteTheJob) {
   begin();
-  const JobSpec spec = standing("req-1", kSliceTasks + 1, 0);
+  const JobSpec spec = testing::service_job("req-1", kSliceTasks + 1, 0);
   for (std::uint32_t number = 0; number < slice_count(spec); ++number) {
     SliceRecord slice;
     slice.job_id = spec.job_id;
@@ -179,11 +154,11 @@
   EXPECT_FALSE(store_.get(keys::final_job(spec.job_id)));
 }
 
-TEST_F(ServiceJobLeaderTest, ACancelledOneEndsOnceNothingOfItIsPlaced) {
+TEST_F(ServiceJobLeaderTest, ACancelledServiceJobEndsOnceNoReplicaIsPlaced) {
   machine("vm-1");
   begin();
-  const JobSpec spec = standing("req-1", 1, 1);
-  set_tasks(spec, {replica("vm-1")});
+  const JobSpec spec = testing::service_job("req-1", 1, 1);
+  submit_with_tasks(spec, {replica("vm-1")});
   run(Duration{500});
   store_.put(keys::job(spec.job_id), encode(JobRecord{spec, time_.wall(), time_.wall()}));
   run(Duration{2'000});
@@ -194,41 +169,41 @@
   EXPECT_NE(store_.get(keys::final_job(spec.job_id))->value.find("cancelled"), std::string::npos);
 }
 
-TEST_F(ServiceJobLeaderTest, ReplicasLeaveAMachineThatTheCloudTakesBackAtOnce) {
+TEST_F(ServiceJobLeaderTest, ReplicasAreEvictedAtOnceFromAReclaimedMachine) {
   machine("vm-1");
   machine_in_state("vm-2", MachineState::draining, time_.wall() + Duration{15'000});
   begin();
-  set_tasks(standing("req-1", 2, 1), {replica("vm-1"), replica("vm-2")});
+  submit_with_tasks(testing::service_job("req-1", 2, 1), {replica("vm-1"), replica("vm-2")});
   run(Duration{1'000});
   EXPECT_FALSE(tasks("req-1")[0].stop);
   ASSERT_TRUE(tasks("req-1")[1].stop);
   EXPECT_EQ(tasks("req-1")[1].stop->reason, "the cloud takes its machine back");
   run(Duration{6'000});
-  const auto told = notes("req-1");
-  EXPECT_TRUE(std::any_of(told.begin(), told.end(), [](const std::string& note) {
+  const auto stored_notes = notes("req-1");
+  EXPECT_TRUE(std::any_of(stored_notes.begin(), stored_notes.end(), [](const std::string& note) {
     return note.find("takes its machine back") != std::string::npos;
   }));
 }
 
 // Such a machine would never empty by itself, and would be paid for until the job is cancelled.
-TEST_F(ServiceJobLeaderTest, ReplicasLeaveAQuarantinedMachineOneAtATime) {
+TEST_F(ServiceJobLeaderTest, ReplicasAreEvictedOneAtATimeFromAQuarantinedMachine) {
   machine("vm-1");
   machine_in_state("vm-2", MachineState::quarantined);
   begin();
-  set_tasks(standing("req-1", 2, 1), {replica("vm-2"), replica("vm-2")});
+  submit_with_tasks(testing::service_job("req-1", 2, 1), {replica("vm-2"), replica("vm-2")});
   run(Duration{3'000});
   EXPECT_EQ(stopping("req-1"), 1U) << "the service goes on with the other";
 }
 
 // A replica is down from the end of its worker's lease: its machine is given up then, and not a
 // part of a lease later like others that fell silent.
-TEST_F(ServiceJobLeaderTest, ASilentMachineWithAReplicaIsGivenUpOnceItsLeaseIsOver) {
+TEST_F(ServiceJobLeaderTest, ASilentMachineWithAReplicaIsDeletedAtLeaseExpiry) {
   const Duration lease_over =
       settings_.workers.lease - scaled(settings_.workers.heartbeat, kSilentHeartbeats);
   machine_in_state("vm-1", MachineState::silent);
   machine_in_state("vm-2", MachineState::silent);
   begin();
-  set_tasks(standing("req-1", 1, 1), {replica("vm-1")});
+  submit_with_tasks(testing::service_job("req-1", 1, 1), {replica("vm-1")});
   set_task("req-2", bound("vm-2"));
   submit(testing::batch("req-2", 1, 1, 600));
   run(lease_over - Duration{1'000});
@@ -243,7 +218,7 @@
   sick.machine_id = MachineId("vm-1");
   sick.state = MachineState::quarantined;
   records.machines[sick.machine_id] = {sick, ModRevision(1)};
-  const JobSpec spec = standing("req-1", 2, 1);
+  const JobSpec spec = testing::service_job("req-1", 2, 1);
   records.jobs[spec.job_id] = {JobRecord{spec, {}, std::nullopt}, ModRevision(1)};
   SliceRecord slice;
   slice.job_id = spec.job_id;
@@ -259,117 +234,5 @@
       << "its stops are under way";
 }
 
-/// One machine of 100 CPUs of which 60 are in use for 50 s more, and are reserved whole after that.
-class ServiceJobPlanTest : public ::testing::Test {
- protected:
-  ServiceJobPlanTest() {
-    profile_.add_machine(testing::machine("m", 8));
-    Plan running{{{0, WallTime{}, testing::at(150)}}};
-    JobSpec running_job = testing::gang("req-0", 1, 8, 150);
-    running_job.need.cpus = 60;
-    profile_.allocate(running, running_job, Owner{99});
-    later_ = testing::gang("req-later", 1, 1, 60);
-    later_.need.cpus = 100;
-    Reservation r;
-    r.places = {{MachineId("m"), testing::at(150), testing::at(210)}};
-    r.granted_start = r.start = testing::at(150);
-    r.end = testing::at(210);
-    r.changed = false;
-    reservations_[later_.job_id] = r;
-    replica_ = standing("req-live", 1, 0);
-  }
-
-  std::vector<Start> round(std::vector<ReservationDelay>* moved = nullptr) {
-    std::vector<QueueItem> queue{testing::item(replica_, 1, 100), testing::item(later_, 2, 50)};
-    if (started_) queue.erase(queue.begin());
-    Planner planner(std::move(profile_), queue, reservations_, failed_, testing::at(100),
-                    [](double) { return false; });
-    const auto all = planner.restore();
-    if (moved != nullptr) *moved = all;
-    planner.admit_arrivals();
-    std::size_t cursor = 0;
-    const auto starts = planner.compress(cursor);
-    profile_ = planner.take_profile();
-    if (!starts.empty()) {
-      // As the next round sees it: running, without an end.
-      started_ = true;
-      reservations_.erase(replica_.job_id);
-      profile_.release(Owner{1});
-      Plan running = starts.front().plan;
-      for (Placement& place : running.placements) place.start = WallTime{};
-      profile_.allocate(running, replica_, Owner{98});
-    }
-    return starts;
-  }
-
-  Profile profile_;
-  JobSpec later_;
-  JobSpec replica_;
-  Reservations reservations_;
-  FailedStarts failed_;
-  bool started_ = false;
-};
-
-// An end that never comes conflicts with every reservation behind it: a replica would wait for as
-// long as anything is reserved, beside idle room.
-TEST_F(ServiceJobPlanTest, AReplicaStartsBesideWhatRunsThoughTheRoomIsReservedLater) {
-  const auto starts = round();
-  ASSERT_EQ(starts.size(), 1U);
-  EXPECT_EQ(starts[0].job_id, replica_.job_id);
-  std::vector<ReservationDelay> moved;
-  EXPECT_TRUE(round(&moved).empty());
-  EXPECT_TRUE(reservations_.at(later_.job_id).places.empty() ||
-              reservations_.at(later_.job_id).start > testing::at(150))
-      << "what stood in its way is placed again";
-}
-
-TEST_F(ServiceJobPlanTest, AReservationOfTheSameUrgencyStays) {
-  later_.urgency = Urgency::production;
-  EXPECT_TRUE(round().empty());
-  EXPECT_EQ(reservations_.at(later_.job_id).start, testing::at(150));
-}
-
-// Where another of the same urgency keeps it out, the others' reservations are not broken in vain.
-TEST_F(ServiceJobPlanTest, NoReservationGivesWayInVain) {
-  JobSpec equal = later_;
-  equal.job_id = JobId("req-equal");
-  equal.urgency = Urgency::production;
-  Reservation r = reservations_.at(later_.job_id);
-  r.places[0].start = testing::at(210);
-  r.places[0].end = testing::at(270);
-  r.granted_start = r.start = testing::at(210);
-  r.end = testing::at(270);
-  reservations_[equal.job_id] = r;
-  std::vector<QueueItem> queue{testing::item(replica_, 1, 100), testing::item(later_, 2, 50),
-                               testing::item(equal, 3, 60)};
-  Planner planner(std::move(profile_), queue, reservations_, failed_, testing::at(100),
-                  [](double) { return false; });
-  planner.restore();
-  planner.admit_arrivals();
-  std::size_t cursor = 0;
-  EXPECT_TRUE(planner.compress(cursor).empty());
-  profile_ = planner.take_profile();
-  EXPECT_TRUE(profile_.reservation_still_fits(Owner{2})) << "its reservation stands as before";
-  EXPECT_TRUE(profile_.reservation_still_fits(Owner{3}));
-}
-
-TEST_F(ServiceJobPlanTest, WithoutRoomBesideWhatRunsItWaits) {
-  replica_.need.cpus = 50;
-  EXPECT_TRUE(round().empty());
-  EXPECT_EQ(reservations_.at(later_.job_id).start, testing::at(150));
-}
-
-TEST(ServiceJobQueue, IsNotGatheredInOneZoneWhileWritesAreShort) {
-  Records records;
-  Settings settings;
-  settings.zones = {ZoneId("a"), ZoneId("b")};
-  const JobSpec spec = standing("req-1", 3, 0);
-  records.jobs[spec.job_id] = {JobRecord{spec, {}, std::nullopt}, ModRevision(1)};
-  const auto none = [](const JobId&, std::uint32_t) -> const SliceRecord* { return nullptr; };
-  const auto queue = build_queue(records, settings, none, WallTime{Duration{1'000}}, true);
-  ASSERT_EQ(queue.size(), 1U);
-  EXPECT_FALSE(queue[0].demand.preferred_zone);
-}
-
 }  // namespace
 }  // namespace marblevale
--- /dev/null
+++ b/tests/shard_holder_offer_test.cpp
@@ -0,0 +1,151 @@
+// Offers of the leader to a shard holder: bound in one commit, declined, duplicated or delayed.
+#include "support/shard_holder_fixture.hpp"
+
+namespace marblevale {
+namespace {
+
+using testing::Script;
+
+class ShardHolderOfferTest : public testing::ShardHolderTest {
+ protected:
+  /// A job of one task that nobody has released yet, and the leader's offer for it.
+  ReleaseOffer offered() {
+    put_leader("boss", 1);
+    const JobSpec job = testing::gang("req-1", 1, 1, 100);
+    put_job(store_, job, time_.wall());
+    handle_heartbeat(1, token());
+    run(Duration{100});
+    ReleaseOffer offer;
+    offer.term = store_.get(keys::kLeader)->mod_revision.get();
+    offer.job_id = "req-1";
+    offer.cache_revision = cache_.revision().get();
+    offer.tasks = {{0, 1, "a", "vm-1"}};
+    offer.sequence = ++last_serial_;
+    offer.holder_incarnation = 7;
+    offer.job_revision = store_.get(keys::job(job.job_id))->mod_revision.get();
+    return offer;
+  }
+
+ private:
+  std::uint64_t last_serial_ = 0;
+};
+
+TEST_F(ShardHolderOfferTest, AnOfferIsBoundInOneCommitAndThenStarted) {
+  const auto offer = offered();
+  const auto before = store_.commits.size();
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
+  EXPECT_EQ(store_.commits.size(), before + 1);
+  EXPECT_EQ(task().state, TaskState::bound);
+  run(Duration{50});
+  EXPECT_TRUE(sent("start"));
+  const std::string bound = store_.get(keys::slice(JobId("req-1"), 0))->value;
+  const auto commits = store_.commits.size();
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted)
+      << "a copy gets the answer of the first";
+  run(Duration{500});
+  EXPECT_EQ(store_.get(keys::slice(JobId("req-1"), 0))->value, bound) << "and changes nothing";
+  EXPECT_EQ(store_.commits.size(), commits);
+}
+
+TEST_F(ShardHolderOfferTest, WaitsUntilItsCacheHasTheLeadersRevision) {
+  auto offer = offered();
+  offer.cache_revision += 1;
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
+  EXPECT_FALSE(store_.get(keys::slice(JobId("req-1"), 0)));
+  store_.put("mv/grants/req-9",
+             encode(GuaranteeRecord{JobId("req-9"), {}, {}}, testing::kValueBytes));
+  run(Duration{600});
+  EXPECT_EQ(task().state, TaskState::bound);
+}
+
+TEST_F(ShardHolderOfferTest, ABindingDelayedPastAFailoverFails) {
+  const auto offer = offered();
+  store_.scripts = {Script::delay};
+  holder_.answer_offer(offer);
+  ASSERT_EQ(store_.delayed.size(), 1U);
+  put_leader("other", 2);
+  EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
+  run(Duration{100});
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::declined)
+      << "the offer is of an earlier term";
+}
+
+TEST_F(ShardHolderOfferTest, AnOfferThatCannotBeBoundWholeIsDeclined) {
+  auto offer = offered();
+  offer.tasks[0].machine_id = "vm-9";
+  offer.tasks[0].zone = "b";
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::declined) << "another holder's shard";
+  offer = offered();
+  cancel();
+  run(Duration{50});
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::declined);
+  offer = offered();
+  offer.holder_incarnation = 6;
+  const auto commits = store_.commits.size();
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted)
+      << "an earlier incarnation, for which it is, may have taken it";
+  run(Duration{3'000});
+  EXPECT_EQ(store_.commits.size(), commits) << "but it is not bound";
+  offer = offered();
+  --offer.job_revision;
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::declined) << "the job has changed";
+  EXPECT_FALSE(decode_offer("nonsense"));
+  EXPECT_EQ(decode_offer(encode(offer))->tasks.at(0).machine_id, "vm-1");
+}
+
+// The first is being bound, and its commit is on its way: to decline the copy would have the leader
+// give the room to another job, and then both were bound.
+TEST_F(ShardHolderOfferTest, ADuplicateIsNotDeclinedWhileTheOfferIsBeingBound) {
+  const auto offer = offered();
+  store_.scripts = {Script::delay};
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
+  ASSERT_EQ(store_.delayed.size(), 1U) << "and it is committed once";
+  EXPECT_EQ(store_.apply_delayed().outcome, Outcome::done);
+}
+
+// The leader gives the room of a declined offer to another job at once. A copy that comes when the
+// reason for declining is gone must not be bound, though leader, job and slice are as they were.
+TEST_F(ShardHolderOfferTest, ADuplicateOfADeclinedOfferIsNotBound) {
+  auto offer = offered();
+  offer.tasks[0].machine_id = "vm-2";
+  // vm-1 has another's task, so it can't stand in for the machine that has not reported.
+  JobRecord busy;
+  busy.spec = testing::gang("req-9", 1, 1, 100);
+  store_.put(keys::job(busy.spec.job_id), encode(busy));
+  SliceRecord slice;
+  slice.job_id = busy.spec.job_id;
+  slice.tasks = {task()};
+  slice.tasks[0].state = TaskState::bound;
+  slice.tasks[0].machine_id = MachineId("vm-1");
+  slice.tasks[0].zone = ZoneId("a");
+  slice.tasks[0].epoch = WorkerEpoch(1);
+  store_.put(keys::slice(slice.job_id, 0), encode(slice));
+  run(Duration{50});
+  EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::declined) << "that machine has not reported";
+  handle_heartbeat(1, token(), "", "vm-2");
+  run(Duration{100});
+  // The room of the first offer, the whole of the team's limit, goes to another job.
+  const JobSpec other = testing::gang("req-2", 1, 1, 100);
+  put_job(store_, other, time_.wall());
+  run(Duration{50});
+  ReleaseOffer second = offer;
+  second.job_id = "req-2";
+  second.sequence = offer.sequence + 1;
+  second.job_revision = store_.get(keys::job(other.job_id))->mod_revision.get();
+  EXPECT_EQ(holder_.answer_offer(second), OfferAnswer::accepted);
+  holder_.answer_offer(offer);
+  run(Duration{500});
+  std::size_t placed = 0;
+  for (const std::string job_id : {"req-1", "req-2"}) {
+    const auto entry = store_.get(keys::slice(JobId(job_id), 0));
+    SliceRecord slice;
+    json::Document doc;
+    if (!entry || !json::parse(doc, entry->value) || !decode(doc, slice)) continue;
+    for (const TaskRecord& task : slice.tasks) placed += task.placed() ? 1 : 0;
+  }
+  EXPECT_EQ(placed, 1U) << "the team's limit is one task";
+}
+
+}  // namespace
+}  // namespace marblevale
--- a/tests/shard_holder_test.cpp
+++ b/tests/shard_holder_test.cpp
@@ -1,4 +1,5 @@
-// A shard's holder: bindings, proofs, cancellations.
+// The holder of a shard: bindings, orders, evidence that a task has terminated, and the end of
+// jobs.
 #include "support/shard_holder_fixture.hpp"
 
 namespace marblevale {
@@ -15,11 +16,11 @@
   EXPECT_NE(answer.body.find("\"steward\":\"other\""), std::string::npos);
 }
 
-TEST_F(ShardHolderTest, AWorkerThatSawAHigherWarrantIsNotAnswered) {
+TEST_F(ShardHolderTest, AWorkerThatSawAHigherFencingTokenIsRedirected) {
   EXPECT_EQ(handle_heartbeat(1, token() + 5).status, 421);
 }
 
-TEST_F(ShardHolderTest, AMalformedHeartbeatIsRefusedAndProvesNothing) {
+TEST_F(ShardHolderTest, AMalformedHeartbeatIs400) {
   EXPECT_EQ(holder_.handle_heartbeat("{").status, 400);
   EXPECT_EQ(
       handle_heartbeat(1, token(), R"({"part":"nonsense","try":1,"status":"running"})").status,
@@ -47,13 +48,12 @@
   run(Duration{30});
   ASSERT_EQ(store_.delayed.size(), 1U);
   store_.scripts.clear();
-  store_.put(keys::shard(ZoneId("a")),
-             encode(ShardRecord{ZoneId("a"), NodeId("other"), ProcessIncarnation(9), 2}));
+  put_shard("a", "other", 9, 2);
   EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
   EXPECT_EQ(task().state, TaskState::released);
 }
 
-TEST_F(ShardHolderTest, ACancelThatWinsTheRaceMakesTheBindingFail) {
+TEST_F(ShardHolderTest, ACancellationMakesADelayedBindingFail) {
   handle_heartbeat(1, token());
   run(Duration{60});  // the machine is in its page
   store_.scripts.assign(50, Script::refuse);
@@ -68,7 +68,7 @@
   EXPECT_FALSE(sent("start"));
 }
 
-TEST_F(ShardHolderTest, AnUnansweredDirectStartIsRepeatedOnlyToTheSameMachine) {
+TEST_F(ShardHolderTest, AnUnansweredStartIsRetriedOnTheSameMachine) {
   bind_and_start();
   workers_.sent.back().then(HttpReply::no_answer());
   run(Duration{3000});
@@ -77,7 +77,7 @@
   EXPECT_EQ(task().machine_id, MachineId("vm-1"));
 }
 
-TEST_F(ShardHolderTest, ACancelledTaskIsFreeOnlyWhenNoLateStartCanArrive) {
+TEST_F(ShardHolderTest, ACancelledTaskIsFreedOnlyWhenNoDelayedStartCanArrive) {
   bind_and_start();
   workers_.sent.back().then(HttpReply::no_answer());
   cancel();
@@ -87,7 +87,7 @@
   run(Duration{50});
   EXPECT_EQ(task().state, TaskState::bound) << "the direct start may still arrive";
   run(Duration{9000});
-  ASSERT_GT(token(), old) << "the warrant is renewed to end that";
+  ASSERT_GT(token(), old) << "the fencing token is renewed to exclude that";
   handle_heartbeat(1, old);
   run(Duration{50});
   EXPECT_EQ(task().state, TaskState::bound);
@@ -96,7 +96,7 @@
   EXPECT_EQ(task().state, TaskState::idle);
 }
 
-TEST_F(ShardHolderTest, AnEndedTaskIsClearedOnlyWhenItsStartCannotBeRepeated) {
+TEST_F(ShardHolderTest, AnEndedTaskIsClearedOnlyWhenNoDuplicateStartCanArrive) {
   bind_and_start();
   auto answer = handle_heartbeat(1, token(), task_status("ended", "error"));
   run(Duration{50});
@@ -108,7 +108,7 @@
   EXPECT_NE(answer.body.find("clear"), std::string::npos);
 }
 
-TEST_F(ShardHolderTest, ALateHeartbeatDoesNotUndoANewerOne) {
+TEST_F(ShardHolderTest, ADelayedHeartbeatDoesNotReplaceANewerOne) {
   bind_and_start();
   handle_heartbeat(1, token(), task_status("running"));
   sequence_ -= 2;  // an older heartbeat, delivered late, without the task
@@ -117,7 +117,7 @@
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
-TEST_F(ShardHolderTest, ANewEpochProvesThatTheTaskIsGone) {
+TEST_F(ShardHolderTest, ANewWorkerEpochIsEvidenceOfTermination) {
   bind_and_start();
   handle_heartbeat(1, token(), task_status("running"));
   run(Duration{50});
@@ -126,14 +126,14 @@
   EXPECT_EQ(task().state, TaskState::idle);
 }
 
-TEST_F(ShardHolderTest, SilenceFreesNothing) {
+TEST_F(ShardHolderTest, MissingHeartbeatsFreeNoTask) {
   bind_and_start();
   handle_heartbeat(1, token(), task_status("running"));
   run(Duration{120'000});
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
-TEST_F(ShardHolderTest, ADeletedMachineProvesThatItsTasksAreGone) {
+TEST_F(ShardHolderTest, ADeletedMachineIsEvidenceOfTermination) {
   bind_and_start();
   handle_heartbeat(1, token(), task_status("running"));
   run(Duration{50});
@@ -147,7 +147,7 @@
   EXPECT_EQ(task().state, TaskState::idle);
 }
 
-TEST_F(ShardHolderTest, WithoutTheStateServiceItStopsAnsweringInTime) {
+TEST_F(ShardHolderTest, WithoutTheStateServiceItStopsRenewingLeasesInTime) {
   EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
   watch_answers_ = false;
   run(Duration{20'000});
@@ -160,8 +160,8 @@
   EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
 }
 
-// Found by a rough day: the user had been told `cancelled`, the task ended before it was stopped.
-TEST_F(ShardHolderTest, ACancelledJobStaysCancelledThoughItsTasksAreDone) {
+// The user had received `cancelled`, and the task ended before it was stopped.
+TEST_F(ShardHolderTest, ACancelledJobWhoseTasksEndAsDoneStaysCancelled) {
   bind_and_start();
   handle_heartbeat(1, token(), task_status("running"));
   run(Duration{50});
@@ -173,7 +173,7 @@
   EXPECT_NE(entry->value.find("cancelled"), std::string::npos);
 }
 
-TEST_F(ShardHolderTest, WhatBelongsToNoJobIsKilledThoughItsSliceIsLeft) {
+TEST_F(ShardHolderTest, ATaskWithoutAJobIsKilled) {
   bind_and_start();
   Transaction txn;
   txn.remove(keys::job(JobId("req-1")));
@@ -184,7 +184,7 @@
             std::string::npos);
 }
 
-TEST_F(ShardHolderTest, DoneIsCommittedWithTheEndOfItsLastTask) {
+TEST_F(ShardHolderTest, TheJobsEndIsCommittedWithItsLastTask) {
   bind_and_start();
   handle_heartbeat(1, token(), task_status("ended", "done"));
   run(Duration{50});
@@ -195,31 +195,21 @@
   EXPECT_FALSE(store_.get(keys::job(JobId("req-1"))));
 }
 
-TEST_F(ShardHolderTest, AFailingTaskMakesItsMachineSuspect) {
+TEST_F(ShardHolderTest, AFailedTaskMakesItsMachineSuspect) {
   bind_and_start();
   handle_heartbeat(1, token(), task_status("ended", "error"));
   run(Duration{50});
-  EXPECT_EQ(cache_.records().machines.at(MachineId("vm-1")).record.state, MachineState::suspect);
+  EXPECT_EQ(machine_state("vm-1"), MachineState::suspect);
   EXPECT_EQ(task().faults, 1U);
 }
 
-// Two jobs with a mistake had a sound machine given up at once.
-TEST_F(ShardHolderTest, AFailureOfASecondJobLeavesTheVerdictToTheLeader) {
+// Two failing jobs must not remove a machine that works.
+TEST_F(ShardHolderTest, AFailureOfASecondJobLeavesTheMachineSuspect) {
   handle_heartbeat(1, token());
   for (const char* job_id : {"req-1", "req-2"}) {
-    JobRecord job;
-    job.spec = testing::batch(job_id, 1, 1, 100);
-    job.accepted = time_.wall();
-    store_.put(keys::job(job.spec.job_id), encode(job));
-    SliceRecord slice;
-    slice.job_id = job.spec.job_id;
-    slice.tasks.resize(1);
-    slice.tasks[0].state = TaskState::bound;
-    slice.tasks[0].attempt = Attempt(1);
-    slice.tasks[0].zone = ZoneId("a");
-    slice.tasks[0].machine_id = MachineId("vm-1");
-    slice.tasks[0].epoch = WorkerEpoch(1);
-    store_.put(keys::slice(job.spec.job_id, 0), encode(slice));
+    const JobSpec job = testing::batch(job_id, 1, 1, 100);
+    put_job(store_, job, time_.wall());
+    put_slice(store_, testing::slice_record(job.job_id, {testing::bound_task("vm-1")}));
   }
   run(Duration{50});
   const std::string running = R"({"part":"req-2/0","try":1,"status":"running"})";
@@ -233,7 +223,7 @@
   EXPECT_EQ(machine.blamed, JobId("req-1"));
 }
 
-TEST_F(ShardHolderTest, AFailureDoesNotBringBackAMachineThatIsGivenUp) {
+TEST_F(ShardHolderTest, AFailureDoesNotReleaseAQuarantinedMachine) {
   bind_and_start();
   MachineRecord machine = cache_.records().machines.at(MachineId("vm-1")).record;
   machine.state = MachineState::quarantined;
@@ -242,12 +232,11 @@
   handle_heartbeat(1, token(), task_status("ended", "error"));
   run(Duration{1'100});
   EXPECT_EQ(task().faults, 1U);
-  EXPECT_EQ(cache_.records().machines.at(MachineId("vm-1")).record.state,
-            MachineState::quarantined);
+  EXPECT_EQ(machine_state("vm-1"), MachineState::quarantined);
 }
 
-// Found by a rough day: after the end of all controllers, tasks went where their image was not.
-TEST_F(ShardHolderTest, ImagesThatRanAreKeptInTheMachinesRecord) {
+// After the end of all controllers, tasks went where their image was not.
+TEST_F(ShardHolderTest, CachedImagesAreStoredInTheMachinesRecord) {
   bind_and_start();
   handle_heartbeat(1, token(), task_status("running"));
   run(Duration{1000});
@@ -256,30 +245,8 @@
   EXPECT_EQ(images[0].image, ImageId("img"));
 }
 
-TEST_F(ShardHolderTest, WorkersThatKeepComingBackMakeAComplaint) {
-  give_shard("other", 9);
-  for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
-  EXPECT_TRUE(holder_.misrouted_zones().empty());
-  run(Duration{6'500});
-  for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
-  ASSERT_EQ(holder_.misrouted_zones().size(), 1U);
-  EXPECT_EQ(holder_.misrouted_zones()[0], ZoneId("a"));
-}
-
-TEST(BrokenGang, WhatIsLeftOfItIsStopped) {
-  SliceRecord slice;
-  slice.tasks.resize(3);
-  slice.tasks[0].state = TaskState::bound;
-  slice.tasks[1].state = TaskState::idle;
-  slice.tasks[2].state = TaskState::bound;
-  EXPECT_TRUE(stop_broken_gang(slice));
-  EXPECT_TRUE(slice.tasks[0].stop);
-  EXPECT_TRUE(slice.tasks[2].stop);
-  EXPECT_FALSE(stop_broken_gang(slice));
-}
-
 // When writes are short every slice has its turn, and what waits for its own is decided only once.
-TEST_F(ShardHolderTest, CommitsOnTheirWayAreBoundedAndNoSliceIsPassedOver) {
+TEST_F(ShardHolderTest, CommitsInFlightAreBoundedAndNoSliceStarves) {
   constexpr int kJobs = 40;
   handle_heartbeat(1, token());
   store_.hold_answers = true;
@@ -305,5 +272,17 @@
   EXPECT_EQ(bound, kJobs);
 }
 
+TEST(BrokenGang, ItsRemainingTasksAreStopped) {
+  SliceRecord slice;
+  slice.tasks.resize(3);
+  slice.tasks[0].state = TaskState::bound;
+  slice.tasks[1].state = TaskState::idle;
+  slice.tasks[2].state = TaskState::bound;
+  EXPECT_TRUE(stop_broken_gang(slice));
+  EXPECT_TRUE(slice.tasks[0].stop);
+  EXPECT_TRUE(slice.tasks[2].stop);
+  EXPECT_FALSE(stop_broken_gang(slice));
+}
+
 }  // namespace
 }  // namespace marblevale
--- a/tests/startup_times_test.cpp
+++ b/tests/startup_times_test.cpp
@@ -1,4 +1,5 @@
-// The times that are logged once after the start of a process.
+// The times that are logged once after the start of a process: what counts as the first of its
+// kind.
 #include "app/startup_times.hpp"
 
 #include "support/helpers.hpp"
@@ -23,10 +24,10 @@
                encode(NodeRecord{NodeId("n2"), ProcessIncarnation(7), LeaseId(2)}));
     times_.emplace(time_, settings_, cache_, ProcessIncarnation(7));
     cache_.begin();
-    pass(Duration{1'000});
+    run(Duration{1'000});
   }
 
-  void pass(Duration duration) {
+  void run(Duration duration) {
     time_.advance(duration);
     store_.deliver_watch_events();
   }
@@ -54,44 +55,44 @@
   std::optional<StartupTimes> times_;
 };
 
-TEST_F(StartupTimesTest, TheFirstAnswerIsNoRefusal) {
+TEST_F(StartupTimesTest, A503IsNotTheFirstAnswer) {
   times_->user_answered(503);
   EXPECT_FALSE(times_->after(StartupMilestone::user_answered));
   times_->user_answered(404);
   EXPECT_EQ(times_->after(StartupMilestone::user_answered), Duration{1'000});
-  pass(Duration{500});
+  run(Duration{500});
   times_->user_answered(200);
   EXPECT_EQ(times_->after(StartupMilestone::user_answered), Duration{1'000}) << "timed once";
 }
 
-TEST_F(StartupTimesTest, ABindingFromBeforeTheStartIsNotTheFirst) {
+TEST_F(StartupTimesTest, ABindingFromBeforeTheProcessStartDoesNotCount) {
   EXPECT_FALSE(times_->after(StartupMilestone::task_bound));
-  pass(Duration{500});
+  run(Duration{500});
   bind_task(time_.wall());
-  pass(Duration{100});
+  run(Duration{100});
   EXPECT_EQ(times_->after(StartupMilestone::task_bound), Duration{1'600});
 }
 
 TEST_F(StartupTimesTest, ABindingByAnotherHolderDoesNotCount) {
   give_shard("a", "n2");
-  pass(Duration{100});
+  run(Duration{100});
   bind_task(time_.wall());
-  pass(Duration{100});
+  run(Duration{100});
   EXPECT_FALSE(times_->after(StartupMilestone::task_bound));
 }
 
-TEST_F(StartupTimesTest, TheLastShardIsTimedByItsHolderWhenAllHaveLivingOnes) {
+TEST_F(StartupTimesTest, TheLastShardIsTimedByItsHolderOnceAllHoldersAreAlive) {
   EXPECT_FALSE(times_->after(StartupMilestone::last_shard_held));
-  give_shard("b", "n2", 3);  // an earlier life
-  pass(Duration{100});
+  give_shard("b", "n2", 3);  // an earlier incarnation
+  run(Duration{100});
   give_shard("a", "me");
-  pass(Duration{100});
+  run(Duration{100});
   EXPECT_FALSE(times_->after(StartupMilestone::last_shard_held));
   give_shard("b", "n2");
-  pass(Duration{100});
-  EXPECT_FALSE(times_->after(StartupMilestone::last_shard_held)) << "n2 tells it";
+  run(Duration{100});
+  EXPECT_FALSE(times_->after(StartupMilestone::last_shard_held)) << "n2 logs it";
   give_shard("a", "me");
-  pass(Duration{100});
+  run(Duration{100});
   EXPECT_EQ(times_->after(StartupMilestone::last_shard_held), Duration{1'400});
 }
 
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -1,4 +1,4 @@
-// Jobs that wait beside a machine that fits, as the records have it.
+// Jobs that wait although a machine fits them, and jobs that have a reason to wait.
 #include "scheduling/starvation.hpp"
 
 #include "support/helpers.hpp"
@@ -54,7 +54,7 @@
   Settings settings_;
 };
 
-TEST_F(StarvationTest, AJobBesideAMachineThatFitsIsFound) {
+TEST_F(StarvationTest, AJobThatFitsAnIdleMachineIsFound) {
   machine("vm-1", "a");
   job(testing::gang("req-1", 2, 4, 60));
   job(testing::batch("req-2", 1, 4, 60), 10);
@@ -67,7 +67,7 @@
   EXPECT_EQ(find(1).size(), 1U) << "only the oldest";
 }
 
-TEST_F(StarvationTest, AJobThatFitsNowhereIsNot) {
+TEST_F(StarvationTest, AJobThatFitsNowhereIsNotFound) {
   machine("vm-1", "a");
   machine("vm-2", "b");
   job(testing::gang("req-1", 1, 6, 60));
@@ -87,7 +87,7 @@
   EXPECT_TRUE(find().empty()) << "room is in zone b only: for two tasks of four GPUs";
 }
 
-TEST_F(StarvationTest, ATeamAtItsLimitWaits) {
+TEST_F(StarvationTest, AJobOfATeamAtItsLimitIsNotFound) {
   machine("vm-1", "a");
   machine("vm-2", "a");
   job(testing::batch("req-1", 1, 6, 60));
@@ -98,7 +98,7 @@
   EXPECT_EQ(find().size(), 1U);
 }
 
-TEST_F(StarvationTest, AMachineThatStaysOutOfUseIsNamedWhereNoneElseFits) {
+TEST_F(StarvationTest, AnUnusableMachineIsNamedWhenNoOtherFits) {
   machine("vm-1", "a", MachineState::suspect);
   job(testing::gang("req-1", 1, 4, 60));
   ASSERT_EQ(find().size(), 1U);
@@ -107,7 +107,7 @@
   EXPECT_EQ(find()[0].machine_id, MachineId("vm-2"));
 }
 
-TEST_F(StarvationTest, AGangOfWhichATaskStandsDoesNotWait) {
+TEST_F(StarvationTest, AGangWithAPlacedTaskIsNotFound) {
   machine("vm-1", "a");
   job(testing::gang("req-1", 2, 1, 60));
   place("req-1", "vm-lost", "b");
--- a/tests/suspect_machines_test.cpp
+++ b/tests/suspect_machines_test.cpp
@@ -1,4 +1,5 @@
-// Whose fault it is that tasks fail: a machine's, or the jobs' that were submitted with a mistake.
+// Failures of tasks that may be the machine's fault or the job's: which machines are removed, which
+// are cleared.
 #include "support/leader_loop_fixture.hpp"
 
 namespace marblevale {
@@ -7,28 +8,21 @@
 class SuspectMachinesTest : public testing::LeaderLoopTest {
  protected:
   SuspectMachinesTest() {
-    settings_.teams[0].gpus = settings_.teams[0].gpus_max = 0.5;  // nothing new is released
+    set_limit(0.5);  // nothing new is released
   }
 
   /// vm-1 is suspect since a task of req-1 failed on it; a task of req-2 failed there as well.
-  void two_jobs_fail_on_one_machine() {
-    MachineRecord suspect;
-    suspect.machine_id = MachineId("vm-1");
-    suspect.machine_type = "g8";
-    suspect.zone = ZoneId("a");
-    suspect.state = MachineState::suspect;
-    suspect.blamed = JobId("req-1");
-    suspect.since = time_.wall();
-    store_.put_machine(suspect);
+  void set_two_jobs_failed_on_one_machine() {
+    suspect_machine("vm-1", "req-1");
     for (const char* job_id : {"req-1", "req-2"}) {
       submit(testing::gang(job_id, 1, 1, 60));
-      fails(job_id, "vm-1", 1);
+      set_failed(job_id, "vm-1", 1);
     }
     begin();
     run(Duration{2'000});
     ASSERT_EQ(state(), MachineState::suspect);
   }
-  void fails(const std::string& job_id, const std::string& machine_id, std::uint32_t faults) {
+  void set_failed(const std::string& job_id, const std::string& machine_id, std::uint32_t faults) {
     TaskRecord task;
     task.attempt = Attempt(faults);
     task.faults = faults;
@@ -36,42 +30,40 @@
     task.since = time_.wall();
     set_task(job_id, task);
   }
-  void runs(const std::string& job_id, const std::string& machine_id) {
+  void set_running(const std::string& job_id, const std::string& machine_id) {
     TaskRecord task = bound(machine_id);
     task.faults = 1;
     task.failed_on = MachineId("vm-1");
     task.running = time_.wall();
     set_task(job_id, task);
   }
-  [[nodiscard]] MachineState state() const {
-    return cache_.records().machines.at(MachineId("vm-1")).record.state;
-  }
+  [[nodiscard]] MachineState state() const { return machine_state("vm-1"); }
 };
 
-TEST_F(SuspectMachinesTest, TwoMistakenJobsCondemnNoMachine) {
-  two_jobs_fail_on_one_machine();
-  fails("req-1", "vm-2", 2);
+TEST_F(SuspectMachinesTest, TwoFailingJobsDoNotRemoveAMachine) {
+  set_two_jobs_failed_on_one_machine();
+  set_failed("req-1", "vm-2", 2);
   run(Duration{2'000});
   EXPECT_EQ(state(), MachineState::suspect) << "of the other job nothing is known yet";
-  fails("req-2", "vm-3", 2);
+  set_failed("req-2", "vm-3", 2);
   run(Duration{2'000});
   EXPECT_EQ(state(), MachineState::up);
   run(Duration{60'000});
   EXPECT_EQ(state(), MachineState::up);
 }
 
-TEST_F(SuspectMachinesTest, ASickMachineIsFoundByTheSecondJobThatRunsElsewhere) {
-  two_jobs_fail_on_one_machine();
-  fails("req-1", "vm-2", 2);  // this one has a mistake of its own
+TEST_F(SuspectMachinesTest, AFaultyMachineIsRemovedWhenTheSecondJobRunsElsewhere) {
+  set_two_jobs_failed_on_one_machine();
+  set_failed("req-1", "vm-2", 2);  // this job fails on every machine
   machine("vm-3");
-  runs("req-2", "vm-3");
+  set_running("req-2", "vm-3");
   run(Duration{7'000});
   ASSERT_EQ(cloud_.removed.size(), 1U) << "long before the suspicion lapses";
   EXPECT_EQ(cloud_.removed[0], MachineId("vm-1"));
 }
 
-TEST_F(SuspectMachinesTest, OnWhichTwoJobsFailedThatRunNowhereElseIsGivenUpInTheEnd) {
-  two_jobs_fail_on_one_machine();
+TEST_F(SuspectMachinesTest, AMachineOnWhichTwoJobsFailedIsRemovedAfterATimeout) {
+  set_two_jobs_failed_on_one_machine();
   run(Duration{30'000});
   EXPECT_EQ(state(), MachineState::suspect);
   run(Duration{20'000});
@@ -79,5 +71,38 @@
   EXPECT_EQ(cloud_.removed[0], MachineId("vm-1"));
 }
 
+// The task failed twice on the same faulty machine, which was then cleared.
+TEST_F(SuspectMachinesTest, ASuspectMachineIsClearedOnlyByAFailureElsewhere) {
+  suspect_machine("vm-1", "req-1");
+  submit(testing::gang("req-1", 1, 1, 60));
+  TaskRecord failed;
+  failed.attempt = Attempt(2);
+  failed.faults = 2;
+  failed.failed_on = MachineId("vm-1");
+  set_task("req-1", failed);
+  begin();
+  run(Duration{5000});
+  EXPECT_EQ(machine_state("vm-1"), MachineState::suspect);
+  failed.failed_on = MachineId("vm-2");
+  set_task("req-1", failed);
+  run(Duration{2000});
+  EXPECT_EQ(machine_state("vm-1"), MachineState::up);
+}
+
+TEST_F(SuspectMachinesTest, ASuspectMachineIsRemovedWhenItsTaskRunsElsewhere) {
+  suspect_machine("vm-1", "req-1");
+  machine("vm-2");
+  submit(testing::gang("req-1", 1, 1, 60));
+  TaskRecord task = bound("vm-2");
+  task.faults = 1;
+  task.failed_on = MachineId("vm-1");
+  task.running = time_.wall() + Duration{500};
+  set_task("req-1", task);
+  begin();
+  run(Duration{10'000});
+  ASSERT_EQ(cloud_.removed.size(), 1U);
+  EXPECT_EQ(cloud_.removed[0], MachineId("vm-1"));
+}
+
 }  // namespace
 }  // namespace marblevale
--- a/tests/task_presence_test.cpp
+++ b/tests/task_presence_test.cpp
@@ -1,4 +1,5 @@
-// What reports prove: late starts, repeated starts, late reports, lapsed epochs.
+// What heartbeats prove about a task: delayed and duplicated starts, delayed heartbeats, new
+// epochs.
 #include "shards/task_presence.hpp"
 
 #include "support/helpers.hpp"
@@ -30,73 +31,73 @@
   return r;
 }
 
-TaskPresence look(const WorkerStatus& view) {
+TaskPresence presence_in(const WorkerStatus& view) {
   return classify_presence(kTask, bound(), view, FencingToken(kToken));
 }
 
-TEST(TaskPresence, AHeartbeatWithoutTheTaskProvesNothingBeforeTheWorkerSawOurWarrant) {
+TEST(TaskPresence, AnAbsentTaskIsNoEvidenceBeforeTheWorkerSawOurFencingToken) {
   // An earlier holder's start may still be on its way to the worker.
   WorkerStatus view;
   view.apply(heartbeat(1, 5, kToken - 1));
-  EXPECT_EQ(look(view), TaskPresence::not_reported);
+  EXPECT_EQ(presence_in(view), TaskPresence::not_reported);
   view.apply(heartbeat(1, 6, kToken));
-  EXPECT_EQ(look(view), TaskPresence::never_started);
+  EXPECT_EQ(presence_in(view), TaskPresence::never_started);
 }
 
-TEST(TaskPresence, ADirectStartCanArriveLateUntilAHigherWarrantIsSeen) {
+TEST(TaskPresence, ADirectStartCanBeDelayedUntilAHigherFencingTokenIsSeen) {
   WorkerStatus view;
   view.apply(heartbeat(1, 5, kToken));
   view.direct_starts[{kTask, Attempt(2)}] = FencingToken(kToken);
   view.apply(heartbeat(1, 6, kToken));
   view.prune();
-  EXPECT_EQ(look(view), TaskPresence::not_reported);
+  EXPECT_EQ(presence_in(view), TaskPresence::not_reported);
   view.apply(heartbeat(1, 7, kToken + 1));
   view.prune();
   EXPECT_EQ(classify_presence(kTask, bound(), view, FencingToken(kToken + 1)),
             TaskPresence::never_started);
 }
 
-TEST(TaskPresence, AStartInAnAnswerIsSettledByTheNextHeartbeat) {
+TEST(TaskPresence, AStartInAHeartbeatAnswerIsResolvedByTheNextHeartbeat) {
   WorkerStatus view;
   view.apply(heartbeat(1, 5, kToken));
   view.reply_starts[{kTask, Attempt(2)}] = HeartbeatSequence(5);
-  EXPECT_EQ(look(view), TaskPresence::not_reported);
+  EXPECT_EQ(presence_in(view), TaskPresence::not_reported);
   view.apply(heartbeat(1, 6, kToken));
-  EXPECT_EQ(look(view), TaskPresence::never_started);
+  EXPECT_EQ(presence_in(view), TaskPresence::never_started);
 }
 
-TEST(TaskPresence, ANewEpochIsProofAndALateHeartbeatOfTheOldOneIsDropped) {
+TEST(TaskPresence, ANewEpochIsEvidenceAndADelayedHeartbeatOfTheOldOneIsDropped) {
   WorkerStatus view;
   EXPECT_TRUE(view.apply(heartbeat(
       1, 5, kToken, {{kTask, Attempt(2), TaskStatus::running, TaskEndCause::unspecified, false}})));
-  EXPECT_EQ(look(view), TaskPresence::present);
+  EXPECT_EQ(presence_in(view), TaskPresence::present);
   EXPECT_TRUE(view.apply(heartbeat(2, 6, kToken)));
-  EXPECT_EQ(look(view), TaskPresence::lost);
+  EXPECT_EQ(presence_in(view), TaskPresence::lost);
   EXPECT_FALSE(view.apply(heartbeat(
       1, 9, kToken, {{kTask, Attempt(2), TaskStatus::running, TaskEndCause::unspecified, false}})));
-  EXPECT_EQ(look(view), TaskPresence::lost);
+  EXPECT_EQ(presence_in(view), TaskPresence::lost);
 }
 
-TEST(TaskPresence, AnOlderTallyIsDropped) {
+TEST(TaskPresence, AnOlderSequenceNumberIsDropped) {
   WorkerStatus view;
   view.apply(heartbeat(
       1, 8, kToken, {{kTask, Attempt(2), TaskStatus::running, TaskEndCause::unspecified, false}}));
   EXPECT_FALSE(view.apply(heartbeat(1, 7, kToken)));
-  EXPECT_EQ(look(view), TaskPresence::present);
+  EXPECT_EQ(presence_in(view), TaskPresence::present);
 }
 
 TEST(TaskPresence, AnotherAttemptOfTheTaskIsNotThisOne) {
   WorkerStatus view;
   view.apply(heartbeat(1, 5, kToken,
                        {{kTask, Attempt(1), TaskStatus::ended, TaskEndCause::gang_ended, false}}));
-  EXPECT_EQ(look(view), TaskPresence::never_started);
+  EXPECT_EQ(presence_in(view), TaskPresence::never_started);
 }
 
-TEST(TaskPresence, SilenceProvesNothing) {
-  EXPECT_EQ(look(WorkerStatus{}), TaskPresence::not_reported);
+TEST(TaskPresence, NoHeartbeatIsNoEvidence) {
+  EXPECT_EQ(presence_in(WorkerStatus{}), TaskPresence::not_reported);
 }
 
-TEST(TaskEnd, SavedProgressIsKeptAndALostTaskFallsBackToItsSnapshot) {
+TEST(TaskEnd, SavedProgressIsKeptAndALostTaskResumesFromItsCheckpoint) {
   const JobSpec job = testing::gang("req-1", 1, 1, 100);  // saves every 10 s
   TaskRecord task = bound();
   task.running = testing::at(1);
@@ -113,5 +114,20 @@
   EXPECT_EQ(task.attempt, Attempt(2));
 }
 
+TEST(TaskPresence, AHeartbeatOfAnEarlierEpochIsNoEvidence) {
+  TaskRecord task;
+  task.state = TaskState::bound;
+  task.attempt = Attempt(2);
+  task.epoch = WorkerEpoch(3);
+  WorkerHeartbeat heartbeat;
+  heartbeat.epoch = WorkerEpoch(2);
+  heartbeat.sequence = HeartbeatSequence(900);
+  heartbeat.token = FencingToken(10);
+  WorkerStatus view;
+  view.apply(heartbeat);
+  EXPECT_EQ(classify_presence({JobId("req-1"), 0}, task, view, FencingToken(10)),
+            TaskPresence::not_reported);
+}
+
 }  // namespace
 }  // namespace marblevale
--- a/tests/team_without_quota_test.cpp
+++ b/tests/team_without_quota_test.cpp
@@ -1,5 +1,5 @@
-// Work of teams without a guarantee beside that of teams which have one, and jobs that fail
-// everywhere.
+// Jobs of teams without a quota beside those of teams which have one: order, preemption, packing
+// and scale out.
 #include "scheduling/job_queue.hpp"
 #include "scheduling/preemption.hpp"
 #include "support/leader_loop_fixture.hpp"
@@ -13,7 +13,7 @@
 using testing::item;
 using testing::machine;
 
-/// A team with a guarantee, and a guest without.
+/// A team with a quota, and one without.
 Settings two_teams() {
   Settings settings;
   settings.zones = {ZoneId("a")};
@@ -26,14 +26,14 @@
   return settings;
 }
 
-JobSpec low(const std::string& job_id, const std::string& team, double seconds) {
+JobSpec low_urgency_batch(const std::string& job_id, const std::string& team, double seconds) {
   JobSpec job = batch(job_id, 2, 1, seconds);
   job.team = TeamId(team);
   job.urgency = Urgency::low;
   return job;
 }
 
-std::vector<std::string> order(const Records& records, double now) {
+std::vector<std::string> queue_order(const Records& records, double now) {
   const auto none = [](const JobId&, std::uint32_t) -> const SliceRecord* { return nullptr; };
   auto queue = build_queue(records, two_teams(), none, at(now), false);
   std::sort(queue.begin(), queue.end(), has_higher_priority);
@@ -43,28 +43,28 @@
   return out;
 }
 
-void add(Records& records, const JobSpec& spec, double accepted) {
+void add_job(Records& records, const JobSpec& spec, double accepted) {
   records.jobs[spec.job_id] = {JobRecord{spec, at(accepted), std::nullopt}, ModRevision(1)};
 }
 
-// Found on a day with a guest team: its idle-only work held the machines, and the arrays of the
+// The work of a team without quota held the machines, and the arrays of the
 // guaranteed teams beyond their guarantee, of the same urgency, missed their deadlines.
-TEST(TeamWithoutQuota, GoesAfterThatOfTeamsWithAGuarantee) {
+TEST(TeamWithoutQuota, IsQueuedAfterTeamsWithQuota) {
   Records records;
-  add(records, low("req-guest", "guest", 10), 0);
-  add(records, low("req-crew", "crew", 100), 1);
-  EXPECT_EQ(order(records, 20), (std::vector<std::string>{"req-crew", "req-guest"}));
+  add_job(records, low_urgency_batch("req-guest", "guest", 10), 0);
+  add_job(records, low_urgency_batch("req-crew", "crew", 100), 1);
+  EXPECT_EQ(queue_order(records, 20), (std::vector<std::string>{"req-crew", "req-guest"}));
 }
 
 // It must begin some day, too: within four minutes the largest of each class.
-TEST(TeamWithoutQuota, GoesFirstOfItsRankOnceItIsOverdue) {
+TEST(TeamWithoutQuota, IsQueuedFirstOnceOverdue) {
   Records records;
-  add(records, low("req-guest", "guest", 10), 0);
-  add(records, low("req-crew", "crew", 100), 190);
-  EXPECT_EQ(order(records, 200), (std::vector<std::string>{"req-guest", "req-crew"}));
+  add_job(records, low_urgency_batch("req-guest", "guest", 10), 0);
+  add_job(records, low_urgency_batch("req-crew", "crew", 100), 190);
+  EXPECT_EQ(queue_order(records, 200), (std::vector<std::string>{"req-guest", "req-crew"}));
 }
 
-TEST(TeamWithoutQuota, IsStoppedBeforeThatOfTeamsWithAGuarantee) {
+TEST(TeamWithoutQuota, IsPreemptedBeforeTeamsWithQuota) {
   Records records;
   MachineType type;
   type.name = "g8";
@@ -79,8 +79,8 @@
     record.zone = ZoneId("a");
     records.machines[host].record = record;
     profile.add_machine(machine(host.get(), 1));
-    JobSpec spec = low(std::string("req-").append(team), team, 100);
-    add(records, spec, 0);
+    JobSpec spec = low_urgency_batch(std::string("req-").append(team), team, 100);
+    add_job(records, spec, 0);
     SliceRecord slice;
     slice.job_id = spec.job_id;
     slice.tasks.resize(2);
@@ -100,13 +100,13 @@
 }
 
 // CPUs that a task without accelerators takes beside idle ones make these useless to others.
-TEST(TeamWithoutQuota, WithoutAcceleratorsGoesWhereTheyAreInUse) {
+TEST(TeamWithoutQuota, TasksWithoutAcceleratorsArePackedBesideBusyOnes) {
   Profile profile;
   profile.add_machine(machine("idle", 2));
   const auto busy = profile.add_machine(machine("busy", 2));
   profile.allocate(busy, TeamId("crew"), {WallTime{}, at(1000), {0, 2, 0}, Owner(1)});
   for (int i = 0; i < 8; ++i) {
-    const JobSpec probe = low("req-" + std::to_string(i), "guest", 10);
+    const JobSpec probe = low_urgency_batch("req-" + std::to_string(i), "guest", 10);
     QueueItem asked = item(probe, 2);
     JobSpec without = probe;
     without.need = {0.25, 0, 1};
@@ -121,20 +121,20 @@
 using TeamWithoutQuotaScaleOutTest = testing::LeaderLoopTest;
 
 // Idle-only work: nobody set an objective for its class, and its team has no guarantee.
-TEST_F(TeamWithoutQuotaScaleOutTest, NothingIsRentedForIdleOnlyWorkUntilItIsOverdue) {
+TEST_F(TeamWithoutQuotaScaleOutTest, NothingIsProvisionedUntilTheJobIsOverdue) {
   Team guest;
   guest.name = TeamId("guest");
   settings_.teams.push_back(guest);
   cloud_.scales_out = true;
   begin();
-  submit(low("req-1", "guest", 100));
+  submit(low_urgency_batch("req-1", "guest", 100));
   run(Duration{60'000});
   EXPECT_TRUE(cloud_.provisioning_requests.empty());
   run(Duration{100'000});
   EXPECT_FALSE(cloud_.provisioning_requests.empty()) << "it has waited for over 150 s";
 }
 
-TEST_F(TeamWithoutQuotaScaleOutTest, MachinesAreRentedForAClassWithAnObjective) {
+TEST_F(TeamWithoutQuotaScaleOutTest, MachinesAreProvisionedForAClassWithAnObjective) {
   Team guest;
   guest.name = TeamId("guest");
   settings_.teams.push_back(guest);
@@ -145,30 +145,10 @@
   settings_.objectives = {wanted};
   cloud_.scales_out = true;
   begin();
-  submit(low("req-1", "guest", 100));
+  submit(low_urgency_batch("req-1", "guest", 100));
   run(Duration{60'000});
   EXPECT_FALSE(cloud_.provisioning_requests.empty());
 }
 
-// A job that failed again and again, and worked nowhere, was submitted with a mistake.
-TEST(FailingJob, IsToldFromOneThatFailedOnASickMachine) {
-  Records records;
-  add(records, gang("req-1", 1, 1, 100), 0);
-  SliceRecord slice;
-  slice.job_id = JobId("req-1");
-  slice.tasks.resize(1);
-  slice.tasks[0].attempt = Attempt(4);
-  const auto current = [&](const JobId&, std::uint32_t) { return &slice; };
-  const auto failing = [&] {
-    return build_queue(records, two_teams(), current, at(900), false).at(0).failing;
-  };
-  slice.tasks[0].faults = 2;
-  EXPECT_FALSE(failing());
-  slice.tasks[0].faults = 3;
-  EXPECT_TRUE(failing());
-  slice.tasks[0].progress = from_seconds(10);  // it has worked
-  EXPECT_FALSE(failing());
-}
-
 }  // namespace
 }  // namespace marblevale
