--- a/src/records/compact_encoding.cpp
+++ b/src/records/compact_encoding.cpp
@@ -39,7 +39,7 @@
 }
 
 std::string ByteWriter::base64() const {
-  // NOLINTNEXTLINE: the library takes unsigned bytes
+  // The library takes unsigned bytes.
   const auto* bytes = reinterpret_cast<const unsigned char*>(bytes_.data());
   return cereal::base64::encode(bytes, bytes_.size());
 }
--- a/src/scheduling/scale_out.hpp
+++ b/src/scheduling/scale_out.hpp
@@ -16,6 +16,8 @@
   std::string machine_type;
   ZoneId zone;
   bool spot = false;
+  // Version 14 of the linter takes the comparison of the `bool` member for a conversion.
+  // NOLINTNEXTLINE(readability-implicit-bool-conversion)
   auto operator<=>(const MachineOffering&) const = default;
 };
 
