--- a/tests/compact_encoding_test.cpp
+++ b/tests/compact_encoding_test.cpp
@@ -94,7 +94,7 @@
 
 TEST(CompactSlice, CorruptBytesAreRejected) {
   const std::string text = encode(largest_slice(), kLowered);
-  const auto begin = text.find("\"tasks\":\"") + 9;
+  const auto begin = text.find(R"("tasks":")") + 9;
   for (std::size_t i = begin; i < begin + 200; ++i) {
     std::string twisted = text;
     twisted[i] = twisted[i] == 'f' ? 'A' : 'f';
--- a/tests/support/shard_holder_fixture.hpp
+++ b/tests/support/shard_holder_fixture.hpp
@@ -98,7 +98,7 @@
 
   /// Another controller cancels req-1.
   void cancel() {
-    ASSERT_TRUE(store_.get(keys::job(JobId("req-1"))));
+    ASSERT_TRUE(stored_record<JobRecord>(store_, keys::job(JobId("req-1"))));
     cancel_job(store_, "req-1", time_.wall());
   }
 
