--- a/tests/job_api_submit_test.cpp
+++ b/tests/job_api_submit_test.cpp
@@ -100,7 +100,7 @@
         job_body_with("\"parts\":2", "\"parts\":100001"),
         job_body_with("\"parts\":2", "\"parts\":2.5"), job_body_with("\"cpus\":8.0", "\"cpus\":-1"),
         job_body_with("\"cpus\":8.0", "\"cpus\":1e300"),
-        job_body_with("\"cpus\":8.0", "\"cpus\":\"8\""),
+        job_body_with("\"cpus\":8.0", R"("cpus":"8")"),
         job_body_with("\"cpus\":8.0", "\"cpus\":1e999"), job_body_with("ensemble", "herd"),
         job_body_with("\"urgent\"", "\"yesterday\""), job_body_with("\"expect_s\":240.0,", ""),
         job_body_with("\"together\":true", "\"together\":1"), job_body_with("[\"g8\"]", "[8]"),
--- a/tests/service_job_plan_test.cpp
+++ b/tests/service_job_plan_test.cpp
@@ -33,7 +33,7 @@
     if (moved != nullptr) *moved = all;
     planner.admit_arrivals();
     std::size_t cursor = 0;
-    const auto starts = planner.compress(cursor);
+    auto starts = planner.compress(cursor);
     profile_ = planner.take_profile();
     if (!starts.empty()) {
       // As the next round sees it: running, without an end.
