--- a/src/shards/heartbeat_handler.cpp
+++ b/src/shards/heartbeat_handler.cpp
@@ -88,9 +88,9 @@
   // compared.
   if (heartbeat.token >= shards_.first_token_of(heartbeat.zone)) {
     const SteadyTime now = context_.clock.steady();
-    worker.reachability.heartbeat_answered(now, context_.settings.workers.lease);
+    worker.reachability.on_heartbeat_answered(now, context_.settings.workers.lease);
     worker.last_heartbeat_at = now;
-    worker.reachability.heartbeat_received(token);
+    worker.reachability.on_heartbeat_received(token);
     machines_.record_heartbeat(heartbeat, worker);
   } else if (!worker.reachability.reachable_under(token)) {
     work_.schedule_orders(heartbeat.machine_id);  // a probe tests whether commands arrive
--- a/src/shards/machine_recorder.cpp
+++ b/src/shards/machine_recorder.cpp
@@ -59,18 +59,18 @@
 
 void MachineRecorder::add_machine(const WorkerHeartbeat& heartbeat, const KnownWorker& worker) {
   if (writer_.waits(heartbeat.machine_id)) return;
-  MachineRecord added;
-  added.machine_id = heartbeat.machine_id;
-  added.address = heartbeat.address;
-  added.machine_type = heartbeat.machine_type;
-  added.zone = heartbeat.zone;
-  added.spot = heartbeat.spot;
-  added.since = context_.clock.wall();
-  added.reclaim_at = worker.reclaim_at;
-  if (worker.reclaim_at) added.state = MachineState::draining;
-  writer_.edit(heartbeat.machine_id, heartbeat.zone, [added](MachineRecord& record) {
+  MachineRecord new_machine;
+  new_machine.machine_id = heartbeat.machine_id;
+  new_machine.address = heartbeat.address;
+  new_machine.machine_type = heartbeat.machine_type;
+  new_machine.zone = heartbeat.zone;
+  new_machine.spot = heartbeat.spot;
+  new_machine.since = context_.clock.wall();
+  new_machine.reclaim_at = worker.reclaim_at;
+  if (worker.reclaim_at) new_machine.state = MachineState::draining;
+  writer_.edit(heartbeat.machine_id, heartbeat.zone, [new_machine](MachineRecord& record) {
     if (record.machine_id != MachineId{}) return EditAction::none;  // added meanwhile
-    record = added;
+    record = new_machine;
     return EditAction::put;
   });
   schedule_flush();
--- a/src/shards/order_delivery.cpp
+++ b/src/shards/order_delivery.cpp
@@ -12,12 +12,12 @@
 constexpr int kStatusOk = 200;
 constexpr int kStatusConflict = 409;  // another epoch, or a fencing token that is too low
 
-/// Whether a kill of this attempt is due; records it as sent when it is. `paced`: not before the
-/// retry interval has passed.
+/// Whether a kill of this attempt is due; records it as sent when it is. `respect_retry_interval`:
+/// not before the retry interval has passed.
 bool record_kill_if_due(KnownWorker& worker, const TaskAttempt& attempt, SteadyTime now,
-                        bool paced) {
+                        bool respect_retry_interval) {
   SteadyTime& last = worker.last_kill_sent[attempt];
-  if (paced && now - last < kKillRetryInterval) return false;
+  if (respect_retry_interval && now - last < kKillRetryInterval) return false;
   last = now;
   return true;
 }
@@ -46,7 +46,7 @@
     if (order.type != OrderType::start) continue;
     const TaskAttempt start{order.id, order.attempt};
     worker.status.reply_starts[start] = heartbeat.sequence;
-    worker.reachability.start_sent(start, now, OrderChannel::heartbeat_reply);
+    worker.reachability.on_start_sent(start, now, OrderChannel::heartbeat_reply);
   }
   return orders;
 }
@@ -156,13 +156,14 @@
 
 bool OrderDelivery::send_due_orders(const MachineId& machine_id) {
   KnownWorker* worker = workers_.find(machine_id);
-  if (worker == nullptr || !shards_.holds(worker->zone) || worker->command_in_flight) return false;
+  if (worker == nullptr || !shards_.holds(worker->zone) || worker->order_request_in_flight)
+    return false;
   const std::vector<Order> orders = due_orders(machine_id, *worker, OrderChannel::direct);
   const SteadyTime now = context_.clock.steady();
   // Kills are sent however stale the records are; probes and starts are not.
   const bool probe = worker->reachability.probe_due(now) && deadlines_.may_answer_heartbeats(now);
   if (orders.empty() && !probe) return false;
-  worker->reachability.probe_sent(now);
+  worker->reachability.on_probe_sent(now);
   send(machine_id, *worker, orders);
   return true;
 }
@@ -174,9 +175,9 @@
     if (order.type != OrderType::start) continue;
     const TaskAttempt start{order.id, order.attempt};
     worker.status.direct_starts[start] = token;
-    worker.reachability.start_sent(start, context_.clock.steady(), OrderChannel::direct);
+    worker.reachability.on_start_sent(start, context_.clock.steady(), OrderChannel::direct);
   }
-  worker.command_in_flight = true;
+  worker.order_request_in_flight = true;
   sender_.send(worker.status.address, write_order_request(token, worker.status.epoch, orders),
                [this, machine_id, token](const HttpReply& reply) {
                  handle_reply(machine_id, token, reply);
@@ -187,8 +188,8 @@
                                  const HttpReply& reply) {
   KnownWorker* worker = workers_.find(machine_id);
   if (worker == nullptr) return;
-  worker->command_in_flight = false;
-  if (reply.status == kStatusOk) worker->reachability.command_answered(token);
+  worker->order_request_in_flight = false;
+  if (reply.status == kStatusOk) worker->reachability.on_command_answered(token);
   if (reply.status == kStatusOk || reply.status == kStatusConflict) {
     apply_reply(machine_id, *worker, reply);
   }
--- a/src/shards/order_sender.cpp
+++ b/src/shards/order_sender.cpp
@@ -15,18 +15,18 @@
 constexpr Duration kOrderTimeout{1500};
 }  // namespace
 
-void HttpOrderSender::send(const std::string& address, std::string body, HttpHandler then) {
+void HttpOrderSender::send(const std::string& address, std::string body, HttpHandler on_reply) {
   auto it = clients_.find(address);
   if (it == clients_.end()) {
     if (clients_.size() >= max_connections_ && !close_idle_connections()) {
-      then(HttpReply::never_sent());
+      on_reply(HttpReply::never_sent());
       return;
     }
     Address worker_address;
     try {
       worker_address = parse_address(address, "address");
     } catch (const SettingsError&) {
-      then(HttpReply::never_sent());
+      on_reply(HttpReply::never_sent());
       return;
     }
     auto http = std::make_unique<HttpClient>(loop_, worker_address, 1, kMaxQueuedOrdersPerWorker);
@@ -35,7 +35,7 @@
   it->second.last_used = ++request_count_;
   it->second.http->send(
       {EVHTTP_REQ_POST, "/orders", std::move(body), "application/json", kOrderTimeout},
-      std::move(then));
+      std::move(on_reply));
 }
 
 std::size_t max_order_connections(const Settings& settings) {
--- a/src/shards/order_sender.hpp
+++ b/src/shards/order_sender.hpp
@@ -15,7 +15,7 @@
  public:
   virtual ~OrderSender() = default;
   /// POST /orders of the worker at the address. After `no_answer` the orders may still be executed.
-  virtual void send(const std::string& address, std::string body, HttpHandler then) = 0;
+  virtual void send(const std::string& address, std::string body, HttpHandler on_reply) = 0;
 };
 
 /// Sends orders by HTTP, and keeps the connections of the workers that were used last.
@@ -23,7 +23,7 @@
  public:
   HttpOrderSender(Loop& loop, std::size_t max_connections)
       : loop_(loop), max_connections_(max_connections) {}
-  void send(const std::string& address, std::string body, HttpHandler then) override;
+  void send(const std::string& address, std::string body, HttpHandler on_reply) override;
   [[nodiscard]] std::size_t connection_count() const { return clients_.size(); }
 
  private:
--- a/src/shards/reachability.cpp
+++ b/src/shards/reachability.cpp
@@ -46,13 +46,13 @@
   state_ = next;
 }
 
-void WorkerReachability::heartbeat_received(FencingToken token) {
+void WorkerReachability::on_heartbeat_received(FencingToken token) {
   if (state_ != State::commands_unreachable) {
     transition(State::reachable, token, Evidence::heartbeat_with_held_token);
   }
 }
 
-void WorkerReachability::command_answered(FencingToken token) {
+void WorkerReachability::on_command_answered(FencingToken token) {
   transition(State::reachable, token, Evidence::command_answered);
 }
 
@@ -60,14 +60,14 @@
   transition(State::commands_unreachable, FencingToken{}, evidence);
 }
 
-void WorkerReachability::start_sent(const TaskAttempt& start, SteadyTime now,
-                                    OrderChannel channel) {
+void WorkerReachability::on_start_sent(const TaskAttempt& start, SteadyTime now,
+                                       OrderChannel channel) {
   UnobservedStart& unobserved =
       unobserved_starts_.try_emplace(start, UnobservedStart{now}).first->second;
   if (channel == OrderChannel::heartbeat_reply) ++unobserved.heartbeat_replies;
 }
 
-void WorkerReachability::heartbeat_answered(SteadyTime now, Duration lease) {
+void WorkerReachability::on_heartbeat_answered(SteadyTime now, Duration lease) {
   if (now - last_answered_at_ >= scaled(lease, kAnsweredLeaseShare)) {
     answered_without_gap_since_ = now;
   }
--- a/src/shards/reachability.hpp
+++ b/src/shards/reachability.hpp
@@ -33,12 +33,12 @@
 
   /// A heartbeat bore a token of this holder, so the worker has received something from it. That
   /// does not refute `commands_unreachable`.
-  void heartbeat_received(FencingToken token);
+  void on_heartbeat_received(FencingToken token);
   /// A direct order was answered: the worker is reachable, whatever the state was before.
-  void command_answered(FencingToken token);
+  void on_command_answered(FencingToken token);
   /// A heartbeat that was sent under this ownership of the shard is answered at `now`.
-  void heartbeat_answered(SteadyTime now, Duration lease);
-  void start_sent(const TaskAttempt& start, SteadyTime now, OrderChannel channel);
+  void on_heartbeat_answered(SteadyTime now, Duration lease);
+  void on_start_sent(const TaskAttempt& start, SteadyTime now, OrderChannel channel);
   /// The worker began a new epoch, which voids what was sent to the previous one. True when the
   /// previous lease expired though its heartbeats were answered: then no answers arrive there.
   bool on_epoch_changed(SteadyTime now, Duration lease);
@@ -62,7 +62,7 @@
 
   /// Whether a probe is due, which asks for a heartbeat.
   [[nodiscard]] bool probe_due(SteadyTime now) const;
-  void probe_sent(SteadyTime now) { last_probe_ = last_periodic_probe_ = now; }
+  void on_probe_sent(SteadyTime now) { last_probe_ = last_periodic_probe_ = now; }
   /// Whether to probe at intervals for its epoch and tasks, since its own heartbeats do not arrive.
   void set_periodic_probes(bool enabled) { periodic_probes_ = enabled; }
   /// Makes a needed probe due without waiting for the interval.
--- a/src/shards/release_offer_handler.cpp
+++ b/src/shards/release_offer_handler.cpp
@@ -18,14 +18,14 @@
   if (ProcessIncarnation(offer.holder_incarnation) != shards_.incarnation()) {
     return OfferAnswer::accepted;
   }
-  if (const auto first_answer = answered_.find(offer.term, offer.sequence)) {
+  if (const auto first_answer = answered_offers_.find(offer.term, offer.sequence)) {
     // If a copy were declined while the first delivery is being bound, the leader would allocate
     // the capacity to another job.
     context_.metrics.count("copies of offers");
     return *first_answer;
   }
   const OfferAnswer answer = answer_new(offer);
-  answered_.remember(offer.term, offer.sequence, answer);
+  answered_offers_.remember(offer.term, offer.sequence, answer);
   return answer;
 }
 
@@ -40,7 +40,7 @@
   return OfferAnswer::accepted;
 }
 
-void ReleaseOfferHandler::retry() {
+void ReleaseOfferHandler::retry_pending() {
   const std::vector<PendingOffer> batch = std::exchange(pending_, {});
   const SteadyTime now = context_.clock.steady();
   for (const PendingOffer& pending : batch) {
@@ -56,13 +56,13 @@
 bool ReleaseOfferHandler::matches_records(const ReleaseOffer& offer, const SliceKey& key) const {
   const Records& records = context_.cache.records();
   const auto* stored = records.slice(key.job_id, key.number);
-  const ModRevision known = stored == nullptr ? ModRevision{} : stored->mod_revision;
+  const ModRevision cached_revision = stored == nullptr ? ModRevision{} : stored->mod_revision;
   const auto job = records.jobs.find(key.job_id);
   return records.leader && records.leader->mod_revision.get() == offer.term &&
          job != records.jobs.end() && job->second.mod_revision.get() == offer.job_revision &&
-         !context_.cancellations.cancelled_at(key.job_id) && known.get() == offer.slice_revision &&
-         !commits_.in_flight(key) && !offer.tasks.empty() &&
-         key.number < slice_count(job->second.record.spec);
+         !context_.cancellations.cancelled_at(key.job_id) &&
+         cached_revision.get() == offer.slice_revision && !commits_.in_flight(key) &&
+         !offer.tasks.empty() && key.number < slice_count(job->second.record.spec);
 }
 
 SliceRecord ReleaseOfferHandler::current_slice(const SliceKey& key, const JobSpec& job) const {
--- a/src/shards/release_offer_handler.hpp
+++ b/src/shards/release_offer_handler.hpp
@@ -26,8 +26,8 @@
   /// no binding shows.
   OfferAnswer answer(const ReleaseOffer& offer);
   /// Retries the offers that wait for the cache or the state service.
-  void retry();
-  void clear() { pending_.clear(); }
+  void retry_pending();
+  void clear_pending() { pending_.clear(); }
 
  private:
   /// An offer that waits for the cache to catch up, or for the state service's rate limit.
@@ -55,7 +55,7 @@
   const TaskBinder& binder_;
   SliceCommits& commits_;
   std::vector<PendingOffer> pending_;
-  AnsweredOffers answered_;
+  AnsweredOffers answered_offers_;
 };
 
 }  // namespace marblevale
--- a/src/shards/shard_holder.cpp
+++ b/src/shards/shard_holder.cpp
@@ -107,10 +107,10 @@
   if (!shards_.holds_any()) {
     // Nothing to reconcile; the acquisition of a shard marks all its slices.
     work_.clear();
-    offers_.clear();
+    offers_.clear_pending();
     return;
   }
-  offers_.retry();
+  offers_.retry_pending();
   reconcile_dirty_slices();
 }
 
--- a/src/shards/slice_reconciler.cpp
+++ b/src/shards/slice_reconciler.cpp
@@ -108,12 +108,13 @@
   // left their machines. In an attempt that was started again after its end, each task reports the
   // stored result as soon as its machine has the image, while others may still fetch theirs: those
   // keep their machines until there is evidence of termination.
-  const bool ran = std::any_of(before.tasks.begin(), before.tasks.end(),
-                               [](const TaskRecord& task) { return task.running != WallTime{}; });
+  const bool attempt_has_run =
+      std::any_of(before.tasks.begin(), before.tasks.end(),
+                  [](const TaskRecord& task) { return task.running != WallTime{}; });
   change.max_delay = Duration{0};
   for (TaskRecord& task : tasks) {
     if (is_done(task)) continue;
-    if (task.state == TaskState::bound && !ran) {
+    if (task.state == TaskState::bound && !attempt_has_run) {
       change.max_delay = kMachineBatchDelay;  // the others' heartbeats are probably in flight
       continue;
     }
--- a/src/shards/task_binder.cpp
+++ b/src/shards/task_binder.cpp
@@ -34,10 +34,10 @@
          worker->reachability.reachable();
 }
 
-Resources TaskBinder::free_capacity(const MachineId& machine_id, Resources whole,
+Resources TaskBinder::free_capacity(const MachineId& machine_id, Resources total,
                                     const UncommittedAllocations& uncommitted) const {
   const Records& records = context_.cache.records();
-  Resources free = whole;
+  Resources free = total;
   if (const auto placed = records.placed.find(machine_id); placed != records.placed.end()) {
     for (const auto& [id, attempt] : placed->second) {
       const TaskRecord* task = records.task(id);
--- a/src/shards/task_binder.hpp
+++ b/src/shards/task_binder.hpp
@@ -34,7 +34,7 @@
                               const UncommittedAllocations& uncommitted) const;
   [[nodiscard]] bool accepts_new_tasks(const MachineId& machine_id,
                                        const MachineRecord& machine) const;
-  [[nodiscard]] Resources free_capacity(const MachineId& machine_id, Resources whole,
+  [[nodiscard]] Resources free_capacity(const MachineId& machine_id, Resources total,
                                         const UncommittedAllocations& uncommitted) const;
 
   const ShardContext& context_;
--- a/src/shards/task_presence.cpp
+++ b/src/shards/task_presence.cpp
@@ -92,8 +92,8 @@
   } else if (cause == TaskEndCause::completed) {
     task.state = TaskState::done;
   } else {
-    const bool keeps_all = cause == TaskEndCause::preempted && checkpointed;
-    task.progress = progress_after_end(task, job, run_time, keeps_all);
+    const bool keeps_all_progress = cause == TaskEndCause::preempted && checkpointed;
+    task.progress = progress_after_end(task, job, run_time, keeps_all_progress);
     if (is_failure(cause)) count_fault(task);
   }
   task.zone = ZoneId{};
--- a/src/shards/worker_registry.cpp
+++ b/src/shards/worker_registry.cpp
@@ -46,7 +46,7 @@
     const bool gone = machine == machines.end()
                           ? now - entry.second.last_heartbeat_at > kUnregisteredWorkerRetention
                           : machine->second.record.state == MachineState::gone;
-    return gone && !entry.second.command_in_flight;
+    return gone && !entry.second.order_request_in_flight;
   });
 }
 
@@ -114,9 +114,9 @@
 
 void WorkerRegistry::discount_pause(SteadyTime now, Duration interval) {
   const Duration pause = now - last_sweep_ - interval;
-  const bool first = last_sweep_ < SteadyTime{};
+  const bool first_sweep = last_sweep_ < SteadyTime{};
   last_sweep_ = now;
-  if (first) return;
+  if (first_sweep) return;
   restart_silence_timers_of_reconnected_zones(now);
   // A paused process receives nothing, through no fault of the machines: the pause counts neither
   // as their silence nor as time in which a start should have shown.
--- a/src/shards/worker_registry.hpp
+++ b/src/shards/worker_registry.hpp
@@ -25,7 +25,7 @@
   /// Its last own heartbeat, or since when one was possible. The reply to an order does not count:
   /// a machine that reaches no controller may still receive orders, while its lease expires.
   SteadyTime last_heartbeat_at = kLongAgo;
-  bool command_in_flight = false;
+  bool order_request_in_flight = false;
   bool lease_renewal_refused = false;  // heartbeats are not answered, so that the lease expires
   std::map<TaskAttempt, SteadyTime> last_kill_sent;
   std::optional<WallTime> reclaim_at;
--- a/tests/answered_offers_test.cpp
+++ b/tests/answered_offers_test.cpp
@@ -9,35 +9,36 @@
 using Answer = OfferAnswer;
 
 TEST(AnsweredOffers, ADuplicateGetsTheFirstAnswer) {
-  AnsweredOffers answered;
-  EXPECT_EQ(answered.find(5, 2), std::nullopt);
-  answered.remember(5, 2, Answer::declined);
-  answered.remember(5, 4, Answer::accepted);
-  EXPECT_EQ(answered.find(5, 2), Answer::declined);
-  EXPECT_EQ(answered.find(5, 4), Answer::accepted);
-  EXPECT_EQ(answered.find(5, 1), std::nullopt) << "two connections need not keep the order";
+  AnsweredOffers answered_offers;
+  EXPECT_EQ(answered_offers.find(5, 2), std::nullopt);
+  answered_offers.remember(5, 2, Answer::declined);
+  answered_offers.remember(5, 4, Answer::accepted);
+  EXPECT_EQ(answered_offers.find(5, 2), Answer::declined);
+  EXPECT_EQ(answered_offers.find(5, 4), Answer::accepted);
+  EXPECT_EQ(answered_offers.find(5, 1), std::nullopt) << "two connections need not keep the order";
 }
 
 TEST(AnsweredOffers, ANewTermStartsWithoutAnswers) {
-  AnsweredOffers answered;
-  answered.remember(5, 9, Answer::declined);
-  EXPECT_EQ(answered.find(6, 9), std::nullopt);
-  answered.remember(6, 1, Answer::accepted);
-  EXPECT_EQ(answered.find(5, 10), Answer::accepted) << "it is not known, so it may have been";
-  answered.remember(5, 11, Answer::declined);
-  EXPECT_EQ(answered.find(6, 11), std::nullopt);
+  AnsweredOffers answered_offers;
+  answered_offers.remember(5, 9, Answer::declined);
+  EXPECT_EQ(answered_offers.find(6, 9), std::nullopt);
+  answered_offers.remember(6, 1, Answer::accepted);
+  EXPECT_EQ(answered_offers.find(5, 10), Answer::accepted)
+      << "it is not known, so it may have been";
+  answered_offers.remember(5, 11, Answer::declined);
+  EXPECT_EQ(answered_offers.find(6, 11), std::nullopt);
 }
 
-TEST(AnsweredOffers, AForgottenOfferMayHaveBeenTaken) {
-  AnsweredOffers answered;
-  const auto most = static_cast<std::uint64_t>(AnsweredOffers::kMaxRemembered);
-  for (std::uint64_t sequence = 1; sequence <= most + 10; ++sequence) {
-    answered.remember(5, sequence * 2, Answer::declined);
+TEST(AnsweredOffers, AForgottenOfferCountsAsAccepted) {
+  AnsweredOffers answered_offers;
+  const auto max_remembered = static_cast<std::uint64_t>(AnsweredOffers::kMaxRemembered);
+  for (std::uint64_t sequence = 1; sequence <= max_remembered + 10; ++sequence) {
+    answered_offers.remember(5, sequence * 2, Answer::declined);
   }
-  EXPECT_EQ(answered.find(5, 2), Answer::accepted) << "forgotten";
-  EXPECT_EQ(answered.find(5, 3), Answer::accepted) << "it may have been answered";
-  EXPECT_EQ(answered.find(5, most * 2), Answer::declined);
-  EXPECT_EQ(answered.find(5, most * 2 + 1), std::nullopt);
+  EXPECT_EQ(answered_offers.find(5, 2), Answer::accepted) << "forgotten";
+  EXPECT_EQ(answered_offers.find(5, 3), Answer::accepted) << "it may have been answered";
+  EXPECT_EQ(answered_offers.find(5, max_remembered * 2), Answer::declined);
+  EXPECT_EQ(answered_offers.find(5, max_remembered * 2 + 1), std::nullopt);
 }
 
 }  // namespace
--- a/tests/delayed_message_test.cpp
+++ b/tests/delayed_message_test.cpp
@@ -24,11 +24,11 @@
 TEST_F(DelayedMessageTest, DuplicatesFromBeforeTheShardMovedDoNotMakeAMachineUnreachable) {
   handle_heartbeat(1, token());
   run(Duration{600});
-  const auto old = token();
+  const auto old_token = token();
   give_shard("other", 9);
   give_shard("me", 7);
   for (int i = 0; i < 5; ++i) {
-    handle_heartbeat(1, old);  // held back, and a newer one each time
+    handle_heartbeat(1, old_token);  // held back, and a newer one each time
     run(Duration{3'000});
   }
   handle_heartbeat(2, token());
@@ -38,7 +38,7 @@
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
-TEST_F(DelayedMessageTest, AnOrdersAnswerResolvesNoStartInADelayedHeartbeatAnswer) {
+TEST_F(DelayedMessageTest, AnOrderReplyResolvesNoStartInADelayedHeartbeatReply) {
   bind_and_start();  // the order is on its way, so that the next start goes by an answer
   JobRecord job{testing::gang("req-2", 1, 1, 100), time_.wall(), std::nullopt};
   store_.put(keys::job(job.spec.job_id), encode(job));
@@ -87,15 +87,16 @@
 TEST_F(DelayedMessageTest, TheShardOfAnEarlierIncarnationIsReacquiredAndItsDelayedCommitsFail) {
   store_.scripts.assign(50, Script::refuse);
   give_shard("me", 6);
-  const auto earlier = token();
+  const auto earlier_token = token();
   EXPECT_NE(handle_heartbeat(1, 0).status, 200)
       << "the earlier incarnation may have commits in flight";
   store_.scripts.clear();
   run(Duration{1'000});
-  ASSERT_GT(token(), earlier);
-  EXPECT_EQ(handle_heartbeat(1, earlier).status, 200);
+  ASSERT_GT(token(), earlier_token);
+  EXPECT_EQ(handle_heartbeat(1, earlier_token).status, 200);
   Transaction binding;
-  binding.guard(keys::shard(ZoneId("a")), ModRevision(earlier)).put("mv/slices/req-1/0", "{}");
+  binding.guard(keys::shard(ZoneId("a")), ModRevision(earlier_token))
+      .put("mv/slices/req-1/0", "{}");
   Outcome outcome = Outcome::done;
   store_.commit(RequestPriority::binding, binding,
                 [&](const CommitResult& r) { outcome = r.outcome; });
@@ -106,11 +107,11 @@
   bind_and_start();
   handle_heartbeat(1, token(), task_status("running"));
   run(Duration{100});
-  const auto old = token();
+  const auto old_token = token();
   give_shard("other", 9);
   give_shard("me", 7);  // it knows nothing of the worker any more
-  ASSERT_GT(token(), old);
-  handle_heartbeat(1, old);  // a copy from before the task had started
+  ASSERT_GT(token(), old_token);
+  handle_heartbeat(1, old_token);  // a copy from before the task had started
   run(Duration{200});
   EXPECT_EQ(task().state, TaskState::bound);
   handle_heartbeat(1, token(), task_status("running"));
@@ -121,25 +122,25 @@
 TEST_F(DelayedMessageTest, ADuplicateDoesNotReviveASilentMachine) {
   handle_heartbeat(1, token());
   run(Duration{100});
-  const auto last = sequence_;
-  const auto others_heartbeat = [this](Duration duration) {
+  const auto vm1_sequence = sequence_;
+  const auto heartbeat_vm2_for = [this](Duration duration) {
     for (std::int64_t at = 0; at < duration.count(); at += 3000) {
       handle_heartbeat(1, token(), "", "vm-2");
       run(Duration{3000});
     }
   };
-  others_heartbeat(Duration{12'000});
+  heartbeat_vm2_for(Duration{12'000});
   ASSERT_EQ(machine_state(), MachineState::silent);
-  const auto now = sequence_;
-  sequence_ = last - 1;
+  const auto current_sequence = sequence_;
+  sequence_ = vm1_sequence - 1;
   handle_heartbeat(1, token());  // the same heartbeat once more
-  sequence_ = now;
+  sequence_ = current_sequence;
   run(Duration{100});
   EXPECT_EQ(machine_state(), MachineState::silent) << "known to this holder";
-  const auto old = token();
+  const auto old_token = token();
   give_shard("other", 9);
   give_shard("me", 7);
-  handle_heartbeat(1, old);
+  handle_heartbeat(1, old_token);
   run(Duration{100});
   EXPECT_EQ(machine_state(), MachineState::silent) << "sent under an earlier fencing token";
   handle_heartbeat(1, token());
--- a/tests/gang_completion_test.cpp
+++ b/tests/gang_completion_test.cpp
@@ -32,7 +32,7 @@
   }
 };
 
-TEST_F(GangCompletionTest, ARepeatedEndDoesNotFreeTheTasksThatStillFetch) {
+TEST_F(GangCompletionTest, ARepeatedEndDoesNotFreeTasksThatStillFetchTheirImage) {
   put_bound_gang(WallTime{});  // started again after its end, which no controller observed
   handle_heartbeat(1, token(), second_attempt("req-1/0", "ended", "done"), "vm-1");
   handle_heartbeat(1, token(), second_attempt("req-1/1", "fetching"), "vm-2");
--- a/tests/misrouted_heartbeats_test.cpp
+++ b/tests/misrouted_heartbeats_test.cpp
@@ -7,7 +7,7 @@
 
 class MisroutedHeartbeatsTest : public testing::ShardHolderTest {};
 
-TEST_F(MisroutedHeartbeatsTest, WorkersThatKeepComingBackReportTheirZone) {
+TEST_F(MisroutedHeartbeatsTest, WorkersThatKeepReturningMarkTheirZoneAsMisrouted) {
   give_shard("other", 9);
   for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
   EXPECT_TRUE(holder_.misrouted_zones().empty());
@@ -19,7 +19,7 @@
 
 // Found by inc-0452: a holder that alone had lost its workers kept its shard for 17 s of a lease of
 // 24 s, since only the third visit of its workers was taken for a complaint.
-TEST_F(MisroutedHeartbeatsTest, WorkersOfAnUnreachableHolderReportTheirZoneBySecondVisit) {
+TEST_F(MisroutedHeartbeatsTest, TheSecondHeartbeatOfUnansweredWorkersMarksTheirZoneAsMisrouted) {
   give_shard("other", 9);
   for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
   run(Duration{5'000});  // sent on to their holder: 4 s without an answer, then 1 s more
@@ -27,13 +27,13 @@
   EXPECT_EQ(holder_.misrouted_zones(), std::vector<ZoneId>{ZoneId("a")});
 }
 
-TEST_F(MisroutedHeartbeatsTest, WorkersOfAnEndedHolderDoNotReportTheirZoneBeforeItIsReplaced) {
+TEST_F(MisroutedHeartbeatsTest, WorkersOfAnEndedHolderDoNotMarkTheirZoneAsMisrouted) {
   give_shard("other", 9);
   // Its connections are refused: they turn to the next controller a second later. Its epoch ends
   // after 4 s at the latest.
-  for (int visit = 0; visit < 5; ++visit) {
+  for (int attempt = 0; attempt < 5; ++attempt) {
     for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
-    EXPECT_TRUE(holder_.misrouted_zones().empty()) << visit;
+    EXPECT_TRUE(holder_.misrouted_zones().empty()) << attempt;
     run(Duration{1'100});
   }
 }
--- a/tests/shard_holder_offer_test.cpp
+++ b/tests/shard_holder_offer_test.cpp
@@ -9,7 +9,7 @@
 class ShardHolderOfferTest : public testing::ShardHolderTest {
  protected:
   /// A job of one task that nobody has released yet, and the leader's offer for it.
-  ReleaseOffer offered() {
+  ReleaseOffer make_offer() {
     put_leader("boss", 1);
     const JobSpec job = testing::gang("req-1", 1, 1, 100);
     put_job(store_, job, time_.wall());
@@ -20,18 +20,18 @@
     offer.job_id = "req-1";
     offer.cache_revision = cache_.revision().get();
     offer.tasks = {{0, 1, "a", "vm-1"}};
-    offer.sequence = ++last_serial_;
+    offer.sequence = ++last_sequence_;
     offer.holder_incarnation = 7;
     offer.job_revision = store_.get(keys::job(job.job_id))->mod_revision.get();
     return offer;
   }
 
  private:
-  std::uint64_t last_serial_ = 0;
+  std::uint64_t last_sequence_ = 0;
 };
 
 TEST_F(ShardHolderOfferTest, AnOfferIsBoundInOneCommitAndThenStarted) {
-  const auto offer = offered();
+  const auto offer = make_offer();
   const auto before = store_.commits.size();
   EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
   EXPECT_EQ(store_.commits.size(), before + 1);
@@ -47,8 +47,8 @@
   EXPECT_EQ(store_.commits.size(), commits);
 }
 
-TEST_F(ShardHolderOfferTest, WaitsUntilItsCacheHasTheLeadersRevision) {
-  auto offer = offered();
+TEST_F(ShardHolderOfferTest, AnOfferWaitsUntilTheCacheHasTheLeadersRevision) {
+  auto offer = make_offer();
   offer.cache_revision += 1;
   EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
   EXPECT_FALSE(store_.get(keys::slice(JobId("req-1"), 0)));
@@ -59,7 +59,7 @@
 }
 
 TEST_F(ShardHolderOfferTest, ABindingDelayedPastAFailoverFails) {
-  const auto offer = offered();
+  const auto offer = make_offer();
   store_.scripts = {Script::delay};
   holder_.answer_offer(offer);
   ASSERT_EQ(store_.delayed.size(), 1U);
@@ -70,23 +70,23 @@
       << "the offer is of an earlier term";
 }
 
-TEST_F(ShardHolderOfferTest, AnOfferThatCannotBeBoundWholeIsDeclined) {
-  auto offer = offered();
+TEST_F(ShardHolderOfferTest, AnOfferThatCannotBeBoundCompletelyIsDeclined) {
+  auto offer = make_offer();
   offer.tasks[0].machine_id = "vm-9";
   offer.tasks[0].zone = "b";
   EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::declined) << "another holder's shard";
-  offer = offered();
+  offer = make_offer();
   cancel();
   run(Duration{50});
   EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::declined);
-  offer = offered();
+  offer = make_offer();
   offer.holder_incarnation = 6;
   const auto commits = store_.commits.size();
   EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted)
       << "an earlier incarnation, for which it is, may have taken it";
   run(Duration{3'000});
   EXPECT_EQ(store_.commits.size(), commits) << "but it is not bound";
-  offer = offered();
+  offer = make_offer();
   --offer.job_revision;
   EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::declined) << "the job has changed";
   EXPECT_FALSE(decode_offer("nonsense"));
@@ -96,7 +96,7 @@
 // The first is being bound, and its commit is on its way: to decline the copy would have the leader
 // give the room to another job, and then both were bound.
 TEST_F(ShardHolderOfferTest, ADuplicateIsNotDeclinedWhileTheOfferIsBeingBound) {
-  const auto offer = offered();
+  const auto offer = make_offer();
   store_.scripts = {Script::delay};
   EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
   EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::accepted);
@@ -107,14 +107,14 @@
 // The leader gives the room of a declined offer to another job at once. A copy that comes when the
 // reason for declining is gone must not be bound, though leader, job and slice are as they were.
 TEST_F(ShardHolderOfferTest, ADuplicateOfADeclinedOfferIsNotBound) {
-  auto offer = offered();
+  auto offer = make_offer();
   offer.tasks[0].machine_id = "vm-2";
   // vm-1 has another's task, so it can't stand in for the machine that has not reported.
-  JobRecord busy;
-  busy.spec = testing::gang("req-9", 1, 1, 100);
-  store_.put(keys::job(busy.spec.job_id), encode(busy));
+  JobRecord other_job;
+  other_job.spec = testing::gang("req-9", 1, 1, 100);
+  store_.put(keys::job(other_job.spec.job_id), encode(other_job));
   SliceRecord slice;
-  slice.job_id = busy.spec.job_id;
+  slice.job_id = other_job.spec.job_id;
   slice.tasks = {task()};
   slice.tasks[0].state = TaskState::bound;
   slice.tasks[0].machine_id = MachineId("vm-1");
--- a/tests/shard_holder_test.cpp
+++ b/tests/shard_holder_test.cpp
@@ -81,14 +81,14 @@
   bind_and_start();
   workers_.sent.back().then(HttpReply::no_answer());
   cancel();
-  const auto old = token();
+  const auto old_token = token();
   run(Duration{50});
-  handle_heartbeat(1, old);
+  handle_heartbeat(1, old_token);
   run(Duration{50});
   EXPECT_EQ(task().state, TaskState::bound) << "the direct start may still arrive";
   run(Duration{9000});
-  ASSERT_GT(token(), old) << "the fencing token is renewed to exclude that";
-  handle_heartbeat(1, old);
+  ASSERT_GT(token(), old_token) << "the fencing token is renewed to exclude that";
+  handle_heartbeat(1, old_token);
   run(Duration{50});
   EXPECT_EQ(task().state, TaskState::bound);
   handle_heartbeat(1, token());
@@ -147,7 +147,7 @@
   EXPECT_EQ(task().state, TaskState::idle);
 }
 
-TEST_F(ShardHolderTest, WithoutTheStateServiceItStopsRenewingLeasesInTime) {
+TEST_F(ShardHolderTest, WithoutTheStateServiceTheHolderStopsRenewingLeasesInTime) {
   EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
   watch_answers_ = false;
   run(Duration{20'000});
@@ -272,7 +272,7 @@
   EXPECT_EQ(bound, kJobs);
 }
 
-TEST(BrokenGang, ItsRemainingTasksAreStopped) {
+TEST(BrokenGang, TheRemainingTasksAreStopped) {
   SliceRecord slice;
   slice.tasks.resize(3);
   slice.tasks[0].state = TaskState::bound;
--- a/tests/worker_partition_test.cpp
+++ b/tests/worker_partition_test.cpp
@@ -12,7 +12,7 @@
  protected:
   /// vm-1 sends heartbeats at the normal interval, and each of them is answered.
   void heartbeat_for(Duration duration, std::uint64_t epoch, const std::string& parts = "") {
-    for (Duration passed{}; passed < duration; passed += Duration{3000}) {
+    for (Duration elapsed{}; elapsed < duration; elapsed += Duration{3000}) {
       handle_heartbeat(epoch, token(), parts);
       run(Duration{3000});
     }
@@ -87,7 +87,7 @@
   EXPECT_LE(puts, 240 / kPageMachines + 1) << "each put counts against the rate of writes";
 }
 
-TEST_F(WorkerPartitionTest, AMachineThatResumesIsNotTakenForUnreachable) {
+TEST_F(WorkerPartitionTest, AMachineThatResumesIsNotMarkedUnreachable) {
   handle_heartbeat(1, token());
   release();
   run(Duration{50});
@@ -190,17 +190,17 @@
 TEST_F(WorkerPartitionTest, AnIsolatedControllerYieldsToTheHolderThatAWorkerHasSeen) {
   handle_heartbeat(1, token());
   watch_answers_ = false;  // neither the state service nor a peer reaches it
-  const auto ours = token();
+  const auto own_token = token();
   put_shard("a", "other", 9, 2);
   run(Duration{1000});
-  EXPECT_EQ(handle_heartbeat(1, ours).status, 200)
+  EXPECT_EQ(handle_heartbeat(1, own_token).status, 200)
       << "it may still be the holder, for all it knows";
   // The new holder has introduced itself by a direct order: a 200 would be dropped, and the worker
   // would stay here until its lease is over.
   EXPECT_EQ(handle_heartbeat(1, token()).status, 421);
 }
 
-TEST_F(WorkerPartitionTest, AnswersToOrdersDoNotReviveAMachineWithoutHeartbeats) {
+TEST_F(WorkerPartitionTest, OrderRepliesDoNotReviveAMachineWithoutHeartbeats) {
   bind_and_start();
   handle_heartbeat(1, token(), "", "vm-2");
   heartbeats_lost_for(Duration{12'000}, 1, task_status("running"));
@@ -227,7 +227,7 @@
   EXPECT_EQ(task().state, TaskState::bound);
 }
 
-TEST_F(WorkerPartitionTest, ANewEpochInAnOrdersAnswerFreesTheMachinesTasks) {
+TEST_F(WorkerPartitionTest, ANewEpochInAnOrderReplyFreesTheMachinesTasks) {
   bind_and_start();
   handle_heartbeat(1, token(), "", "vm-2");
   heartbeats_lost_for(Duration{24'000}, 1, task_status("running"));
@@ -281,23 +281,24 @@
   bind_and_start();
   handle_heartbeat(1, token(), task_status("running"));
   run(Duration{100});
-  const auto old = token();
+  const auto old_token = token();
   give_shard("other", 9);
   give_shard("me", 7);
-  const auto heartbeats = [&](Duration duration) {
+  const auto heartbeat_for_both = [&](Duration duration) {
     for (std::int64_t at = 0; at < duration.count(); at += 3000) {
-      handle_heartbeat(1,
-                       old);  // the task has ended and its end is lost, or this is an old heartbeat
+      handle_heartbeat(
+          1,
+          old_token);  // the task has ended and its end is lost, or this is an old heartbeat
       handle_heartbeat(1, token(), "", "vm-2");
       run(Duration{3000});
     }
   };
-  heartbeats(Duration{12'000});
+  heartbeat_for_both(Duration{12'000});
   EXPECT_EQ(machine_state(), MachineState::silent) << "its answers vanish, its lease will lapse";
   cancel();
-  heartbeats(Duration{6'000});
+  heartbeat_for_both(Duration{6'000});
   EXPECT_EQ(task().state, TaskState::bound) << "what the last holder sent may still arrive";
-  handle_heartbeat(2, old);
+  handle_heartbeat(2, old_token);
   run(Duration{100});
   EXPECT_EQ(task().state, TaskState::idle)
       << "a new epoch is evidence, whatever orders it has received";
