--- a/src/shards/cancellation_deadlines.cpp
+++ b/src/shards/cancellation_deadlines.cpp
@@ -7,11 +7,11 @@
 namespace marblevale {
 
 namespace {
-/// For the drift of steady clocks (0.05% of `cancel_s`), the differences of wall clocks, and the
-/// worker's time to end a task.
+/// Covers the drift of steady clocks (0.05% of `cancel_s`), the differences between wall clocks,
+/// and the time that a worker needs to end a task.
 constexpr Duration kCancelMargin{4'000};
-/// Share of `cancel_s` after which a machine is deleted though the deletion cannot be recorded:
-/// later than a recorded deletion.
+/// Share of `cancel_s` after which a machine is deleted even if the deletion cannot be recorded.
+/// Deletions that can be recorded happen earlier.
 constexpr double kUnrecordedDeletionShare = 0.5;
 constexpr Duration kMaxFreshnessAgeForStart{2'500};
 }  // namespace
@@ -22,8 +22,9 @@
 }
 
 Duration CancellationDeadlines::max_freshness_age_for_answer() const {
-  // The worker's lease runs from the sending of the last heartbeat that was answered: a lease that
-  // is renewed within this limit expires a margin before the deadline.
+  // The worker's lease starts when the worker sends the heartbeat that is then answered. A lease
+  // that is renewed within this limit therefore expires before the deadline, with the safety margin
+  // to spare.
   return std::max(cancel_time_beyond_lease(), kMaxFreshnessAgeForStart);
 }
 
@@ -37,7 +38,8 @@
 }
 
 void CancellationDeadlines::extend_freshness(SteadyTime until) {
-  // With less time than that the peers' attestation cannot help, and the records alone count.
+  // When less than one heartbeat interval remains, the attestation of the peers cannot help, and
+  // only the records count.
   if (cancel_time_beyond_lease() < context_.settings.workers.heartbeat) return;
   attested_fresh_until_ = std::max(attested_fresh_until_, until);
 }
--- a/src/shards/heartbeat_handler.cpp
+++ b/src/shards/heartbeat_handler.cpp
@@ -40,20 +40,21 @@
   const auto heartbeat = parse_worker_heartbeat(body);
   if (!heartbeat) return {kStatusBadRequest, R"({"error":"malformed report"})"};
   const SteadyTime now = context_.clock.steady();
-  // Without the state service a cancellation may have been confirmed that is not known here; an
-  // answer would renew the worker's lease, and keep the cancelled task running for too long.
+  // While the state service is unreachable, a cancellation may have been confirmed without this
+  // controller's knowledge. An answer would renew the worker's lease and keep the cancelled task
+  // running for too long.
   const bool may_answer = context_.cache.ready() && deadlines_.may_answer_heartbeats(now);
   if (!may_answer || !shards_.holds(heartbeat->zone)) return redirect(*heartbeat);
   shards_.refresh();
   const FencingToken token = shards_.token_of(heartbeat->zone);
-  // The worker has seen a higher token: another controller holds the shard by now.
+  // The worker has seen a higher token, so another controller holds the shard by now.
   if (heartbeat->token > token) return {kStatusMisdirected, "{}"};
 
   KnownWorker& worker = workers_.find_or_add(heartbeat->machine_id, now);
   worker.zone = heartbeat->zone;
   const bool newer = apply(worker, *heartbeat, WorkerStatus::Source::own_heartbeat);
   update_lease_renewal_refusal(heartbeat->machine_id, worker);
-  // Not redirected: another controller would answer, which renews the lease.
+  // The worker is not redirected, because another controller would answer and so renew the lease.
   if (worker.lease_renewal_refused)
     return {kStatusUnavailable, R"({"error":"its lease must lapse"})"};
   if (!newer) return {kStatusOk, write_heartbeat_answer(token, {})};
@@ -69,8 +70,8 @@
 
 void HeartbeatHandler::update_lease_renewal_refusal(const MachineId& machine_id,
                                                     KnownWorker& worker) {
-  // The cancellation's deadline is enforced without the state service and the cloud: the lease of
-  // the machine expires, whatever else runs there.
+  // An expired lease enforces the cancellation deadline without the state service and the cloud. It
+  // also ends all other tasks on the machine.
   const bool refused = deadlines_.must_let_lease_expire(machine_id, worker);
   if (refused && !worker.lease_renewal_refused) {
     spdlog::warn("shard_holder: lease_renewal_refused machine={} reason=cancelled_task_running",
@@ -82,10 +83,10 @@
 
 void HeartbeatHandler::update_reachability(const WorkerHeartbeat& heartbeat, KnownWorker& worker,
                                            FencingToken token) {
-  // A copy of an old heartbeat may arrive arbitrarily late, and a new holder has no earlier
-  // heartbeat to compare it with: only a heartbeat with a fencing token of this ownership was
-  // certainly sent within it. Token renewals do not matter, so the first token of the ownership is
-  // compared.
+  // A duplicate of an old heartbeat may arrive arbitrarily late, and a new holder has no earlier
+  // heartbeat to compare it with. Only a heartbeat with a fencing token of this ownership was
+  // certainly sent during the ownership. Renewed tokens belong to the same ownership, so the
+  // heartbeat's token is compared with the first token of the ownership.
   if (heartbeat.token >= shards_.first_token_of(heartbeat.zone)) {
     const SteadyTime now = context_.clock.steady();
     worker.reachability.on_heartbeat_answered(now, context_.settings.workers.lease);
--- a/src/shards/heartbeat_handler.hpp
+++ b/src/shards/heartbeat_handler.hpp
@@ -1,7 +1,8 @@
-/// Workers' heartbeats: which of them are answered, what they change, and what the reply contains.
+/// Handles workers' heartbeats: decides which of them are answered, updates the known workers, and
+/// composes the replies.
 ///
-/// Every answered heartbeat renews the worker's lease, so refusing to answer is how a holder lets a
-/// lease expire.
+/// Every answered heartbeat renews the worker's lease, so a holder lets a lease expire by refusing
+/// to answer.
 #pragma once
 
 #include <string>
@@ -20,8 +21,9 @@
 
 inline constexpr int kStatusMisdirected = 421;
 
-/// The reply to a heartbeat: 200 with orders, or 421 with or without the name of the shard's
-/// holder.
+/// The reply to a heartbeat. 200: with orders. 421: this controller must not answer; with the name
+/// of the shard's holder if it is known. 503: the worker's lease must expire. 400: the heartbeat is
+/// malformed.
 struct HeartbeatReply {
   int status = kStatusMisdirected;
   std::string body;
@@ -34,21 +36,21 @@
                    const CancellationDeadlines& deadlines, MachineRecorder& machines,
                    OrderDelivery& orders, MisroutedHeartbeats& misrouted, PendingWork& work);
 
-  /// A heartbeat that a worker sent on its own.
+  /// Handles a worker's own heartbeat, which is not the reply to an order.
   HeartbeatReply handle(std::string_view body);
-  /// A heartbeat with which a worker replied to an order.
+  /// Handles a heartbeat that a worker sent in reply to an order.
   void handle_order_reply(KnownWorker& worker, const WorkerHeartbeat& heartbeat);
 
  private:
   HeartbeatReply redirect(const WorkerHeartbeat& heartbeat);
-  /// Updates the worker's status; false when the heartbeat is not newer.
+  /// Updates the worker's status. Returns false, without a change, when the heartbeat is not newer.
   bool apply(KnownWorker& worker, const WorkerHeartbeat& heartbeat, WorkerStatus::Source source);
-  /// Marks the slices whose tasks have started or ended; true when there are any.
+  /// Marks the slices with tasks that have started or ended. Returns true when a slice was marked.
   bool mark_reported_slices(const KnownWorker& worker, const MachineId& machine_id);
-  /// Marks the slices with bound tasks that are missing from the heartbeat; true when there are
-  /// any.
+  /// Marks the slices with tasks that are placed on the machine but missing from the heartbeat.
+  /// Returns true when a slice was marked.
   bool mark_unreported_slices(const KnownWorker& worker, const MachineId& machine_id);
-  /// Decides whether the worker's heartbeats are answered, which renews its lease.
+  /// Decides whether the worker's heartbeats are answered. An answer renews the worker's lease.
   void update_lease_renewal_refusal(const MachineId& machine_id, KnownWorker& worker);
   void update_reachability(const WorkerHeartbeat& heartbeat, KnownWorker& worker,
                            FencingToken token);
--- a/src/shards/machine_recorder.cpp
+++ b/src/shards/machine_recorder.cpp
@@ -69,7 +69,7 @@
   new_machine.reclaim_at = worker.reclaim_at;
   if (worker.reclaim_at) new_machine.state = MachineState::draining;
   writer_.edit(heartbeat.machine_id, heartbeat.zone, [new_machine](MachineRecord& record) {
-    if (record.machine_id != MachineId{}) return EditAction::none;  // added meanwhile
+    if (record.machine_id != MachineId{}) return EditAction::none;  // already added
     record = new_machine;
     return EditAction::put;
   });
@@ -93,7 +93,7 @@
         record.state >= MachineState::deleting) {
       return EditAction::none;
     }
-    // The edit may run some time after its decision: a heartbeat may have arrived since.
+    // The edit may run some time after it was decided, and a heartbeat may have arrived since then.
     if (state == MachineState::silent && !workers_.is_silent(machine_id)) return EditAction::none;
     record.state = state;
     record.since = now;
@@ -101,7 +101,8 @@
     if (reclaim_at) record.reclaim_at = reclaim_at;
     return EditAction::put;
   };
-  // Logged after the commit: a holder that cannot reach the state service retries at each sweep.
+  // The change is logged only after its commit, because a holder that cannot reach the state
+  // service retries the change at each sweep.
   auto log = [machine_id, state, reason] {
     spdlog::info("shard_holder: machine_state_changed machine={} state={} reason={}",
                  machine_id.get(), name_of(state), name_of(reason));
@@ -111,7 +112,7 @@
 }
 
 void MachineRecorder::mark_silent(SteadyTime now) {
-  // When no machine of a zone heartbeats, the fault may be this controller's.
+  // When no machine of a zone sends heartbeats, this controller itself may be at fault.
   const std::map<ZoneId, HeartbeatCounts> counts = workers_.count_heartbeating(now);
   for (const auto& [machine_id, machine] : context_.cache.records().machines) {
     const MachineRecord& record = machine.record;
--- a/src/shards/machine_recorder.hpp
+++ b/src/shards/machine_recorder.hpp
@@ -26,19 +26,20 @@
   MachineRecorder(Loop& loop, const ShardContext& context, const ShardOwnership& shards,
                   WorkerRegistry& workers);
 
-  /// Adds a machine at its first heartbeat, or corrects its state by a later one.
+  /// Adds a machine at its first heartbeat, or updates its state at a later heartbeat.
   void record_heartbeat(const WorkerHeartbeat& heartbeat, const KnownWorker& worker);
-  /// `reason` is logged once the change is committed. `failed_job`: the job whose failed task made
-  /// the machine suspect.
+  /// Changes the machine's state. `reason` is logged once the change is committed. `failed_job` is
+  /// the job whose failed task made the machine suspect.
   void set_state(const MachineId& machine_id, MachineState state, MachineStateReason reason,
                  JobId failed_job = {});
-  /// Marks the machines whose heartbeats are missing.
+  /// Marks the machines whose heartbeats are missing as silent, except in a zone without any
+  /// heartbeats.
   void mark_silent(SteadyTime now);
-  /// Writes the images that were seen in use, while there is write budget to spare.
+  /// Writes the cached images that were seen in use, while the write budget has ample slack.
   void write_images();
-  /// Drops the zone's pending changes: they were decided under an earlier ownership.
+  /// Drops the zone's pending changes, because they were decided under an earlier ownership.
   void forget_zone(const ZoneId& zone) { writer_.forget(zone); }
-  /// Commits the pending changes, unless a flush is scheduled anyway.
+  /// Commits the pending changes, unless a flush is already scheduled.
   void flush_if_idle();
 
  private:
--- a/src/shards/misrouted_heartbeats.cpp
+++ b/src/shards/misrouted_heartbeats.cpp
@@ -4,13 +4,14 @@
 
 namespace {
 constexpr Duration kObservationWindow{20'000};
-/// Time between a worker's heartbeats here. A worker that its holder does not answer returns after
-/// 5 s: it waits 4 s for the reply, and 1 s before it turns to the next controller. A holder that
-/// has ended is replaced earlier, since its lease expires after 4 s.
+/// Minimum time between a worker's first and last heartbeat to this controller. A worker whose
+/// holder does not answer returns after 5 s, because it waits 4 s for the reply and another 1 s
+/// before it tries the next controller. A holder that has ended is replaced earlier, because its
+/// lease expires after 4 s.
 constexpr Duration kMinReturnTime{4'800};
 constexpr Duration kMaxLastHeartbeatAge{5'000};
 constexpr std::size_t kMaxHeartbeatsPerMachine = 8;
-/// Of a zone: a single machine may itself be at fault.
+/// Minimum for each zone, because a single machine may itself be at fault.
 constexpr std::size_t kMinReturningMachines = 2;
 
 bool keeps_returning(const std::vector<SteadyTime>& times, SteadyTime now) {
--- a/src/shards/misrouted_heartbeats.hpp
+++ b/src/shards/misrouted_heartbeats.hpp
@@ -1,5 +1,5 @@
-/// Heartbeats from workers of shards that another controller holds. A worker that was redirected to
-/// the holder and keeps returning cannot reach it.
+/// Tracks heartbeats from workers of shards that another controller holds. A worker that was
+/// redirected to the holder and keeps returning cannot reach the holder.
 #pragma once
 
 #include <map>
@@ -14,9 +14,9 @@
 class MisroutedHeartbeats {
  public:
   void record(const ZoneId& zone, const MachineId& machine_id, SteadyTime now);
-  /// The shard has another holder, so the evidence against the previous one no longer counts.
+  /// Drops the evidence against the zone's previous holder, since the shard has another holder.
   void forget(const ZoneId& zone) { by_zone_.erase(zone); }
-  /// Zones of which at least two workers keep returning here.
+  /// Returns the zones with at least two workers that keep returning to this controller.
   [[nodiscard]] std::vector<ZoneId> affected_zones(SteadyTime now);
 
  private:
--- a/src/shards/order_delivery.cpp
+++ b/src/shards/order_delivery.cpp
@@ -5,15 +5,17 @@
 namespace marblevale {
 
 namespace {
-constexpr std::size_t kMaxOrdersPerMessage = 60;  // stays far below 64 KiB
+constexpr std::size_t kMaxOrdersPerMessage = 60;  // keeps a message far below 64 KiB
 constexpr std::size_t kMaxOrderedMachinesPerRound = 64;
 constexpr Duration kKillRetryInterval{1'500};
 constexpr Duration kKillRecordRetention{60'000};
 constexpr int kStatusOk = 200;
-constexpr int kStatusConflict = 409;  // another epoch, or a fencing token that is too low
+/// The epoch is not the worker's, or the fencing token is too low.
+constexpr int kStatusConflict = 409;
 
-/// Whether a kill of this attempt is due; records it as sent when it is. `respect_retry_interval`:
-/// not before the retry interval has passed.
+/// Returns whether a kill of this attempt is due, and if so records it as sent. With
+/// `respect_retry_interval` a kill is due only when the retry interval since the last kill has
+/// passed.
 bool record_kill_if_due(KnownWorker& worker, const TaskAttempt& attempt, SteadyTime now,
                         bool respect_retry_interval) {
   SteadyTime& last = worker.last_kill_sent[attempt];
@@ -94,11 +96,11 @@
     orders.push_back({OrderType::kill, id, attempt.attempt, grace_period});
     return;
   }
-  // The job may have been cancelled without this holder's knowledge: running tasks may go on until
-  // the deadline, but none may start.
+  // The job may have been cancelled without this holder's knowledge. Running tasks may go on until
+  // the cancellation deadline, but no task may start.
   const bool may_start = deadlines_.may_start_tasks(now) && !commits_.in_flight(slice_of(id));
   if (reported != nullptr || !may_start) return;
-  // Sent directly once, then in heartbeat replies.
+  // A start is sent directly only once, and after that in heartbeat replies.
   if (channel == OrderChannel::direct && status.direct_starts.contains(attempt)) return;
   orders.push_back({OrderType::start, id, attempt.attempt, {}});
 }
@@ -121,12 +123,12 @@
     if (orders.size() >= kMaxOrdersPerMessage) return;
     if (is_bound_to(machine_id, attempt)) continue;
     if (task.status != TaskStatus::ended) {
-      // Nothing may run here under this attempt: it is a task of a gang that has ended, or a start
-      // that arrived too late.
+      // The worker must not run this attempt: the task's gang has ended, or the start arrived too
+      // late.
       if (!record_kill_if_due(worker, attempt, now, true)) continue;
       orders.push_back({OrderType::kill, attempt.id, attempt.attempt, {}});
     } else if (channel == OrderChannel::heartbeat_reply) {
-      // After a clear the worker would execute a late or repeated start once more.
+      // After a clear the worker would execute a late or duplicated start of the task again.
       if (worker.status.start_ruled_out(attempt, token)) {
         orders.push_back({OrderType::clear, attempt.id, attempt.attempt, {}});
       } else if (worker.status.direct_starts.contains(attempt)) {
@@ -137,8 +139,9 @@
 }
 
 void OrderDelivery::send_waiting_orders() {
-  // An acquired shard brings hundreds of machines that must get orders at once: first those with
-  // tasks, and not all in one round, since everything else would wait for their connections.
+  // After a shard is acquired, hundreds of machines are due orders at the same time. Machines with
+  // tasks get theirs first. The number of machines in one round is bounded, because all other work
+  // would have to wait for their connections.
   const std::set<MachineId> waiting = work_.take_machines_awaiting_orders();
   const auto& placed = context_.cache.records().placed;
   std::size_t remaining = kMaxOrderedMachinesPerRound;
@@ -160,7 +163,8 @@
     return false;
   const std::vector<Order> orders = due_orders(machine_id, *worker, OrderChannel::direct);
   const SteadyTime now = context_.clock.steady();
-  // Kills are sent however stale the records are; probes and starts are not.
+  // Kills are sent even if the records are stale. Probes and starts are sent only while the records
+  // are fresh.
   const bool probe = worker->reachability.probe_due(now) && deadlines_.may_answer_heartbeats(now);
   if (orders.empty() && !probe) return false;
   worker->reachability.on_probe_sent(now);
@@ -201,7 +205,7 @@
                                 const HttpReply& reply) {
   const auto heartbeat = parse_worker_heartbeat(reply.body);
   if (!heartbeat || !shards_.holds(worker.zone)) return;
-  // The reply to a conflict tells the epoch, with which the orders can be sent.
+  // The reply to a conflict contains the worker's epoch, so the orders can be sent now.
   if (worker.status.epoch == WorkerEpoch{}) work_.schedule_orders(machine_id);
   worker.reachability.make_probe_due();
   on_heartbeat_(worker, *heartbeat);
--- a/src/shards/order_delivery.hpp
+++ b/src/shards/order_delivery.hpp
@@ -1,4 +1,5 @@
-/// Which orders a worker is due, and their delivery: in the reply to a heartbeat, or directly.
+/// Decides which orders a worker is due, and delivers them in the reply to a heartbeat or by a
+/// direct request to the worker.
 #pragma once
 
 #include <functional>
@@ -14,9 +15,10 @@
 
 namespace marblevale {
 
-/// Derives orders from the records: `start` for bound tasks that are not reported, `kill` for tasks
-/// that must not run, `clear` for ended tasks without a start that can still arrive. Undelivered
-/// orders need no queue, since they are derived again at the next occasion.
+/// Derives orders from the records: `start` for bound tasks that the worker does not report, `kill`
+/// for tasks that must not run, and `clear` for ended tasks of which no start can still arrive.
+/// Undelivered orders need no queue, because they are derived again for the next heartbeat reply or
+/// direct request.
 class OrderDelivery {
  public:
   /// Receives the heartbeat with which a worker replied to an order.
@@ -26,11 +28,11 @@
                 const CancellationDeadlines& deadlines, const SliceCommits& commits,
                 PendingWork& work, OrderSender& sender, OnHeartbeat on_heartbeat);
 
-  /// The orders for the reply to this heartbeat, recorded as sent.
+  /// Returns the orders for the reply to this heartbeat, and records them as sent.
   [[nodiscard]] std::vector<Order> orders_for_heartbeat_reply(const WorkerHeartbeat& heartbeat,
                                                               KnownWorker& worker);
-  /// Sends direct orders to the machines that are scheduled for them, a bounded number in one
-  /// round; the others stay scheduled.
+  /// Sends direct orders to the machines that are scheduled for them. The number of machines in one
+  /// round is bounded; the other machines stay scheduled.
   void send_waiting_orders();
 
  private:
@@ -40,11 +42,11 @@
                                   OrderChannel channel, std::vector<Order>& orders);
   void add_order_for_bound_task(const TaskAttempt& attempt, KnownWorker& worker,
                                 OrderChannel channel, std::vector<Order>& orders);
-  /// For tasks that the worker reports though they are not bound to its machine.
+  /// Adds orders for tasks that the worker reports although they are not bound to its machine.
   void add_orders_for_unbound_tasks(const MachineId& machine_id, KnownWorker& worker,
                                     OrderChannel channel, std::vector<Order>& orders);
   [[nodiscard]] bool is_bound_to(const MachineId& machine_id, const TaskAttempt& attempt) const;
-  /// True when a request was sent.
+  /// Returns true when a request was sent.
   bool send_due_orders(const MachineId& machine_id);
   void send(const MachineId& machine_id, KnownWorker& worker, const std::vector<Order>& orders);
   void handle_reply(const MachineId& machine_id, FencingToken token, const HttpReply& reply);
--- a/src/shards/order_sender.cpp
+++ b/src/shards/order_sender.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 constexpr std::size_t kMinConnections = 32;
-constexpr std::size_t kDefaultConnections = 128;  // without a limit of sockets in the settings
-/// Connections for each MB of the node's memory: an idle one takes a few KiB.
+constexpr std::size_t kDefaultConnections = 128;  // if the settings have no limit of sockets
+/// Maximum number of connections for each MB of the node's memory. An idle connection takes a few
+/// KiB.
 constexpr double kConnectionsPerMb = 16;
 constexpr std::size_t kMaxQueuedOrdersPerWorker = 4;
 constexpr Duration kOrderTimeout{1500};
@@ -39,7 +40,8 @@
 }
 
 std::size_t max_order_connections(const Settings& settings) {
-  // A quarter: in the worst case all the machines heartbeat here, each by a connection of its own.
+  // Orders get a quarter of the sockets, because in the worst case all machines send heartbeats to
+  // this controller, each over its own connection.
   if (settings.max_sockets <= 0) return kDefaultConnections;
   const auto by_sockets = static_cast<std::size_t>(settings.max_sockets) / 4;
   const auto by_memory = static_cast<std::size_t>(settings.ram_mb * kConnectionsPerMb);
@@ -57,7 +59,7 @@
   for (const auto& [address, client] : clients_) {
     if (client.http->idle()) idle.push_back({client.last_used, address});
   }
-  // `last_used` is unique: each request has its own count.
+  // `last_used` is unique, because each request increments the counter.
   std::sort(idle.begin(), idle.end(), [](const IdleConnection& a, const IdleConnection& b) {
     return a.last_used < b.last_used;
   });
--- a/src/shards/order_sender.hpp
+++ b/src/shards/order_sender.hpp
@@ -14,11 +14,12 @@
 class OrderSender {
  public:
   virtual ~OrderSender() = default;
-  /// POST /orders of the worker at the address. After `no_answer` the orders may still be executed.
+  /// Sends `body` by POST to `/orders` of the worker at `address`. When the reply is `no_answer`,
+  /// the worker may still execute the orders.
   virtual void send(const std::string& address, std::string body, HttpHandler on_reply) = 0;
 };
 
-/// Sends orders by HTTP, and keeps the connections of the workers that were used last.
+/// Sends orders by HTTP, and keeps the most recently used connections open.
 class HttpOrderSender : public OrderSender {
  public:
   HttpOrderSender(Loop& loop, std::size_t max_connections)
@@ -29,9 +30,9 @@
  private:
   struct Client {
     std::unique_ptr<HttpClient> http;
-    std::uint64_t last_used = 0;  // as a count of requests
+    std::uint64_t last_used = 0;  // the value of `request_count_` at the last request
   };
-  /// Closes the least recently used idle connections; false when none is idle.
+  /// Closes the least recently used idle connections. Returns false when no connection is idle.
   bool close_idle_connections();
 
   Loop& loop_;
@@ -40,8 +41,8 @@
   std::map<std::string, Client> clients_;
 };
 
-/// How many connections to workers may be kept: a share of the process's sockets, since the
-/// workers' and users' own connections need the rest.
+/// The maximum number of open connections to workers. It is a share of the process's sockets,
+/// because the connections that workers and users open need the rest.
 std::size_t max_order_connections(const Settings& settings);
 
 }  // namespace marblevale
--- a/src/shards/pending_work.hpp
+++ b/src/shards/pending_work.hpp
@@ -19,19 +19,19 @@
   PendingWork(Loop& loop, std::function<void()> run_round)
       : round_timer_(loop, std::move(run_round)) {}
 
-  /// The slice has to be reconciled.
+  /// Marks the slice for reconciliation.
   void mark_dirty(const SliceKey& key) { dirty_slices_.insert(key); }
-  /// Marks all slices of the job, and the machines that have its tasks.
+  /// Marks all slices of the job, and schedules orders to the machines with its tasks.
   void mark_job_dirty(const Records& records, const JobId& job_id);
   /// Marks the slices of all tasks that are placed on the machine.
   void mark_machine_dirty(const Records& records, const MachineId& machine_id);
-  /// Marks the slice, and the machines that have its tasks.
+  /// Marks the slice, and schedules orders to the machines with its tasks.
   void mark_slice_dirty(const Records& records, const SliceKey& key);
-  /// The machine is to be sent its due orders in the next round.
+  /// Schedules the machine to be sent its due orders in the next round.
   void schedule_orders(const MachineId& machine_id) {
     machines_awaiting_orders_.insert(machine_id);
   }
-  /// Does nothing when a round is scheduled already.
+  /// Schedules a round after `delay`, unless a round is already scheduled.
   void schedule_round(Duration delay = kCoalesceDelay);
 
   /// Removes and returns the dirty slices; slices marked later belong to the next round.
@@ -45,7 +45,7 @@
   void clear();
 
  private:
-  static constexpr Duration kCoalesceDelay{2};  // the changes of one batch arrive within it
+  static constexpr Duration kCoalesceDelay{2};  // the changes of one batch arrive within this time
 
   std::set<SliceKey> dirty_slices_;
   std::set<MachineId> machines_awaiting_orders_;
--- a/src/shards/reachability.cpp
+++ b/src/shards/reachability.cpp
@@ -9,12 +9,13 @@
 namespace {
 constexpr Duration kProbeInterval{2'000};
 constexpr Duration kPeriodicProbeInterval{5'000};
-/// Heartbeat intervals after which a start must show.
+/// Number of heartbeat intervals after which a start must be reported.
 constexpr double kMaxHeartbeatsWithoutStart = 2.5;
-/// Heartbeat replies that must have contained a start before it counts as missing.
+/// Number of heartbeat replies that must have contained a start before the start counts as missing.
 constexpr int kMinRepliesWithStart = 2;
-/// A gap between answered heartbeats of this share of the lease restarts the answered period, and
-/// an answered period of this share shows that the lease should have been renewed.
+/// Share of the lease. A gap of this length between answered heartbeats restarts the period of
+/// answered heartbeats. When the period is at least this long, the answers should have renewed the
+/// lease.
 constexpr double kAnsweredLeaseShare = 0.5;
 
 const char* name_of(WorkerReachability::Evidence evidence) {
@@ -76,8 +77,8 @@
 
 bool WorkerReachability::on_epoch_changed(SteadyTime now, Duration lease) {
   unobserved_starts_.clear();
-  // A single delayed heartbeat that is answered now, while the lease expired for other reasons, is
-  // no evidence that the answers were lost.
+  // A single delayed heartbeat may be answered just now although the lease expired for another
+  // reason. Such an answer is no evidence that the answers were lost.
   return now - last_answered_at_ < lease &&
          now - answered_without_gap_since_ >= scaled(lease, kAnsweredLeaseShare);
 }
@@ -87,7 +88,8 @@
   const Duration max_wait = scaled(heartbeat_interval, kMaxHeartbeatsWithoutStart);
   return std::any_of(unobserved_starts_.begin(), unobserved_starts_.end(), [&](const auto& entry) {
     const auto& [start, unobserved] = entry;
-    // A machine that hung has sent no heartbeats meanwhile, so elapsed time alone does not count.
+    // Elapsed time alone is no evidence, because a machine that hung has sent no heartbeats in the
+    // meantime.
     return now - unobserved.first_sent_at > max_wait &&
            unobserved.heartbeat_replies >= kMinRepliesWithStart && !status.tasks.contains(start);
   });
--- a/src/shards/release_offer_handler.cpp
+++ b/src/shards/release_offer_handler.cpp
@@ -6,21 +6,21 @@
 namespace marblevale {
 
 namespace {
-constexpr Duration kOfferLifetime{2'500};  // then the leader commits the release itself
+constexpr Duration kOfferLifetime{2'500};  // after this time the leader commits the release itself
 constexpr std::size_t kMaxPendingOffers = 200;
 }  // namespace
 
 OfferAnswer ReleaseOfferHandler::answer(const ReleaseOffer& offer) {
   const auto& leader = context_.cache.records().leader;
-  // The commit would fail by its guard on the leader's record.
+  // There is a newer leader term, so the commit would fail by its guard on the leader's record.
   if (leader && leader->mod_revision.get() > offer.term) return OfferAnswer::declined;
-  // An earlier incarnation of this controller may have accepted it.
+  // An earlier incarnation of this controller may have accepted the offer.
   if (ProcessIncarnation(offer.holder_incarnation) != shards_.incarnation()) {
     return OfferAnswer::accepted;
   }
   if (const auto first_answer = answered_offers_.find(offer.term, offer.sequence)) {
-    // If a copy were declined while the first delivery is being bound, the leader would allocate
-    // the capacity to another job.
+    // If a duplicate were declined while the first delivery is being bound, the leader would
+    // allocate the capacity to another job.
     context_.metrics.count("copies of offers");
     return *first_answer;
   }
--- a/src/shards/release_offer_handler.hpp
+++ b/src/shards/release_offer_handler.hpp
@@ -1,4 +1,4 @@
-/// Handling of release offers by the shard's holder, which binds the offered tasks in one commit.
+/// Handles the leader's release offers: the shard's holder binds the offered tasks in one commit.
 #pragma once
 
 #include <optional>
@@ -13,7 +13,7 @@
 
 namespace marblevale {
 
-/// Owns the answers given and the offers that wait for the cache to catch up.
+/// Owns the answers that were given, and the offers that wait for the cache or the state service.
 class ReleaseOfferHandler {
  public:
   ReleaseOfferHandler(const ShardContext& context, const ShardOwnership& shards,
@@ -21,9 +21,9 @@
       : context_(context), shards_(shards), binder_(binder), commits_(commits) {}
 
   /// Binds the offered tasks, if all of them can be bound here, as soon as the cache has reached
-  /// the revision of the leader's. A copy of an offer changes nothing and gets the first answer;
-  /// where that is unknown the answer is "accepted", and the leader commits the release itself when
-  /// no binding shows.
+  /// the revision of the leader's cache. A duplicate of an offer changes nothing and gets the first
+  /// answer. When the first answer is unknown, the answer is `accepted`, and the leader commits the
+  /// release itself if no binding appears.
   OfferAnswer answer(const ReleaseOffer& offer);
   /// Retries the offers that wait for the cache or the state service.
   void retry_pending();
@@ -38,12 +38,13 @@
 
   OfferAnswer answer_new(const ReleaseOffer& offer);
   bool bind(const PendingOffer& pending);
-  /// Whether the offer was made from the records that the cache has. The commit's guards enforce
-  /// the same; this check saves commits that would fail.
+  /// Whether the offer was made from the same records as the cache contains. The commit's guards
+  /// enforce this as well; the check avoids commits that would fail.
   [[nodiscard]] bool matches_records(const ReleaseOffer& offer, const SliceKey& key) const;
-  /// The slice's record, or that of a slice without a released task yet.
+  /// Returns the slice's record, or a new record when no task of the slice was released yet.
   [[nodiscard]] SliceRecord current_slice(const SliceKey& key, const JobSpec& job) const;
-  /// Nothing when a task cannot be bound here at once.
+  /// Returns the slice with the offered tasks bound, or nothing when one of them cannot be bound
+  /// here immediately.
   [[nodiscard]] std::optional<SliceRecord> bind_tasks(const ReleaseOffer& offer,
                                                       const SliceKey& key,
                                                       const JobSpec& job) const;
--- a/src/shards/shard_context.hpp
+++ b/src/shards/shard_context.hpp
@@ -1,4 +1,5 @@
-/// What every part of a shard holder works with. `Service` owns all of it and outlives the holder.
+/// Dependencies that all parts of a shard holder share. `Service` owns the referenced objects,
+/// which outlive the holder.
 #pragma once
 
 #include "cancellations/cancellations.hpp"
--- a/src/shards/shard_holder.cpp
+++ b/src/shards/shard_holder.cpp
@@ -44,10 +44,10 @@
 }
 
 void ShardHolder::on_shard_acquired(const ZoneId& zone) {
-  // Pending changes of an earlier ownership are outdated: after a partition they would mark all
+  // Pending changes of an earlier ownership are outdated. After a partition they would mark all
   // machines as silent.
   machines_.forget_zone(zone);
-  // The workers get a request at once, which tells them who holds the shard now.
+  // The workers immediately get a request that tells them which controller holds the shard now.
   const SteadyTime now = context_.clock.steady();
   for (const auto& [machine_id, machine] : context_.cache.records().machines) {
     if (machine.record.zone != zone || machine.record.state >= MachineState::deleting) continue;
@@ -105,7 +105,8 @@
   const auto timed = context_.metrics.time(Duty::holder);
   shards_.refresh();
   if (!shards_.holds_any()) {
-    // Nothing to reconcile; the acquisition of a shard marks all its slices.
+    // Without a held shard there is nothing to reconcile. The acquisition of a shard marks all
+    // slices.
     work_.clear();
     offers_.clear_pending();
     return;
@@ -116,12 +117,12 @@
 
 void ShardHolder::reconcile_dirty_slices() {
   const SteadyTime until = context_.clock.steady() + context_.settings.tuning.round_budget;
-  // Slices that exceed the round's time budget stay for the next round, and so do slices that are
-  // marked meanwhile: a commit that is refused at once must not be retried in a loop within one
-  // round.
+  // Slices that exceed the round's time budget stay for the next round. So do slices that are
+  // marked during the round, because a commit that is refused immediately must not be retried in a
+  // loop within one round.
   std::set<SliceKey> batch = work_.take_dirty_slices();
-  // Round robin from where the last round stopped: otherwise, when writes are limited, the first
-  // slices would starve the last ones.
+  // Each round continues where the last round stopped (round robin). Otherwise the last slices
+  // would starve while writes are limited.
   reconcile_service_slices(batch, until);
   auto next = batch.upper_bound(last_reconciled_);
   while (!batch.empty() && commits_.has_capacity() && context_.clock.steady() <= until) {
@@ -143,7 +144,8 @@
 }
 
 void ShardHolder::reconcile_service_slices(std::set<SliceKey>& batch, SteadyTime until) {
-  // They are few, and their service is down until they are bound: no wait for other commits.
+  // Slices of service jobs do not wait for other commits, because they are few and their service is
+  // down until they are bound.
   const Records& records = context_.cache.records();
   for (auto it = batch.begin(); it != batch.end() && context_.clock.steady() <= until;) {
     if (binding_priority(records, it->job_id) != RequestPriority::service_binding) {
@@ -183,8 +185,8 @@
 }
 
 void ShardHolder::check_heartbeats_reachable(const MachineId& machine_id, KnownWorker& worker) {
-  // It may reach no controller and still receive orders. The state of its tasks, and the expiry of
-  // its lease, are then known from its replies to probes only.
+  // A silent machine may reach no controller and still receive orders. The state of its tasks and
+  // the expiry of its lease are then known only from its replies to probes.
   worker.reachability.set_periodic_probes(workers_.is_silent(machine_id) &&
                                           context_.cache.records().placed.contains(machine_id));
   if (worker.reachability.probe_due(context_.clock.steady())) work_.schedule_orders(machine_id);
--- a/src/shards/shard_holder.hpp
+++ b/src/shards/shard_holder.hpp
@@ -1,5 +1,5 @@
 /// A shard's holder: answers its workers' heartbeats, binds released tasks, sends orders, and
-/// commits what the heartbeats prove.
+/// commits the changes that the heartbeats prove.
 #pragma once
 
 #include <set>
@@ -23,7 +23,7 @@
 namespace marblevale {
 
 /// Connects the parts that own the holder's state, and runs its rounds (reconciliation of dirty
-/// slices) and sweeps (periodic checks of what changes by the passage of time).
+/// slices) and sweeps (periodic checks of conditions that change with time).
 class ShardHolder {
  public:
   ShardHolder(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
@@ -34,19 +34,21 @@
   /// Binds the tasks that the leader offers; see `ReleaseOfferHandler::answer`.
   OfferAnswer answer_offer(const ReleaseOffer& offer) { return offers_.answer(offer); }
 
-  /// Zones whose workers keep returning here though another controller holds the shard.
+  /// Returns the zones whose workers keep returning to this controller although another controller
+  /// holds the shard.
   [[nodiscard]] std::vector<ZoneId> misrouted_zones();
-  /// Zones that are held here while none of their machines is reachable: partitioned, or just
-  /// acquired.
+  /// Returns the held zones in which no machine is reachable: either the zone is partitioned, or
+  /// its shard was just acquired.
   [[nodiscard]] std::set<ZoneId> unreachable_zones() const { return workers_.unreachable_zones(); }
-  /// A peer's heartbeat shows that the job is cancelled.
+  /// Called when a peer's heartbeat shows that the job is cancelled.
   void on_job_cancelled(const JobId& job_id);
-  /// Machines to delete, since there is no evidence that their cancelled tasks have terminated in
-  /// time.
+  /// Returns the machines that must be deleted because there is no evidence that their cancelled
+  /// tasks have terminated in time.
   [[nodiscard]] std::vector<MachineId> machines_past_cancellation_deadline() const {
     return deadlines_.machines_past_deadline(workers_);
   }
-  /// Up to `until` every confirmed cancellation is known here, by the attestation of all peers.
+  /// Records that all peers have attested that every cancellation confirmed up to `until` is known
+  /// to this controller.
   void extend_cancellation_freshness(SteadyTime until) { deadlines_.extend_freshness(until); }
 
  private:
@@ -62,7 +64,9 @@
   void check_reachability();
   void check_heartbeats_reachable(const MachineId& machine_id, KnownWorker& worker);
   void check_commands_reachable(const MachineId& machine_id, KnownWorker& worker);
-  /// Marks released and stopped tasks, which may become due without a change of any record.
+  /// Marks the slices of released and stopped tasks, and schedules orders to their machines and to
+  /// those of cancelled tasks. Their bindings and orders may become due without a change of any
+  /// record.
   void mark_unfinished_transitions_dirty();
 
   ShardContext context_;
@@ -78,7 +82,7 @@
   SliceReconciler reconciler_;
   OrderDelivery orders_;
   HeartbeatHandler heartbeats_;
-  SliceKey last_reconciled_;  // the next round continues after it
+  SliceKey last_reconciled_;  // the next round continues after this slice
   Timer sweep_timer_;
 };
 
--- a/src/shards/shard_ownership.cpp
+++ b/src/shards/shard_ownership.cpp
@@ -5,7 +5,8 @@
 namespace marblevale {
 
 namespace {
-constexpr Duration kMinRenewalInterval{8'000};  // each renewal costs a write of the lease class
+/// Each renewal costs a write with the priority of leases.
+constexpr Duration kMinRenewalInterval{8'000};
 }  // namespace
 
 ShardOwnership::ShardOwnership(const ShardContext& context, Election& election, ShardEvents events)
--- a/src/shards/shard_ownership.hpp
+++ b/src/shards/shard_ownership.hpp
@@ -1,4 +1,4 @@
-/// Which shards this controller holds, under which fencing tokens, and the renewal of the tokens.
+/// Tracks which shards this controller holds and under which fencing tokens, and renews the tokens.
 ///
 /// A shard is fenced in two places. `ShardOwnership::fence` makes a commit conditional on the
 /// shard's token, so that a replaced holder's commit fails. Every order carries the token, and a
@@ -14,11 +14,13 @@
 
 namespace marblevale {
 
-/// Called within `ShardOwnership::refresh` or when a renewal's commit is answered.
+/// Callbacks that are called within `ShardOwnership::refresh` or when the commit of a token's
+/// renewal is answered.
 struct ShardEvents {
   std::function<void(const ZoneId&)> acquired;
   std::function<void(const ZoneId&)> lost;
-  /// The record names another holder than at the last refresh, this controller or not.
+  /// The shard's record names another holder than at the last refresh. The new holder may be this
+  /// controller or another one.
   std::function<void(const ZoneId&)> holder_changed;
   /// The commit of a token's renewal was answered, whatever the outcome.
   std::function<void()> renewal_answered;
@@ -40,14 +42,16 @@
   void refresh();
   [[nodiscard]] Ownership ownership(const ZoneId& zone) const;
   [[nodiscard]] bool holds(const ZoneId& zone) const { return ownership(zone) == Ownership::held; }
-  /// As of the last refresh.
+  /// Whether any shard was held at the last refresh.
   [[nodiscard]] bool holds_any() const { return !tokens_.empty(); }
   [[nodiscard]] std::set<ZoneId> held_zones() const;
-  /// The shard's fencing token by the records, whoever holds it.
+  /// Returns the shard's fencing token in the records, regardless of which controller holds the
+  /// shard; zero for an unknown zone.
   [[nodiscard]] FencingToken token_of(const ZoneId& zone) const;
   /// The fencing token under which this controller acquired the shard; renewals do not change it.
   [[nodiscard]] FencingToken first_token_of(const ZoneId& zone) const;
-  /// Fences the transaction: it fails unless the shard still has the token that is known here.
+  /// Fences the transaction, so that it fails unless the shard still has the token in the local
+  /// records.
   void fence(Transaction& txn, const ZoneId& zone) const;
 
   /// The incarnation of this process.
--- a/src/shards/slice_commits.cpp
+++ b/src/shards/slice_commits.cpp
@@ -15,8 +15,8 @@
                     on_rate_limited = std::move(on_rate_limited)](const CommitResult& result) {
     in_flight_.erase(key);
     if (on_rate_limited && result.outcome == Outcome::refused) on_rate_limited();
-    // Whatever the outcome, the slice is reconciled from the records. A commit with an unknown
-    // outcome cannot succeed twice, since each is conditional on the slice's revision.
+    // After every outcome the slice is reconciled from the records. A commit with an unknown
+    // outcome cannot succeed twice, because each commit is conditional on the slice's revision.
     work_.mark_dirty(key);
     if (result.outcome == Outcome::done) {
       work_.schedule_round();
--- a/src/shards/slice_commits.hpp
+++ b/src/shards/slice_commits.hpp
@@ -1,4 +1,5 @@
-/// Commits of slices: at most one in flight for each slice, and a reconciliation after its result.
+/// Commits of slices. Each slice has at most one commit in flight, and is reconciled after the
+/// commit's result.
 #pragma once
 
 #include <functional>
@@ -9,17 +10,18 @@
 
 namespace marblevale {
 
-/// Owns which slices have a commit in flight.
+/// Owns the set of slices with a commit in flight.
 class SliceCommits {
  public:
   static constexpr std::size_t kMaxInFlight = 16;
 
   SliceCommits(WatchCache& cache, PendingWork& work) : cache_(cache), work_(work) {}
 
-  /// `on_rate_limited`: called when the commit was not executed because of the write rate.
+  /// Starts a commit of the slice. `on_rate_limited` is called when the commit was not executed
+  /// because of the limit of the write rate.
   void commit(const SliceKey& key, Transaction txn, std::function<void()> on_rate_limited = {});
-  /// False while so many commits wait for the state service, or for the write budget, that further
-  /// reconciliations are better deferred: they then share a commit with later changes.
+  /// Returns false while `kMaxInFlight` commits wait for the state service or for write budget.
+  /// Further reconciliations are then deferred, so that they share a commit with later changes.
   [[nodiscard]] bool has_capacity() const { return in_flight_.size() < kMaxInFlight; }
   [[nodiscard]] bool in_flight(const SliceKey& key) const { return in_flight_.contains(key); }
 
--- a/src/shards/slice_reconciler.cpp
+++ b/src/shards/slice_reconciler.cpp
@@ -66,7 +66,8 @@
     // No start is sent before the binding is committed, so no evidence of termination is needed.
     apply_task_end(task, job.spec, TaskEndCause::never_bound, false, context_.clock.wall());
   } else if (!cancelled) {
-    binder_.bind(slice, index, job.spec, change.uncommitted);  // without capacity: at each sweep
+    // Without free capacity the binding is retried at each sweep.
+    binder_.bind(slice, index, job.spec, change.uncommitted);
   }
   record_task_change(change, before, task, job.spec);
 }
@@ -79,8 +80,9 @@
   }
   change.changed = true;
   change.zones.insert(before.zone);
-  // The end of an array's task frees capacity, and the start of a run only tells when it will be
-  // freed: both may wait for other changes of the slice. A binding, a failure or a stop may not.
+  // The end of an array's task frees capacity, and the start of a run only tells when capacity will
+  // be freed, so both may wait for other changes of the slice. A binding, a failure or a stop is
+  // committed without delay.
   const bool was_bound = before.state == TaskState::bound;
   const bool ended = was_bound && after.state == TaskState::done;
   const bool began_to_run = was_bound && after.state == TaskState::bound;
@@ -104,10 +106,11 @@
     }
     return;
   }
-  // A gang completes together: when one task of an attempt that ran is done, all are done and have
-  // left their machines. In an attempt that was started again after its end, each task reports the
-  // stored result as soon as its machine has the image, while others may still fetch theirs: those
-  // keep their machines until there is evidence of termination.
+  // The tasks of a gang complete together: when one task of an attempt that has run is done, all
+  // tasks are done and have left their machines. An attempt may also be started again after its
+  // end. Each task then reports the stored result as soon as its machine has the image, while other
+  // tasks may still be fetching their images. Those tasks keep their machines until there is
+  // evidence of termination.
   const bool attempt_has_run =
       std::any_of(before.tasks.begin(), before.tasks.end(),
                   [](const TaskRecord& task) { return task.running != WallTime{}; });
@@ -115,7 +118,8 @@
   for (TaskRecord& task : tasks) {
     if (is_done(task)) continue;
     if (task.state == TaskState::bound && !attempt_has_run) {
-      change.max_delay = kMachineBatchDelay;  // the others' heartbeats are probably in flight
+      // The heartbeats of the other tasks are probably in flight.
+      change.max_delay = kMachineBatchDelay;
       continue;
     }
     apply_task_end(task, job, TaskEndCause::completed, false, context_.clock.wall());
@@ -188,14 +192,16 @@
 }
 
 void SliceReconciler::mark_machine_suspect(const TaskId& failed_task, const MachineId& machine_id) {
-  // The fault is usually the machine's, but a faulty job fails everywhere. The machine gets no new
-  // tasks until the leader has decided which of them it was, from all jobs that failed there
-  // (autoscaler/suspect_machines.hpp): two faulty jobs are no evidence against the machine.
+  // Usually the machine is at fault, but a faulty job fails on every machine. The machine gets no
+  // new tasks until the leader has decided whether the machine or the job is at fault, based on all
+  // jobs that failed on the machine (autoscaler/failure_attribution.hpp). Failures of two faulty
+  // jobs are no evidence against the machine.
   const auto& machines = context_.cache.records().machines;
   const auto machine = machines.find(machine_id);
   if (machine == machines.end()) return;
   const MachineState state = machine->second.record.state;
-  // A suspect machine keeps its first job; a machine that is already given up is left as it is.
+  // A suspect machine keeps the first job that failed on it. A machine that is already given up
+  // keeps its state.
   if (state != MachineState::up && state != MachineState::silent) return;
   machines_.set_state(machine_id, MachineState::suspect, MachineStateReason::task_failed,
                       failed_task.job_id);
@@ -208,7 +214,7 @@
   }
   const SteadyTime now = context_.clock.steady();
   const SteadyTime since = deferred_since_.try_emplace(key, now).first->second;
-  if (now - since < max_delay) return false;  // the sweep marks it dirty again
+  if (now - since < max_delay) return false;  // the sweep marks the slice dirty again
   deferred_since_.erase(key);
   context_.metrics.count(max_delay == Duration{0} ? "slices at once" : "slices gathered");
   return true;
@@ -219,7 +225,7 @@
   const Records& records = context_.cache.records();
   const auto& job = records.jobs.at(key.job_id);
   Transaction txn;
-  // The commit of a holder that was replaced, or for a job that was cancelled meanwhile, must fail.
+  // The commit must fail if this holder was replaced or the job was cancelled in the meantime.
   for (const ZoneId& zone : change.zones) shards_.fence(txn, zone);
   txn.guard(keys::job(key.job_id), job.mod_revision);
   txn.guard(keys::slice(key.job_id, key.number),
@@ -242,8 +248,8 @@
   const auto& guarantee_records = context_.cache.records().guarantee_records;
   FinalRecord record;
   record.job_id = job_id;
-  // A confirmed cancellation is never contradicted, though the tasks may have completed before
-  // they could be stopped.
+  // A confirmed cancellation is never contradicted, even if the tasks completed before they could
+  // be stopped.
   record.state = job.cancelled ? FinalState::cancelled : FinalState::done;
   record.task_count = job.spec.task_count;
   record.accepted = job.accepted;
--- a/src/shards/slice_reconciler.hpp
+++ b/src/shards/slice_reconciler.hpp
@@ -1,5 +1,5 @@
-/// Reconciliation of a slice's tasks with the workers' heartbeats: binding of released tasks, ends
-/// with evidence of termination, and the commit of the changes.
+/// Reconciles a slice's tasks with the workers' heartbeats: binds released tasks, ends tasks for
+/// which there is evidence of termination, and commits the changes.
 #pragma once
 
 #include <map>
@@ -14,11 +14,12 @@
 
 namespace marblevale {
 
-/// Stops the remaining tasks of a gang that lost one; true when that changed the slice.
+/// Stops the remaining tasks of a gang that has lost a task. Returns true when the slice was
+/// changed.
 bool stop_broken_gang(SliceRecord& slice);
 
-/// Reconciles a slice's record with the workers' heartbeats and commits the difference. Owns the
-/// deferral of changes that wait for others of their slice, so that they share a write.
+/// Reconciles a slice's record with the workers' heartbeats and commits the difference. Some
+/// changes are deferred, so that they share a write with other changes of their slice.
 class SliceReconciler {
  public:
   SliceReconciler(const ShardContext& context, ShardOwnership& shards, WorkerRegistry& workers,
@@ -26,17 +27,18 @@
 
   /// Reconciles the slice's tasks in held shards. No commit of the slice may be in flight.
   void reconcile(const SliceKey& key);
-  /// Marks the slices with deferred commits, which become due by the passage of time.
+  /// Marks the slices with deferred commits, because these become due without a change of any
+  /// record.
   void mark_deferred_dirty(PendingWork& work) const;
 
  private:
   /// The uncommitted result of a reconciliation.
   struct SliceChange {
     SliceRecord slice;
-    std::set<ZoneId> zones;  // whose tasks changed: the commit is fenced by their tokens
+    std::set<ZoneId> zones;  // zones whose tasks changed; their tokens fence the commit
     UncommittedAllocations uncommitted;
     bool changed = false;
-    Duration max_delay{};  // how long the change may wait for others of its slice
+    Duration max_delay{};  // maximum time to wait for other changes of the slice
   };
 
   void reconcile_task(SliceChange& change, std::size_t index, const JobRecord& job, bool cancelled);
@@ -49,7 +51,7 @@
   void end_task(const TaskId& id, TaskRecord& task, const JobSpec& job, TaskEndCause cause,
                 bool checkpointed);
   void mark_machine_suspect(const TaskId& failed_task, const MachineId& machine_id);
-  /// False while the change may wait for others of its slice.
+  /// Returns false while the change may wait for other changes of its slice.
   bool commit_due(const SliceKey& key, const SliceChange& change);
   [[nodiscard]] Transaction make_transaction(const SliceKey& key, const SliceChange& change) const;
   [[nodiscard]] FinalRecord final_record(const JobId& job_id, const JobRecord& job) const;
--- a/src/shards/task_binder.cpp
+++ b/src/shards/task_binder.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// A heartbeat of the chosen machine, or the end of a task there, may be about to arrive.
+/// Maximum time that a released task waits for capacity. A heartbeat of the chosen machine, or the
+/// end of a task on it, may be about to arrive.
 constexpr Duration kMaxCapacityWait{3'000};
 
 bool satisfies_placement_rules(const JobSpec& job, const MachineRecord& machine,
@@ -28,8 +29,8 @@
   const KnownWorker* worker = workers_.find(machine_id);
   if (worker == nullptr) return false;
   if (machine.state != MachineState::up || worker->reclaim_at) return false;
-  // Nothing is bound to a machine without evidence, under a fencing token of this holder, that
-  // commands reach it, nor to a silent one, whose lease expires.
+  // Tasks are bound only to a machine with evidence, under a fencing token of this holder, that
+  // commands reach it. A silent machine gets no tasks, because its lease expires.
   return worker->status.epoch != WorkerEpoch{} && !workers_.is_silent(machine_id) &&
          worker->reachability.reachable();
 }
@@ -66,8 +67,8 @@
 std::optional<MachineId> TaskBinder::choose_machine(
     const TaskRecord& task, const JobSpec& job, const UncommittedAllocations& uncommitted) const {
   if (can_host(task.machine_id, job, uncommitted)) return task.machine_id;
-  // Capacity that the leader has reserved for other tasks must stay free: only a machine without
-  // placed tasks may be the substitute for one that has become unsuitable.
+  // Capacity that the leader has reserved for other tasks must stay free. Therefore only a machine
+  // without placed tasks may substitute for a machine that has become unsuitable.
   const Records& records = context_.cache.records();
   for (const auto& [machine_id, machine] : records.machines) {
     if (machine.record.zone != task.zone || records.placed.contains(machine_id)) continue;
--- a/src/shards/task_binder.hpp
+++ b/src/shards/task_binder.hpp
@@ -21,13 +21,15 @@
   TaskBinder(const ShardContext& context, const WorkerRegistry& workers)
       : context_(context), workers_(workers) {}
 
-  /// Binds the slice's task at `index` in the caller's copy. A task without a machine stays
-  /// released, and becomes idle after a time limit, so that the leader plans it again.
+  /// Binds the task at `index` in the caller's copy of the slice. A task for which there is no
+  /// suitable machine stays released. After a time limit it becomes idle, so that the leader plans
+  /// it again.
   void bind(SliceRecord& slice, std::size_t index, const JobSpec& job,
             UncommittedAllocations& uncommitted) const;
 
  private:
-  /// The machine that the leader chose, or a substitute.
+  /// Returns the machine that the leader chose, a substitute, or nothing when no machine is
+  /// suitable.
   [[nodiscard]] std::optional<MachineId> choose_machine(
       const TaskRecord& task, const JobSpec& job, const UncommittedAllocations& uncommitted) const;
   [[nodiscard]] bool can_host(const MachineId& machine_id, const JobSpec& job,
--- a/src/shards/task_presence.cpp
+++ b/src/shards/task_presence.cpp
@@ -40,7 +40,8 @@
 
 TaskPresence classify_presence(const TaskId& id, const TaskRecord& task, const WorkerStatus& worker,
                                FencingToken held_token) {
-  // In a new epoch the worker has ended all its tasks, and drops orders to the previous one.
+  // A worker in a new epoch has ended all tasks of the previous epoch, and drops orders to that
+  // epoch.
   if (worker.epoch > task.epoch) return TaskPresence::lost;
   if (worker.epoch < task.epoch) return TaskPresence::not_reported;
   const TaskAttempt attempt{id, task.attempt};
--- a/src/shards/task_presence.hpp
+++ b/src/shards/task_presence.hpp
@@ -1,7 +1,8 @@
-/// What a worker's heartbeat proves about a task that is bound to its machine. Pure: the rules
-/// about late commands and missing heartbeats are here.
+/// Determines what a worker's heartbeat proves about a task that is bound to the worker's machine.
+/// The rules about late orders and missing heartbeats are here, in functions without I/O.
 ///
-/// A task's capacity may be allocated again only with evidence of termination. Silence is none.
+/// A task's capacity may be allocated again only with evidence of termination. Missing heartbeats
+/// are no evidence.
 #pragma once
 
 #include <map>
@@ -19,8 +20,8 @@
   auto operator<=>(const TaskAttempt&) const = default;
 };
 
-/// What this controller knows of one worker from the heartbeats received while it holds the shard,
-/// and which starts it sent to the worker.
+/// The state of one worker by the heartbeats that this controller received while it holds the
+/// shard, and the starts that the controller sent to the worker.
 struct WorkerStatus {
   std::string address;
   WorkerEpoch epoch;
@@ -33,16 +34,18 @@
   /// The last heartbeat that was not the reply to an order.
   HeartbeatSequence last_own_heartbeat;
   /// Starts sent in the reply to a heartbeat, with that heartbeat's sequence number. The worker
-  /// executes or drops the reply before its next own heartbeat. Its reply to an order may overtake
-  /// that and does not rule the start out.
+  /// executes or drops the reply before its next own heartbeat. The worker's reply to an order does
+  /// not rule the start out, because the worker may send it before the heartbeat reply arrives.
   std::map<TaskAttempt, HeartbeatSequence> reply_starts;
 
   enum class Source { own_heartbeat, order_reply };
 
-  /// Replaces the status by a newer heartbeat; false when the heartbeat is not newer.
+  /// Replaces the status by a newer heartbeat. Returns false, without a change, when the heartbeat
+  /// is not newer.
   bool apply(const WorkerHeartbeat& heartbeat, Source source = Source::own_heartbeat);
-  /// True when no start of this attempt that was sent can still be executed. `held_token` is the
-  /// fencing token of this holder: below it, earlier holders' orders may still arrive.
+  /// Returns true when no start of this attempt that was sent can still be executed. `held_token`
+  /// is the fencing token of this holder. Until the worker has seen this token, it may still
+  /// execute orders of earlier holders.
   [[nodiscard]] bool start_ruled_out(const TaskAttempt& start, FencingToken held_token) const;
   /// Forgets starts that can no longer be executed.
   void prune();
@@ -52,7 +55,7 @@
 /// `never_started` are evidence of termination.
 enum class TaskPresence {
   present,        // on the machine, and not ended
-  ended,          // has exited there; the reported task has the cause
+  ended,          // has exited on the machine; the reported task has the cause
   lost,           // the worker began a new epoch and has ended the task, without a cause to report
   never_started,  // not on the machine, and no start can arrive any more
   not_reported    // not on the machine, but a start may still arrive or is yet to be sent
@@ -62,14 +65,16 @@
 TaskPresence classify_presence(const TaskId& id, const TaskRecord& task, const WorkerStatus& worker,
                                FencingToken held_token);
 
-/// What the worker last reported of this attempt; null when the heartbeat did not contain it.
+/// Returns the worker's last report of this attempt, or null when the last heartbeat did not
+/// contain the attempt. `worker` owns the result.
 const ReportedTask* find_reported(const WorkerStatus& worker, const TaskAttempt& attempt);
 
-/// A replica of a service job that ran this long is stable: its earlier failures no longer count.
+/// Run time after which a replica of a service job is stable, so that its earlier failures no
+/// longer count.
 inline constexpr Duration kStableReplicaRunTime{60'000};
 
 /// Updates a task's record at the end of an attempt. `checkpointed`: a checkpoint was written at
-/// the end. A replica of a service job never completes: it waits to run again.
+/// the end. A replica of a service job never completes; it becomes idle and waits to run again.
 void apply_task_end(TaskRecord& task, const JobSpec& job, TaskEndCause cause, bool checkpointed,
                     WallTime now);
 
--- a/src/shards/worker_registry.cpp
+++ b/src/shards/worker_registry.cpp
@@ -7,9 +7,9 @@
 namespace marblevale {
 
 namespace {
-constexpr Duration kMinProcessPause{3'000};  // beyond the interval between two sweeps
-constexpr Duration kUnregisteredWorkerRetention{
-    30'000};  // without a heartbeat and without a record
+constexpr Duration kMinProcessPause{3'000};  // in addition to the interval between two sweeps
+/// For a worker without heartbeats and without a record.
+constexpr Duration kUnregisteredWorkerRetention{30'000};
 }  // namespace
 
 KnownWorker* WorkerRegistry::find(const MachineId& machine_id) {
@@ -85,7 +85,7 @@
 
 void WorkerRegistry::restart_silence_timer(const MachineId& machine_id, KnownWorker& worker,
                                            SteadyTime now) const {
-  // A machine that an earlier holder found silent has to send a heartbeat first.
+  // A machine that an earlier holder marked as silent must send a heartbeat first.
   const auto& machines = context_.cache.records().machines;
   const auto machine = machines.find(machine_id);
   if (machine != machines.end() && machine->second.record.state == MachineState::silent) return;
@@ -93,8 +93,8 @@
 }
 
 void WorkerRegistry::restart_silence_timers_of_reconnected_zones(SteadyTime now) {
-  // After a partition the machines of a zone reconnect one by one: the first must not make the
-  // others count as silent.
+  // After a partition the machines of a zone reconnect one by one. The first machine must not make
+  // the others count as silent.
   std::set<ZoneId> still_unreachable = unreachable_zones();
   for (auto& [machine_id, worker] : workers_) {
     if (unreachable_zones_.contains(worker.zone) && !still_unreachable.contains(worker.zone)) {
@@ -105,7 +105,8 @@
 }
 
 Duration WorkerRegistry::excluded_time(SteadyTime now, Duration pause) const {
-  // With stale records the shard may have another holder, to which the workers send heartbeats.
+  // While the records are stale, another controller may hold the shard and receive the workers'
+  // heartbeats.
   if (now - context_.cache.fresh_until() >= silence_limit()) return silence_limit();
   if (pause < kMinProcessPause) return Duration{0};
   spdlog::info("shard_holder: process_paused duration_ms={}", pause.count());
@@ -118,8 +119,8 @@
   last_sweep_ = now;
   if (first_sweep) return;
   restart_silence_timers_of_reconnected_zones(now);
-  // A paused process receives nothing, through no fault of the machines: the pause counts neither
-  // as their silence nor as time in which a start should have shown.
+  // A paused process receives no heartbeats, which is no fault of the machines. The pause counts
+  // neither as silence of the machines nor as time in which a start should have been reported.
   const Duration excluded = excluded_time(now, pause);
   if (excluded <= Duration{0}) return;
   for (auto& [machine_id, worker] : workers_) {
--- a/src/shards/worker_registry.hpp
+++ b/src/shards/worker_registry.hpp
@@ -1,5 +1,6 @@
-/// The workers that send heartbeats to this controller, or are expected to: the last status of
-/// each, when it was received, and whether commands reach the worker.
+/// The workers that send heartbeats to this controller, or are expected to send them. For each
+/// worker the registry has the last status, the time of the last heartbeat, and whether commands
+/// reach the worker.
 #pragma once
 
 #include <map>
@@ -16,20 +17,22 @@
 
 namespace marblevale {
 
-/// What the holder knows of one worker.
+/// The holder's state of one worker.
 struct KnownWorker {
   explicit KnownWorker(const MachineId& machine_id) : reachability(machine_id) {}
 
   WorkerStatus status;
   ZoneId zone;
-  /// Its last own heartbeat, or since when one was possible. The reply to an order does not count:
-  /// a machine that reaches no controller may still receive orders, while its lease expires.
+  /// Time of the worker's last own heartbeat, or the time from which a heartbeat was expected. The
+  /// reply to an order does not count, because a machine that reaches no controller may still
+  /// receive orders while its lease expires.
   SteadyTime last_heartbeat_at = kLongAgo;
   bool order_request_in_flight = false;
   bool lease_renewal_refused = false;  // heartbeats are not answered, so that the lease expires
   std::map<TaskAttempt, SteadyTime> last_kill_sent;
   std::optional<WallTime> reclaim_at;
-  std::vector<CachedImage> images;  // seen in use, as in the machine's record
+  /// Images that were seen in use, to be stored in the machine's record.
+  std::vector<CachedImage> images;
   bool images_changed = false;
   WorkerReachability reachability;
 };
@@ -40,8 +43,8 @@
   int heartbeating = 0;
 };
 
-/// Owns the known workers, and decides which of them are silent: a process pause of this controller
-/// and an outage of the state service are not held against the workers.
+/// Owns the known workers, and decides which of them are silent. The time of a process pause of
+/// this controller or of an outage of the state service does not count as silence.
 class WorkerRegistry {
  public:
   using Workers = std::unordered_map<MachineId, KnownWorker>;
@@ -53,12 +56,14 @@
   [[nodiscard]] const KnownWorker* find(const MachineId& machine_id) const;
   [[nodiscard]] Workers& all() { return workers_; }
   [[nodiscard]] const Workers& all() const { return workers_; }
-  /// The worker that sent a heartbeat; a new one counts as having sent it at `now`.
+  /// Returns the worker that sent a heartbeat. A new worker is added with `now` as the time of its
+  /// last heartbeat.
   KnownWorker& find_or_add(const MachineId& machine_id, SteadyTime now);
-  /// Adds a machine of a shard that was acquired: its heartbeats are expected from now on.
+  /// Adds a machine of a shard that was acquired. Its heartbeats are expected from `now` on.
   void expect_heartbeats(const MachineRecord& machine, SteadyTime now);
   void forget_zone(const ZoneId& zone);
-  /// Forgets machines that are gone by the records, and silent workers without a record.
+  /// Forgets machines that are gone according to the records, and workers without a record that no
+  /// longer send heartbeats.
   void forget_gone(SteadyTime now);
 
   /// True for a known worker whose heartbeats are missing, or that commands do not reach.
@@ -66,17 +71,18 @@
   [[nodiscard]] bool is_heartbeating(const KnownWorker& worker, SteadyTime now) const {
     return now - worker.last_heartbeat_at < silence_limit();
   }
-  /// By zone, of the known machines with a record, in held shards.
+  /// Counts the known machines with a record, by zone, in held shards.
   [[nodiscard]] std::map<ZoneId, HeartbeatCounts> count_heartbeating(SteadyTime now) const;
   /// Held zones without a machine that is reachable and sends heartbeats.
   [[nodiscard]] std::set<ZoneId> unreachable_zones() const;
-  /// To be called at each sweep, `interval` apart: time in which this process could not receive
-  /// heartbeats does not count as the workers' silence.
+  /// Must be called at each sweep, with the `interval` between sweeps. Time in which this process
+  /// could not receive heartbeats does not count as silence of the workers.
   void discount_pause(SteadyTime now, Duration interval);
 
  private:
   [[nodiscard]] Duration silence_limit() const;
-  /// Counts its silence from `now` on, unless an earlier holder found it silent.
+  /// Counts the worker's silence from `now` on, unless an earlier holder marked the machine as
+  /// silent.
   void restart_silence_timer(const MachineId& machine_id, KnownWorker& worker,
                              SteadyTime now) const;
   void restart_silence_timers_of_reconnected_zones(SteadyTime now);
