--- a/tests/answered_offers_test.cpp
+++ b/tests/answered_offers_test.cpp
@@ -1,4 +1,4 @@
-// Duplicates of offers are told apart from new offers, in bounded memory.
+// Duplicates of offers are distinguished from new offers, in bounded memory.
 #include "shards/answered_offers.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/delayed_message_test.cpp
+++ b/tests/delayed_message_test.cpp
@@ -11,8 +11,8 @@
 
 TEST_F(DelayedMessageTest, ADelayedHeartbeatDoesNotMakeAMachineUnreachable) {
   handle_heartbeat(1, token());
-  run(Duration{30'000});         // cut off, until its lease is over
-  handle_heartbeat(1, token());  // sent before
+  run(Duration{30'000});         // the worker is cut off until its lease expires
+  handle_heartbeat(1, token());  // sent before the partition
   run(Duration{1'000});
   handle_heartbeat(2, token());
   run(Duration{600});
@@ -28,7 +28,7 @@
   give_shard("other", 9);
   give_shard("me", 7);
   for (int i = 0; i < 5; ++i) {
-    handle_heartbeat(1, old_token);  // held back, and a newer one each time
+    handle_heartbeat(1, old_token);  // delayed heartbeats, a newer one each time
     run(Duration{3'000});
   }
   handle_heartbeat(2, token());
@@ -39,7 +39,8 @@
 }
 
 TEST_F(DelayedMessageTest, AnOrderReplyResolvesNoStartInADelayedHeartbeatReply) {
-  bind_and_start();  // the order is on its way, so that the next start goes by an answer
+  // The direct order stays in flight, so the next start is sent in a heartbeat reply.
+  bind_and_start();
   JobRecord job{testing::gang("req-2", 1, 1, 100), time_.wall(), std::nullopt};
   store_.put(keys::job(job.spec.job_id), encode(job));
   SliceRecord slice;
@@ -62,10 +63,11 @@
   job.cancelled = time_.wall();
   store_.put(keys::job(job.spec.job_id), encode(job));
   run(Duration{50});
-  answer_orders(200, 1, task_status("running"));  // overtakes the answer that bears the start
+  answer_orders(200, 1, task_status("running"));  // overtakes the heartbeat reply with the start
   run(Duration{600});
   EXPECT_EQ(state(), TaskState::bound) << "the start may still be executed";
-  handle_heartbeat(1, token(), task_status("running"));  // it had the answer, or has dropped it
+  // The worker has received the heartbeat reply by now, or has dropped it.
+  handle_heartbeat(1, token(), task_status("running"));
   run(Duration{600});
   EXPECT_EQ(state(), TaskState::idle);
 }
@@ -109,9 +111,9 @@
   run(Duration{100});
   const auto old_token = token();
   give_shard("other", 9);
-  give_shard("me", 7);  // it knows nothing of the worker any more
+  give_shard("me", 7);  // the new ownership has no state of the worker
   ASSERT_GT(token(), old_token);
-  handle_heartbeat(1, old_token);  // a copy from before the task had started
+  handle_heartbeat(1, old_token);  // a duplicate that was sent before the task started
   run(Duration{200});
   EXPECT_EQ(task().state, TaskState::bound);
   handle_heartbeat(1, token(), task_status("running"));
@@ -133,7 +135,7 @@
   ASSERT_EQ(machine_state(), MachineState::silent);
   const auto current_sequence = sequence_;
   sequence_ = vm1_sequence - 1;
-  handle_heartbeat(1, token());  // the same heartbeat once more
+  handle_heartbeat(1, token());  // a duplicate of the same heartbeat
   sequence_ = current_sequence;
   run(Duration{100});
   EXPECT_EQ(machine_state(), MachineState::silent) << "known to this holder";
@@ -149,7 +151,7 @@
 }
 
 TEST_F(DelayedMessageTest, ADuplicateDoesNotRegisterADeletedMachine) {
-  handle_heartbeat(1, token() - 1, "", "vm-7");  // deleted long ago, and its record with it
+  handle_heartbeat(1, token() - 1, "", "vm-7");  // the machine and its record were deleted long ago
   run(Duration{1000});
   EXPECT_FALSE(cache_.records().machines.contains(MachineId("vm-7")));
   MachineRecord machine;
--- a/tests/gang_completion_test.cpp
+++ b/tests/gang_completion_test.cpp
@@ -1,4 +1,5 @@
-// The end of a gang: one task that is done completes the job, with other tasks lost or delayed.
+// The end of a gang: one task that is done completes the job, even if other tasks are lost or
+// delayed.
 #include "support/shard_holder_fixture.hpp"
 
 namespace marblevale {
@@ -6,7 +7,7 @@
 
 class GangCompletionTest : public testing::ShardHolderTest {
  protected:
-  /// A gang of two tasks that are bound to vm-1 and vm-2, whose heartbeats have arrived.
+  /// Stores a gang of two tasks that are bound to vm-1 and vm-2, after a heartbeat of each machine.
   void put_bound_gang(WallTime running) {
     handle_heartbeat(1, token(), "", "vm-1");
     handle_heartbeat(1, token(), "", "vm-2");
--- a/tests/misrouted_heartbeats_test.cpp
+++ b/tests/misrouted_heartbeats_test.cpp
@@ -17,20 +17,21 @@
   EXPECT_EQ(holder_.misrouted_zones()[0], ZoneId("a"));
 }
 
-// Found by inc-0452: a holder that alone had lost its workers kept its shard for 17 s of a lease of
-// 24 s, since only the third visit of its workers was taken for a complaint.
+// Guards against a late move of a shard whose holder alone has lost its workers (inc-0452). The
+// holder kept its shard for 17 s of a lease of 24 s, because only the third heartbeat of a
+// returning worker counted as evidence.
 TEST_F(MisroutedHeartbeatsTest, TheSecondHeartbeatOfUnansweredWorkersMarksTheirZoneAsMisrouted) {
   give_shard("other", 9);
   for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
-  run(Duration{5'000});  // sent on to their holder: 4 s without an answer, then 1 s more
+  run(Duration{5'000});  // redirected to the holder: 4 s without an answer, then 1 s more
   for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
   EXPECT_EQ(holder_.misrouted_zones(), std::vector<ZoneId>{ZoneId("a")});
 }
 
 TEST_F(MisroutedHeartbeatsTest, WorkersOfAnEndedHolderDoNotMarkTheirZoneAsMisrouted) {
   give_shard("other", 9);
-  // Its connections are refused: they turn to the next controller a second later. Its epoch ends
-  // after 4 s at the latest.
+  // The ended holder refuses connections, so the workers try the next controller a second later.
+  // The holder's lease expires after 4 s at the latest.
   for (int attempt = 0; attempt < 5; ++attempt) {
     for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
     EXPECT_TRUE(holder_.misrouted_zones().empty()) << attempt;
--- a/tests/order_delivery_test.cpp
+++ b/tests/order_delivery_test.cpp
@@ -1,4 +1,4 @@
-// How many connections a controller may use for orders.
+// The maximum number of connections that a controller may use for orders.
 #include "support/shard_holder_fixture.hpp"
 
 namespace marblevale {
--- a/tests/shard_holder_offer_test.cpp
+++ b/tests/shard_holder_offer_test.cpp
@@ -8,7 +8,7 @@
 
 class ShardHolderOfferTest : public testing::ShardHolderTest {
  protected:
-  /// A job of one task that nobody has released yet, and the leader's offer for it.
+  /// Creates a job of one task that is not released yet, and returns the leader's offer for it.
   ReleaseOffer make_offer() {
     put_leader("boss", 1);
     const JobSpec job = testing::gang("req-1", 1, 1, 100);
@@ -93,8 +93,9 @@
   EXPECT_EQ(decode_offer(encode(offer))->tasks.at(0).machine_id, "vm-1");
 }
 
-// The first is being bound, and its commit is on its way: to decline the copy would have the leader
-// give the room to another job, and then both were bound.
+// Guards against two jobs that are bound to the same capacity. If the duplicate were declined while
+// the commit of the first delivery is in flight, the leader would give the capacity to another job,
+// and both jobs would be bound.
 TEST_F(ShardHolderOfferTest, ADuplicateIsNotDeclinedWhileTheOfferIsBeingBound) {
   const auto offer = make_offer();
   store_.scripts = {Script::delay};
@@ -104,12 +105,14 @@
   EXPECT_EQ(store_.apply_delayed().outcome, Outcome::done);
 }
 
-// The leader gives the room of a declined offer to another job at once. A copy that comes when the
-// reason for declining is gone must not be bound, though leader, job and slice are as they were.
+// Guards against the binding of an offer that was declined before. The leader immediately gives the
+// capacity of a declined offer to another job. A duplicate must not be bound when the reason for
+// declining no longer applies, even if the leader, the job and the slice are unchanged.
 TEST_F(ShardHolderOfferTest, ADuplicateOfADeclinedOfferIsNotBound) {
   auto offer = make_offer();
   offer.tasks[0].machine_id = "vm-2";
-  // vm-1 has another's task, so it can't stand in for the machine that has not reported.
+  // vm-1 has a task of another job, so it cannot substitute for vm-2, which has not sent a
+  // heartbeat.
   JobRecord other_job;
   other_job.spec = testing::gang("req-9", 1, 1, 100);
   store_.put(keys::job(other_job.spec.job_id), encode(other_job));
@@ -125,7 +128,7 @@
   EXPECT_EQ(holder_.answer_offer(offer), OfferAnswer::declined) << "that machine has not reported";
   handle_heartbeat(1, token(), "", "vm-2");
   run(Duration{100});
-  // The room of the first offer, the whole of the team's limit, goes to another job.
+  // The capacity of the first offer, which is the team's entire limit, goes to another job.
   const JobSpec other = testing::gang("req-2", 1, 1, 100);
   put_job(store_, other, time_.wall());
   run(Duration{50});
--- a/tests/shard_holder_test.cpp
+++ b/tests/shard_holder_test.cpp
@@ -41,7 +41,7 @@
 
 TEST_F(ShardHolderTest, ABindingOfAReplacedHolderFails) {
   handle_heartbeat(1, token());
-  run(Duration{60});  // the machine is in its page
+  run(Duration{60});  // until the machine's record is written
   store_.scripts.assign(50, Script::refuse);
   store_.scripts.front() = Script::delay;
   release();
@@ -55,7 +55,7 @@
 
 TEST_F(ShardHolderTest, ACancellationMakesADelayedBindingFail) {
   handle_heartbeat(1, token());
-  run(Duration{60});  // the machine is in its page
+  run(Duration{60});  // until the machine's record is written
   store_.scripts.assign(50, Script::refuse);
   store_.scripts.front() = Script::delay;
   release();
@@ -64,7 +64,7 @@
   EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
   store_.scripts.clear();
   run(Duration{1000});
-  EXPECT_EQ(task().state, TaskState::idle);  // never bound, so nothing to wait for
+  EXPECT_EQ(task().state, TaskState::idle);  // the task was never bound, so no evidence is needed
   EXPECT_FALSE(sent("start"));
 }
 
@@ -152,15 +152,17 @@
   watch_answers_ = false;
   run(Duration{20'000});
   EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
-  // cancel_s - lease_s is 25 s: a cancellation may have been accepted right after the last read.
+  // cancel_s - lease_s is 25 s. The time counts from the last read of the records, because a
+  // cancellation may have been accepted right after it.
   run(Duration{6'000});
   EXPECT_EQ(handle_heartbeat(1, token()).status, 421);
-  holder_.extend_cancellation_freshness(
-      time_.steady());  // all peers say that nothing was cancelled since
+  // All peers attest that nothing was cancelled since.
+  holder_.extend_cancellation_freshness(time_.steady());
   EXPECT_EQ(handle_heartbeat(1, token()).status, 200);
 }
 
-// The user had received `cancelled`, and the task ended before it was stopped.
+// Guards against a job that ends as done after the user was told that it is cancelled. The task
+// completes before it can be stopped.
 TEST_F(ShardHolderTest, ACancelledJobWhoseTasksEndAsDoneStaysCancelled) {
   bind_and_start();
   handle_heartbeat(1, token(), task_status("running"));
@@ -203,7 +205,8 @@
   EXPECT_EQ(task().faults, 1U);
 }
 
-// Two failing jobs must not remove a machine that works.
+// Guards against the removal of a working machine because of two faulty jobs: the second failure
+// must not change the machine's state or the job that made it suspect.
 TEST_F(ShardHolderTest, AFailureOfASecondJobLeavesTheMachineSuspect) {
   handle_heartbeat(1, token());
   for (const char* job_id : {"req-1", "req-2"}) {
@@ -235,7 +238,8 @@
   EXPECT_EQ(machine_state("vm-1"), MachineState::quarantined);
 }
 
-// After the end of all controllers, tasks went where their image was not.
+// Guards against placement of tasks on machines without their image. The knowledge of the images
+// was lost when all controllers had ended.
 TEST_F(ShardHolderTest, CachedImagesAreStoredInTheMachinesRecord) {
   bind_and_start();
   handle_heartbeat(1, token(), task_status("running"));
@@ -245,7 +249,8 @@
   EXPECT_EQ(images[0].image, ImageId("img"));
 }
 
-// When writes are short every slice has its turn, and what waits for its own is decided only once.
+// Guards against starvation of slices while writes are limited. A slice that waits for its turn is
+// reconciled only when the turn comes, so that its change is decided once.
 TEST_F(ShardHolderTest, CommitsInFlightAreBoundedAndNoSliceStarves) {
   constexpr int kJobs = 40;
   handle_heartbeat(1, token());
--- a/tests/shard_process_pause_test.cpp
+++ b/tests/shard_process_pause_test.cpp
@@ -1,5 +1,5 @@
-// A shard holder whose process was paused: its machines are not silent, and it neither starts tasks
-// nor renews leases until its copy of the records is fresh again.
+// A shard holder whose process was paused does not mark its machines as silent. It neither starts
+// tasks nor renews leases until its cached records are fresh again.
 #include "support/shard_holder_fixture.hpp"
 
 namespace marblevale {
--- a/tests/suspect_machines_test.cpp
+++ b/tests/suspect_machines_test.cpp
@@ -1,5 +1,5 @@
-// Failures of tasks that may be the machine's fault or the job's: which machines are removed, which
-// are cleared.
+// A task may fail because of its machine or because of its job. These tests check which suspect
+// machines are removed and which are cleared.
 #include "support/leader_loop_fixture.hpp"
 
 namespace marblevale {
@@ -8,10 +8,11 @@
 class SuspectMachinesTest : public testing::LeaderLoopTest {
  protected:
   SuspectMachinesTest() {
-    set_limit(0.5);  // nothing new is released
+    set_limit(0.5);  // too low for any new release
   }
 
-  /// vm-1 is suspect since a task of req-1 failed on it; a task of req-2 failed there as well.
+  /// Makes vm-1 suspect because a task of req-1 failed on it; a task of req-2 has failed on vm-1 as
+  /// well.
   void set_two_jobs_failed_on_one_machine() {
     suspect_machine("vm-1", "req-1");
     for (const char* job_id : {"req-1", "req-2"}) {
@@ -54,7 +55,7 @@
 
 TEST_F(SuspectMachinesTest, AFaultyMachineIsRemovedWhenTheSecondJobRunsElsewhere) {
   set_two_jobs_failed_on_one_machine();
-  set_failed("req-1", "vm-2", 2);  // this job fails on every machine
+  set_failed("req-1", "vm-2", 2);  // req-1 fails on every machine
   machine("vm-3");
   set_running("req-2", "vm-3");
   run(Duration{7'000});
@@ -71,7 +72,8 @@
   EXPECT_EQ(cloud_.removed[0], MachineId("vm-1"));
 }
 
-// The task failed twice on the same faulty machine, which was then cleared.
+// Guards against clearing a faulty machine. A task that fails twice on the same machine is no
+// evidence that the job is at fault.
 TEST_F(SuspectMachinesTest, ASuspectMachineIsClearedOnlyByAFailureElsewhere) {
   suspect_machine("vm-1", "req-1");
   submit(testing::gang("req-1", 1, 1, 60));
--- a/tests/task_presence_test.cpp
+++ b/tests/task_presence_test.cpp
@@ -98,7 +98,7 @@
 }
 
 TEST(TaskEnd, SavedProgressIsKeptAndALostTaskResumesFromItsCheckpoint) {
-  const JobSpec job = testing::gang("req-1", 1, 1, 100);  // saves every 10 s
+  const JobSpec job = testing::gang("req-1", 1, 1, 100);  // writes a checkpoint every 10 s
   TaskRecord task = bound_task();
   task.running = testing::at(1);
   apply_task_end(task, job, TaskEndCause::preempted, true, testing::at(36));
--- a/tests/worker_partition_test.cpp
+++ b/tests/worker_partition_test.cpp
@@ -59,7 +59,8 @@
   handle_heartbeat(1, token(), "", "vm-2");
   run(Duration{600});
   ASSERT_EQ(machine_state("vm-1"), MachineState::up);
-  // Cut off from the state service; its workers have gone to the shard's new holder, but for one.
+  // The holder is cut off from the state service. All its workers but one have gone to the shard's
+  // new holder.
   watch_answers_ = false;
   for (int i = 0; i < 10; ++i) {
     handle_heartbeat(1, token(), "", "vm-2");
@@ -92,7 +93,7 @@
   release();
   run(Duration{50});
   ASSERT_EQ(task().state, TaskState::bound);
-  run(Duration{20'000});  // it hangs: the start can't show
+  run(Duration{20'000});  // the machine hangs, so the start cannot be reported
   handle_heartbeat(1, token());
   run(Duration{600});
   handle_heartbeat(1, token(), task_status("fetching"));
@@ -114,8 +115,8 @@
   run(Duration{8'000});
   EXPECT_EQ(holder_.unreachable_zones(), std::set<ZoneId>{ZoneId("a")})
       << "no report for 2.5 times";
-  handle_heartbeat(1, token(), "",
-                   "vm-2");  // the zone is in reach again: the first of its machines
+  // The first machine of the zone that is reachable again.
+  handle_heartbeat(1, token(), "", "vm-2");
   run(Duration{2'000});
   EXPECT_EQ(machine_state(), MachineState::up) << "the others have had no time to report";
 }
@@ -156,12 +157,12 @@
 
 TEST_F(WorkerPartitionTest, AMachineThatReceivesNoOrdersIsSilentAndKeepsItsTasks) {
   bind_and_start();
-  heartbeat_for(Duration{12'000}, 1);  // the start does not show in any of its reports
+  heartbeat_for(Duration{12'000}, 1);  // the start is missing from all its heartbeats
   EXPECT_EQ(machine_state(), MachineState::silent);
   EXPECT_EQ(task().state, TaskState::bound) << "its silence about the task proves nothing";
   heartbeat_for(Duration{9'000}, 1);
   EXPECT_EQ(machine_state(), MachineState::silent) << "reports alone do not bring it back";
-  // Its lease has lapsed, as it had to: that is the proof.
+  // The new epoch proves that the machine's lease has expired.
   handle_heartbeat(2, token());
   run(Duration{100});
   EXPECT_EQ(task().state, TaskState::idle);
@@ -179,7 +180,7 @@
   release();
   run(Duration{600});
   EXPECT_EQ(task().state, TaskState::released);
-  // Once an order has reached it, it is as good as any.
+  // Once an order has reached the machine, it is used like any other machine.
   run(Duration{2'500});
   answer_latest_order(200);
   handle_heartbeat(2, token());
@@ -189,14 +190,14 @@
 
 TEST_F(WorkerPartitionTest, AnIsolatedControllerYieldsToTheHolderThatAWorkerHasSeen) {
   handle_heartbeat(1, token());
-  watch_answers_ = false;  // neither the state service nor a peer reaches it
+  watch_answers_ = false;  // neither the state service nor a peer reaches this controller
   const auto own_token = token();
   put_shard("a", "other", 9, 2);
   run(Duration{1000});
   EXPECT_EQ(handle_heartbeat(1, own_token).status, 200)
       << "it may still be the holder, for all it knows";
-  // The new holder has introduced itself by a direct order: a 200 would be dropped, and the worker
-  // would stay here until its lease is over.
+  // The worker has received a direct order of the new holder. It would drop a 200, and would stay
+  // with this controller until its lease expires.
   EXPECT_EQ(handle_heartbeat(1, token()).status, 421);
 }
 
@@ -286,9 +287,8 @@
   give_shard("me", 7);
   const auto heartbeat_for_both = [&](Duration duration) {
     for (std::int64_t at = 0; at < duration.count(); at += 3000) {
-      handle_heartbeat(
-          1,
-          old_token);  // the task has ended and its end is lost, or this is an old heartbeat
+      // Either the end of the task is lost, or this heartbeat is old.
+      handle_heartbeat(1, old_token);
       handle_heartbeat(1, token(), "", "vm-2");
       run(Duration{3000});
     }
