--- a/src/shards/cancellation_deadlines.hpp
+++ b/src/shards/cancellation_deadlines.hpp
@@ -21,7 +21,8 @@
   CancellationDeadlines(const ShardContext& context, const ShardOwnership& shards)
       : context_(context), shards_(shards) {}
 
-  /// Logs a warning when `cancel_s` leaves too little time beyond the lease.
+  /// Logs a warning when `cancel_s` leaves less than one heartbeat interval beyond the lease and
+  /// the safety margin.
   void warn_if_tight() const;
   /// Records that all peers have attested that every cancellation confirmed up to `until` is known
   /// to this controller.
@@ -43,7 +44,7 @@
   /// together exceed `cancel_s`.
   [[nodiscard]] Duration cancel_time_beyond_lease() const;
   [[nodiscard]] Duration max_freshness_age_for_answer() const;
-  /// How old the knowledge of cancellations is.
+  /// The age of the knowledge of cancellations.
   [[nodiscard]] Duration freshness_age(SteadyTime now) const;
   /// Whether the worker runs, or may still start, a task whose job was cancelled at least `min_age`
   /// ago.
--- a/src/shards/heartbeat_handler.cpp
+++ b/src/shards/heartbeat_handler.cpp
@@ -94,7 +94,7 @@
     worker.reachability.on_heartbeat_received(token);
     machines_.record_heartbeat(heartbeat, worker);
   } else if (!worker.reachability.reachable_under(token)) {
-    work_.schedule_orders(heartbeat.machine_id);  // a probe tests whether commands arrive
+    work_.schedule_orders(heartbeat.machine_id);  // a probe checks whether commands arrive
     work_.schedule_round();
   }
 }
--- a/src/shards/machine_recorder.hpp
+++ b/src/shards/machine_recorder.hpp
@@ -10,7 +10,7 @@
 
 namespace marblevale {
 
-/// Why a holder changes a machine's state; for the log only.
+/// The reason for a change of a machine's state; it is only logged.
 enum class MachineStateReason {
   reclaim_announced,
   heartbeats_resumed,
--- a/src/shards/pending_work.hpp
+++ b/src/shards/pending_work.hpp
@@ -36,7 +36,7 @@
 
   /// Removes and returns the dirty slices; slices marked later belong to the next round.
   [[nodiscard]] std::set<SliceKey> take_dirty_slices();
-  /// Puts back slices that a round had no time for.
+  /// Puts back the slices that a round has not reconciled.
   void return_slices(std::set<SliceKey> slices) { dirty_slices_.merge(slices); }
   [[nodiscard]] std::set<MachineId> take_machines_awaiting_orders();
   [[nodiscard]] bool has_machines_awaiting_orders() const {
--- a/src/shards/reachability.hpp
+++ b/src/shards/reachability.hpp
@@ -53,7 +53,7 @@
   /// Returns true when a start that was sent repeatedly is missing from the worker's heartbeats.
   [[nodiscard]] bool has_missing_start(const WorkerStatus& status, SteadyTime now,
                                        Duration heartbeat_interval) const;
-  /// Sets `commands_unreachable`.
+  /// Sets the state to `commands_unreachable`; `evidence` is only logged.
   void mark_commands_unreachable(Evidence evidence);
   /// Excludes the time of a process pause from the wait for starts, because no start could be
   /// reported during the pause.
@@ -89,7 +89,7 @@
 
   MachineId machine_id_;
   State state_ = State::unconfirmed;
-  FencingToken confirmed_token_;  // of the latest evidence of reachability; none unless reachable
+  FencingToken confirmed_token_;  // of the latest evidence; none unless reachable
   SteadyTime last_answered_at_ = kNever;
   SteadyTime answered_without_gap_since_ = kNever;
   SteadyTime last_probe_ = kNever;
--- a/src/shards/shard_ownership.hpp
+++ b/src/shards/shard_ownership.hpp
@@ -22,7 +22,7 @@
   /// The shard's record names another holder than at the last refresh. The new holder may be this
   /// controller or another one.
   std::function<void(const ZoneId&)> holder_changed;
-  /// The commit of a token's renewal was answered, whatever the outcome.
+  /// The commit of a token's renewal was answered, with any outcome.
   std::function<void()> renewal_answered;
 };
 
@@ -38,7 +38,8 @@
 
   ShardOwnership(const ShardContext& context, Election& election, ShardEvents events);
 
-  /// Compares the records with the last refresh, and reports the differences as events.
+  /// Compares the records with the last refresh, and reports the differences as events. Takes over
+  /// the shards of an earlier incarnation of this controller by renewing their tokens.
   void refresh();
   [[nodiscard]] Ownership ownership(const ZoneId& zone) const;
   [[nodiscard]] bool holds(const ZoneId& zone) const { return ownership(zone) == Ownership::held; }
@@ -59,7 +60,7 @@
 
   /// Requests a higher fencing token, which voids all orders that are still in flight.
   void request_token_renewal(const ZoneId& zone) { requested_renewals_.insert(zone); }
-  /// Commits the requested renewals whose minimum interval has passed.
+  /// Commits the requested renewals of held shards whose minimum renewal interval has passed.
   void renew_requested_tokens(SteadyTime now);
 
  private:
--- a/src/shards/slice_reconciler.hpp
+++ b/src/shards/slice_reconciler.hpp
@@ -25,7 +25,8 @@
   SliceReconciler(const ShardContext& context, ShardOwnership& shards, WorkerRegistry& workers,
                   MachineRecorder& machines, const TaskBinder& binder, SliceCommits& commits);
 
-  /// Reconciles the slice's tasks in held shards. No commit of the slice may be in flight.
+  /// Reconciles the slice's tasks in held shards. Must not be called while a commit of the slice is
+  /// in flight.
   void reconcile(const SliceKey& key);
   /// Marks the slices with deferred commits, because these become due without a change of any
   /// record.
--- a/src/shards/task_binder.hpp
+++ b/src/shards/task_binder.hpp
@@ -1,4 +1,5 @@
-/// Chooses the machine for a released task and binds the task to the worker's epoch there.
+/// Chooses the machine for a released task and binds the task to the current epoch of the machine's
+/// worker.
 #pragma once
 
 #include <cstddef>
--- a/src/shards/task_presence.hpp
+++ b/src/shards/task_presence.hpp
@@ -13,7 +13,7 @@
 
 namespace marblevale {
 
-/// One start of one task.
+/// Identifies one start of a task.
 struct TaskAttempt {
   TaskId id;
   Attempt attempt;
@@ -26,12 +26,12 @@
   std::string address;
   WorkerEpoch epoch;
   HeartbeatSequence sequence;
-  FencingToken token;  // the highest that the worker has reported
+  FencingToken token;  // the highest token that the worker has reported
   std::map<TaskAttempt, ReportedTask> tasks;
   /// Starts sent to `/orders`, with their fencing tokens. Such a start may arrive minutes late, or
   /// twice, until the worker has seen a higher fencing token or begun another epoch.
   std::map<TaskAttempt, FencingToken> direct_starts;
-  /// The last heartbeat that was not the reply to an order.
+  /// Sequence number of the last heartbeat that was not the reply to an order.
   HeartbeatSequence last_own_heartbeat;
   /// Starts sent in the reply to a heartbeat, with that heartbeat's sequence number. The worker
   /// executes or drops the reply before its next own heartbeat. The worker's reply to an order does
--- a/src/shards/worker_registry.hpp
+++ b/src/shards/worker_registry.hpp
@@ -66,14 +66,14 @@
   /// longer send heartbeats.
   void forget_gone(SteadyTime now);
 
-  /// True for a known worker whose heartbeats are missing, or that commands do not reach.
+  /// Returns true for a known worker whose heartbeats are missing or that commands do not reach.
   [[nodiscard]] bool is_silent(const MachineId& machine_id) const;
   [[nodiscard]] bool is_heartbeating(const KnownWorker& worker, SteadyTime now) const {
     return now - worker.last_heartbeat_at < silence_limit();
   }
   /// Counts the known machines with a record, by zone, in held shards.
   [[nodiscard]] std::map<ZoneId, HeartbeatCounts> count_heartbeating(SteadyTime now) const;
-  /// Held zones without a machine that is reachable and sends heartbeats.
+  /// Returns the held zones without a machine that is reachable and sends heartbeats.
   [[nodiscard]] std::set<ZoneId> unreachable_zones() const;
   /// Must be called at each sweep, with the `interval` between sweeps. Time in which this process
   /// could not receive heartbeats does not count as silence of the workers.
@@ -92,7 +92,7 @@
   const ShardOwnership& shards_;
   Workers workers_;
   SteadyTime last_sweep_ = kLongAgo;
-  std::set<ZoneId> unreachable_zones_;  // at the last sweep
+  std::set<ZoneId> unreachable_zones_;  // as of the last sweep
 };
 
 }  // namespace marblevale
--- a/tests/gang_completion_test.cpp
+++ b/tests/gang_completion_test.cpp
@@ -34,7 +34,8 @@
 };
 
 TEST_F(GangCompletionTest, ARepeatedEndDoesNotFreeTasksThatStillFetchTheirImage) {
-  put_bound_gang(WallTime{});  // started again after its end, which no controller observed
+  // The gang was started again after its end, which no controller observed.
+  put_bound_gang(WallTime{});
   handle_heartbeat(1, token(), second_attempt("req-1/0", "ended", "done"), "vm-1");
   handle_heartbeat(1, token(), second_attempt("req-1/1", "fetching"), "vm-2");
   run(Duration{3'000});
--- a/tests/shard_process_pause_test.cpp
+++ b/tests/shard_process_pause_test.cpp
@@ -13,7 +13,7 @@
   run(Duration{600});
   ASSERT_EQ(machine_state("vm-1"), MachineState::up);
   time_.pause_process(Duration{51'000});
-  handle_heartbeat(1, token(), "", "vm-2");  // the first to send a heartbeat again
+  handle_heartbeat(1, token(), "", "vm-2");  // the first machine to send a heartbeat again
   run(Duration{1'000});
   EXPECT_EQ(machine_state("vm-1"), MachineState::up) << "it has had no time to report";
   for (int i = 0; i < 4; ++i) {
