--- a/src/leader/guarantee_writer.cpp
+++ b/src/leader/guarantee_writer.cpp
@@ -42,18 +42,19 @@
   for (const TaskRecord& task : slice.tasks) {
     if (!task.stop) continue;
     const std::string& reason = task.stop->reason;
-    auto& queued = notes_[job_id];
+    auto& queued_notes = notes_[job_id];
     if (recorded != guarantee_records.end() &&
         contains_text(recorded->second.record.notes, reason)) {
       continue;
     }
-    if (!contains_text(queued, reason)) queued.push_back({clock_.wall(), reason});
+    if (!contains_text(queued_notes, reason)) queued_notes.push_back({clock_.wall(), reason});
   }
 }
 
 void GuaranteeWriter::note(const JobId& job_id, std::string text) {
-  auto& queued = notes_[job_id];
-  if (queued.size() < kMaxQueuedNotes) queued.push_back({clock_.wall(), std::move(text)});
+  auto& queued_notes = notes_[job_id];
+  if (queued_notes.size() < kMaxQueuedNotes)
+    queued_notes.push_back({clock_.wall(), std::move(text)});
 }
 
 void GuaranteeWriter::flush(Reservations& reservations) {
@@ -122,11 +123,11 @@
     reservation.changed = false;
     reservation.last_recorded = now;
   }
-  std::vector<Note>& written = batch.notes[job_id];
-  if (const auto queued = notes_.find(job_id); queued != notes_.end()) {
-    written = std::move(queued->second);
-    for (const Note& note : written) record.note(note.at, note.what);
-    notes_.erase(queued);
+  std::vector<Note>& batch_notes = batch.notes[job_id];
+  if (const auto queued_notes = notes_.find(job_id); queued_notes != notes_.end()) {
+    batch_notes = std::move(queued_notes->second);
+    for (const Note& note : batch_notes) record.note(note.at, note.what);
+    notes_.erase(queued_notes);
   }
   // The job's guard: a guarantee record must not come back after the job has ended.
   batch.txn.guard(keys::job(job_id), job.mod_revision);
@@ -148,15 +149,15 @@
                 });
 }
 
-void GuaranteeWriter::requeue(const NotesByJob& failed, Reservations& reservations) {
-  for (const auto& [job_id, unwritten] : failed) {
+void GuaranteeWriter::requeue(const NotesByJob& failed_notes, Reservations& reservations) {
+  for (const auto& [job_id, unwritten] : failed_notes) {
     if (const auto it = reservations.find(job_id); it != reservations.end()) {
       it->second.changed = true;
     }
     // No reason may be lost: a user may ask for it.
-    auto& queued = notes_[job_id];
-    queued.insert(queued.begin(), unwritten.begin(), unwritten.end());
-    if (queued.empty()) notes_.erase(job_id);
+    auto& queued_notes = notes_[job_id];
+    queued_notes.insert(queued_notes.begin(), unwritten.begin(), unwritten.end());
+    if (queued_notes.empty()) notes_.erase(job_id);
   }
 }
 
--- a/src/leader/guarantee_writer.hpp
+++ b/src/leader/guarantee_writer.hpp
@@ -48,7 +48,7 @@
   void add_to_batch(Batch& batch, const JobId& job_id, const Versioned<JobRecord>& job,
                     Reservations& reservations, WallTime now);
   void commit(Batch batch, SteadyTime now, Reservations& reservations);
-  void requeue(const NotesByJob& failed, Reservations& reservations);
+  void requeue(const NotesByJob& failed_notes, Reservations& reservations);
 
   const Clock& clock_;
   WatchCache& cache_;
--- a/src/leader/job_cleanup.cpp
+++ b/src/leader/job_cleanup.cpp
@@ -35,8 +35,8 @@
   for (const auto& [job_id, job] : cache_.records().jobs) {
     if (job.record.cancelled || slice_count(job.record.spec) > 1) candidates.push_back(job_id);
     if (!job.record.cancelled) continue;
-    const Duration since = clock_.wall() - *job.record.cancelled;
-    if (since < scaled(settings_.workers.cancel, kCancelledDeletionShare)) continue;
+    const Duration time_since_cancelled = clock_.wall() - *job.record.cancelled;
+    if (time_since_cancelled < scaled(settings_.workers.cancel, kCancelledDeletionShare)) continue;
     delete_machines_of_cancelled(job_id);
   }
   for (const JobId& job_id : candidates) end_if_finished(job_id);
@@ -125,8 +125,8 @@
     if (!records.machines.contains(machine_id)) unrecorded.insert(machine_id);
   }
   for (const MachineId& machine_id : unrecorded) {
-    const WallTime since = unrecorded_since_.try_emplace(machine_id, now).first->second;
-    if (now - since <= kUnrecordedMachineTimeout) continue;
+    const WallTime first_seen = unrecorded_since_.try_emplace(machine_id, now).first->second;
+    if (now - first_seen <= kUnrecordedMachineTimeout) continue;
     autoscaler_.request_deletion(machine_id, DeletionReason::has_tasks_but_no_record);
   }
   std::erase_if(unrecorded_since_,
@@ -135,9 +135,10 @@
 
 void JobCleanup::remove_leftovers() {
   const auto& records = cache_.records();
-  const std::size_t live_and_left = records.slices.size() + records.guarantee_records.size();
-  const bool piled_up = live_and_left >= 2 * records.jobs.size() + kMaxLeftovers;
-  if (removal_in_flight_ || (cache_.write_slack() < kMinRemovalWriteSlack && !piled_up)) return;
+  const std::size_t record_count = records.slices.size() + records.guarantee_records.size();
+  const bool too_many_leftovers = record_count >= 2 * records.jobs.size() + kMaxLeftovers;
+  if (removal_in_flight_ || (cache_.write_slack() < kMinRemovalWriteSlack && !too_many_leftovers))
+    return;
   // A job whose record this version can't read has not ended.
   const auto has_ended = [&records](const JobId& job_id) {
     return !records.jobs.contains(job_id) && !records.unreadable.contains(keys::job(job_id));
--- a/src/leader/leader_loop.cpp
+++ b/src/leader/leader_loop.cpp
@@ -61,7 +61,7 @@
   // Rounds take at most about a third of the processor's share.
   const Duration since_last = clock_.steady() - last_round_end_;
   const Duration delay = std::max(
-      kMinRoundDelay, std::max(kChangeCoalesceInterval, last_round_took_ * 2) - since_last);
+      kMinRoundDelay, std::max(kChangeCoalesceInterval, last_round_duration_ * 2) - since_last);
   if (timer_.pending() && timer_due_ <= clock_.steady() + delay) return;
   arm_timer(delay);
 }
@@ -153,7 +153,7 @@
 
   if (!complete) metrics_.count("rounds cut short");
   last_round_end_ = clock_.steady();
-  last_round_took_ = last_round_end_ - begin;
+  last_round_duration_ = last_round_end_ - begin;
   if (!complete) schedule_round();
 }
 
@@ -164,7 +164,7 @@
 }
 
 Planner LeaderLoop::make_planner(SteadyTime round_begin) {
-  const Occupancy::Slices pending = releaser_.open().slices();
+  const Occupancy::Slices pending = releaser_.open_releases().slices();
   const WallTime now = clock_.wall();
   planning_.set_unreachable_zones(unreachable_zones_.current(cache_.records(), clock_.steady()),
                                   cache_.records());
@@ -173,9 +173,9 @@
     planning_.sync(cache_.records(), settings_, pending, autoscaler_.booting(), now);
   }
   std::vector<QueueItem> queue = build_current_queue(now);
-  std::unordered_set<JobId> queued;
-  for (const QueueItem& item : queue) queued.insert(item.job_id);
-  retain_only(queued);
+  std::unordered_set<JobId> queued_jobs;
+  for (const QueueItem& item : queue) queued_jobs.insert(item.job_id);
+  retain_only(queued_jobs);
   return planning_.lend_to_planner(std::move(queue), now, [this, round_begin](double share) {
     return clock_.steady() - round_begin > scaled(settings_.tuning.round_budget, share);
   });
@@ -186,15 +186,15 @@
   return build_queue(
       cache_.records(), settings_,
       [this](const JobId& job_id, std::uint32_t number) {
-        return releaser_.current(job_id, number);
+        return releaser_.current_slice(job_id, number);
       },
       now, releaser_.short_of_writes());
 }
 
-void LeaderLoop::retain_only(const std::unordered_set<JobId>& queued) {
-  releaser_.retain_only(queued);
-  quota_wait_notes_.retain_only(queued);
-  planning_.retain_only(queued);
+void LeaderLoop::retain_only(const std::unordered_set<JobId>& queued_jobs) {
+  releaser_.retain_only(queued_jobs);
+  quota_wait_notes_.retain_only(queued_jobs);
+  planning_.retain_only(queued_jobs);
 }
 
 bool LeaderLoop::plan_and_release(Planner& planner, SteadyTime round_begin) {
@@ -213,9 +213,9 @@
 
 void LeaderLoop::restore_reservations(Planner& planner, SteadyTime round_begin) {
   const auto timed = metrics_.time(Duty::restore);
-  for (const ReservationDelay& moved : planner.restore(preemptor_.pins(round_begin))) {
+  for (const ReservationDelay& delay : planner.restore(preemptor_.pins(round_begin))) {
     guarantee_writer_.note(
-        moved.job_id, "start moved " + std::to_string(whole_seconds(moved.to - moved.from)) +
+        delay.job_id, "start moved " + std::to_string(whole_seconds(delay.to - delay.from)) +
                           " s later: tasks before it overran, a machine was lost or out of reach, "
                           "or room was made there for a job that goes first");
   }
@@ -234,7 +234,7 @@
 void LeaderLoop::run_periodic_steps(const Planner& planner) {
   if (clock_.steady() - last_summary_ >= kSummaryInterval) {
     last_summary_ = clock_.steady();
-    log_round_summary(planner, releaser_.open().size(), clock_.wall());
+    log_round_summary(planner, releaser_.open_releases().size(), clock_.wall());
   }
   if (scale_out_planner_.due()) scale_out_planner_.plan(planner, planning_.reservations());
   if (quota_wait_notes_.due()) quota_wait_notes_.run(planner.queue());
--- a/src/leader/leader_loop.hpp
+++ b/src/leader/leader_loop.hpp
@@ -62,7 +62,7 @@
   [[nodiscard]] Planner make_planner(SteadyTime round_begin);
   [[nodiscard]] std::vector<QueueItem> build_current_queue(WallTime now);
   /// Drops what is remembered of jobs that wait no longer.
-  void retain_only(const std::unordered_set<JobId>& queued);
+  void retain_only(const std::unordered_set<JobId>& queued_jobs);
   /// Runs the planner within the round's budget, releases the starts, and preempts where nothing
   /// more could start. False: the budget ended before the queue did.
   bool plan_and_release(Planner& planner, SteadyTime round_begin);
@@ -96,7 +96,7 @@
   std::size_t compression_cursor_ = 0;
   SteadyTime timer_due_{};
   SteadyTime last_round_end_{};
-  Duration last_round_took_{};
+  Duration last_round_duration_{};
   SteadyTime last_summary_ = kLongAgo;
   Timer timer_;
 };
--- a/src/leader/open_releases.cpp
+++ b/src/leader/open_releases.cpp
@@ -132,7 +132,7 @@
   release.state = State::offered;
   release.holder = holder;
   release.offer_open = true;
-  release.open_since = now;
+  release.unknown_since = now;
   release.deadline = now + kOfferTimeout;
   return insert(std::move(release));
 }
@@ -197,7 +197,7 @@
       return;
     case Outcome::unknown:
       release.commit_open = true;
-      if (!release.open_since) release.open_since = now;
+      if (!release.unknown_since) release.unknown_since = now;
       release.deadline = now;
       release.refusals = 0;
       transition(id, release, State::unknown, Trigger::no_answer);
@@ -319,7 +319,7 @@
 std::vector<SliceKey> OpenReleases::unsettled_for(Duration min_time, SteadyTime now) const {
   std::vector<SliceKey> out;
   for (const auto& [id, release] : open_) {
-    if (!release.open_since || now - *release.open_since < min_time) continue;
+    if (!release.unknown_since || now - *release.unknown_since < min_time) continue;
     for (const GuardedSlice& slice : release.slices) out.push_back(slice.key);
   }
   return out;
--- a/src/leader/open_releases.hpp
+++ b/src/leader/open_releases.hpp
@@ -136,7 +136,7 @@
     bool commit_open = false;
     bool is_step = false;
     /// When its outcome was first known to be open.
-    std::optional<SteadyTime> open_since;
+    std::optional<SteadyTime> unknown_since;
     /// When `offered`, `unknown` or `refused` is left without any answer.
     SteadyTime deadline;
     /// What the records must have reached to show the answer.
--- a/src/leader/planning_state.cpp
+++ b/src/leader/planning_state.cpp
@@ -43,13 +43,14 @@
   occupancy_.sync(records, settings.teams, pending, booting, now);
 }
 
-void PlanningState::retain_only(const std::unordered_set<JobId>& queued) {
+void PlanningState::retain_only(const std::unordered_set<JobId>& queued_jobs) {
   std::erase_if(reservations_, [&](const auto& entry) {
-    if (queued.contains(entry.first)) return false;
+    if (queued_jobs.contains(entry.first)) return false;
     occupancy_.profile().release(owner_of(entry.first));
     return true;
   });
-  std::erase_if(failed_starts_, [&](const auto& entry) { return !queued.contains(entry.first); });
+  std::erase_if(failed_starts_,
+                [&](const auto& entry) { return !queued_jobs.contains(entry.first); });
 }
 
 Planner PlanningState::lend_to_planner(std::vector<QueueItem> queue, WallTime now,
--- a/src/leader/planning_state.hpp
+++ b/src/leader/planning_state.hpp
@@ -38,7 +38,7 @@
     occupancy_.set_unreachable_zones(zones, records);
   }
   /// Forgets reservations and failed starts of jobs that wait no longer.
-  void retain_only(const std::unordered_set<JobId>& queued);
+  void retain_only(const std::unordered_set<JobId>& queued_jobs);
 
   /// Lends the profile to a round's planner. `budget_spent` tells whether this share of the
   /// round's time is used up.
--- a/src/leader/preemptor.cpp
+++ b/src/leader/preemptor.cpp
@@ -26,7 +26,7 @@
 constexpr Duration kRetryInterval{12'000};
 /// A job that starts sooner by its reservation needs no preemption.
 constexpr Duration kMinWait{3'000};
-constexpr Duration kFreedRetention{60'000};
+constexpr Duration kFreedMachinesRetention{60'000};
 
 /// Time to save a checkpoint; none where saving takes longer than the work that is lost on average
 /// by not saving.
@@ -58,7 +58,7 @@
 
 PinnedMachines Preemptor::pins(SteadyTime now) const {
   PinnedMachines pins;
-  for (const auto& [job_id, freed] : freed_) {
+  for (const auto& [job_id, freed] : freed_by_job_) {
     if (now - freed.freed_at < kRetryInterval) pins.emplace(job_id, freed.machine_ids);
   }
   return pins;
@@ -66,24 +66,25 @@
 
 void Preemptor::run(const Planner& planner, const Reservations& reservations) {
   const SteadyTime now = clock_.steady();
-  if (now - last_run_ < std::max(kMinInterval, last_run_took_ * kIntervalToRunTime)) return;
+  if (now - last_run_ < std::max(kMinInterval, last_run_duration_ * kIntervalToRunTime)) return;
   const auto timed = metrics_.time(Duty::preempt);
   last_run_ = now;
   const auto guaranteed = guaranteed_jobs(cache_.records(), settings_);
   const WallTime wall = clock_.wall();
-  std::set<MachineId> claimed = claimed_machines(planner.queue(), now);
-  std::size_t tried = 0;
+  std::set<MachineId> claimed_machine_ids = claimed_machines(planner.queue(), now);
+  std::size_t jobs_tried = 0;
   for (const QueueItem& item : planner.queue()) {
     if (!may_preempt(item, reservations, now, wall)) continue;
-    if (++tried > kMaxJobsPerRun || clock_.steady() - now > kRunBudget) break;
-    const auto machine_ids = preempt_for(item, guaranteed, planner.profile(), claimed);
+    if (++jobs_tried > kMaxJobsPerRun || clock_.steady() - now > kRunBudget) break;
+    const auto machine_ids = preempt_for(item, guaranteed, planner.profile(), claimed_machine_ids);
     if (machine_ids.empty()) continue;
-    freed_[item.job_id] = {now, machine_ids};
-    claimed.insert(machine_ids.begin(), machine_ids.end());
+    freed_by_job_[item.job_id] = {now, machine_ids};
+    claimed_machine_ids.insert(machine_ids.begin(), machine_ids.end());
   }
-  last_run_took_ = clock_.steady() - now;
-  std::erase_if(freed_,
-                [&](const auto& entry) { return now - entry.second.freed_at > kFreedRetention; });
+  last_run_duration_ = clock_.steady() - now;
+  std::erase_if(freed_by_job_, [&](const auto& entry) {
+    return now - entry.second.freed_at > kFreedMachinesRetention;
+  });
 }
 
 bool Preemptor::may_preempt(const QueueItem& item, const Reservations& reservations, SteadyTime now,
@@ -98,39 +99,39 @@
 }
 
 bool Preemptor::freed_recently(const JobId& job_id, SteadyTime now) const {
-  const auto freed = freed_.find(job_id);
-  return freed != freed_.end() && now - freed->second.freed_at < kRetryInterval;
+  const auto freed = freed_by_job_.find(job_id);
+  return freed != freed_by_job_.end() && now - freed->second.freed_at < kRetryInterval;
 }
 
 std::set<MachineId> Preemptor::claimed_machines(const std::vector<QueueItem>& queue,
                                                 SteadyTime now) const {
   // Room that is being made for one job is not another's: otherwise all the others would wait for
   // it, and a burst of urgent jobs would get its room one job after the other.
-  std::set<JobId> waiting;
-  for (const QueueItem& item : queue) waiting.insert(item.job_id);
-  std::set<MachineId> claimed;
-  for (const auto& [job_id, freed] : freed_) {
-    if (now - freed.freed_at < kRetryInterval && waiting.contains(job_id)) {
-      claimed.insert(freed.machine_ids.begin(), freed.machine_ids.end());
+  std::set<JobId> waiting_jobs;
+  for (const QueueItem& item : queue) waiting_jobs.insert(item.job_id);
+  std::set<MachineId> claimed_machine_ids;
+  for (const auto& [job_id, freed] : freed_by_job_) {
+    if (now - freed.freed_at < kRetryInterval && waiting_jobs.contains(job_id)) {
+      claimed_machine_ids.insert(freed.machine_ids.begin(), freed.machine_ids.end());
     }
   }
-  return claimed;
+  return claimed_machine_ids;
 }
 
 std::vector<MachineId> Preemptor::preempt_for(const QueueItem& item,
                                               const std::unordered_set<JobId>& guaranteed,
                                               const Profile& profile,
-                                              const std::set<MachineId>& claimed) {
+                                              const std::set<MachineId>& claimed_machine_ids) {
   const Records& records = cache_.records();
-  const auto preemption =
-      select_victims(item, guaranteed, records, settings_, profile, clock_.wall(), claimed);
+  const auto preemption = select_victims(item, guaranteed, records, settings_, profile,
+                                         clock_.wall(), claimed_machine_ids);
   if (!preemption) return {};
   std::map<SliceKey, std::set<std::size_t>> victims_by_slice;
   for (const TaskId& id : preemption->victims) {
     victims_by_slice[{id.job_id, id.task_index / kSliceTasks}].insert(id.task_index % kSliceTasks);
   }
   for (const auto& [key, indices] : victims_by_slice) {
-    if (releaser_.open().contains(key)) return {};
+    if (releaser_.open_releases().contains(key)) return {};
   }
   const std::string reason = preemption_reason(item);
   for (const auto& [key, indices] : victims_by_slice) {
--- a/src/leader/preemptor.hpp
+++ b/src/leader/preemptor.hpp
@@ -26,7 +26,7 @@
             Releaser& releaser, GuaranteeWriter& guarantee_writer);
 
   /// Forgets which machines an earlier term has freed.
-  void begin_term() { freed_.clear(); }
+  void begin_term() { freed_by_job_.clear(); }
   /// True when preemption has not been tried for so long that it must not wait for a quiet round.
   [[nodiscard]] bool overdue(SteadyTime now) const;
   /// Tries the queue's jobs by priority, within a budget of jobs and time. Does nothing when the
@@ -52,7 +52,8 @@
   /// when there is nothing to stop.
   std::vector<MachineId> preempt_for(const QueueItem& item,
                                      const std::unordered_set<JobId>& guaranteed,
-                                     const Profile& profile, const std::set<MachineId>& claimed);
+                                     const Profile& profile,
+                                     const std::set<MachineId>& claimed_machine_ids);
 
   Metrics& metrics_;
   const Clock& clock_;
@@ -60,9 +61,9 @@
   const WatchCache& cache_;
   Releaser& releaser_;
   GuaranteeWriter& guarantee_writer_;
-  std::unordered_map<JobId, FreedMachines> freed_;
+  std::unordered_map<JobId, FreedMachines> freed_by_job_;
   SteadyTime last_run_ = kLongAgo;
-  Duration last_run_took_{};
+  Duration last_run_duration_{};
 };
 
 }  // namespace marblevale
--- a/src/leader/quota_waits.cpp
+++ b/src/leader/quota_waits.cpp
@@ -17,11 +17,11 @@
   Resources resources;
 };
 
-std::map<TeamId, UnsettledUse> unsettled_use_by_team(const Records& records,
-                                                     const TeamQuotaUsage& usage,
-                                                     const std::vector<SliceKey>& unsettled) {
+std::map<TeamId, UnsettledUse> unsettled_use_by_team(
+    const Records& records, const TeamQuotaUsage& usage,
+    const std::vector<SliceKey>& unsettled_slices) {
   std::map<TeamId, UnsettledUse> by_team;
-  for (const SliceKey& key : unsettled) {
+  for (const SliceKey& key : unsettled_slices) {
     const JobRecord* job = records.job(key.job_id);
     if (job == nullptr) continue;
     UnsettledUse& use =
@@ -36,11 +36,11 @@
 std::vector<QuotaWait> find_quota_waits(const std::vector<QueueItem>& queue,
                                         const Settings& settings, const Records& records,
                                         const TeamQuotaUsage& usage,
-                                        const std::vector<SliceKey>& unsettled,
+                                        const std::vector<SliceKey>& unsettled_slices,
                                         std::size_t max_waits) {
   std::vector<QuotaWait> waits;
-  if (unsettled.empty()) return waits;
-  const auto by_team = unsettled_use_by_team(records, usage, unsettled);
+  if (unsettled_slices.empty()) return waits;
+  const auto by_team = unsettled_use_by_team(records, usage, unsettled_slices);
   for (const QueueItem& item : queue) {
     if (waits.size() >= max_waits) break;
     const JobSpec& job = *item.demand.job;
@@ -66,19 +66,20 @@
       releaser_(releaser),
       guarantee_writer_(guarantee_writer) {}
 
-void QuotaWaitNotes::retain_only(const std::unordered_set<JobId>& queued) {
-  std::erase_if(noted_, [&](const JobId& job_id) { return !queued.contains(job_id); });
+void QuotaWaitNotes::retain_only(const std::unordered_set<JobId>& queued_jobs) {
+  std::erase_if(noted_jobs_, [&](const JobId& job_id) { return !queued_jobs.contains(job_id); });
 }
 
 bool QuotaWaitNotes::due() const { return clock_.steady() - last_run_ >= kCheckInterval; }
 
 void QuotaWaitNotes::run(const std::vector<QueueItem>& queue) {
   last_run_ = clock_.steady();
-  const auto unsettled = releaser_.open().unsettled_for(kMinUnsettledTime, last_run_);
-  const auto waits =
-      find_quota_waits(queue, settings_, cache_.records(), releaser_.usage(), unsettled, kMaxNotes);
+  const auto unsettled_slices =
+      releaser_.open_releases().unsettled_for(kMinUnsettledTime, last_run_);
+  const auto waits = find_quota_waits(queue, settings_, cache_.records(), releaser_.usage(),
+                                      unsettled_slices, kMaxNotes);
   for (const QuotaWait& wait : waits) {
-    if (!noted_.insert(wait.job_id).second) continue;
+    if (!noted_jobs_.insert(wait.job_id).second) continue;
     guarantee_writer_.note(wait.job_id, "waits for its team's limit: a release of " +
                                             wait.unsettled_job_id.get() +
                                             " has no answer yet, and counts until it is settled");
--- a/src/leader/quota_waits.hpp
+++ b/src/leader/quota_waits.hpp
@@ -28,7 +28,7 @@
 std::vector<QuotaWait> find_quota_waits(const std::vector<QueueItem>& queue,
                                         const Settings& settings, const Records& records,
                                         const TeamQuotaUsage& usage,
-                                        const std::vector<SliceKey>& unsettled,
+                                        const std::vector<SliceKey>& unsettled_slices,
                                         std::size_t max_waits);
 
 /// Writes a note, once for each job and time of waiting, for the jobs of `find_quota_waits`.
@@ -38,9 +38,9 @@
                  Releaser& releaser, GuaranteeWriter& guarantee_writer);
 
   /// Forgets which jobs have the note.
-  void begin_term() { noted_.clear(); }
+  void begin_term() { noted_jobs_.clear(); }
   /// Forgets jobs that wait no longer: they get the note again should they wait once more.
-  void retain_only(const std::unordered_set<JobId>& queued);
+  void retain_only(const std::unordered_set<JobId>& queued_jobs);
   /// True when the last check was long enough ago.
   [[nodiscard]] bool due() const;
   /// Looks through the queue and writes the notes.
@@ -53,7 +53,7 @@
   Releaser& releaser_;
   GuaranteeWriter& guarantee_writer_;
   SteadyTime last_run_{};
-  std::unordered_set<JobId> noted_;
+  std::unordered_set<JobId> noted_jobs_;
 };
 
 }  // namespace marblevale
--- a/src/leader/releaser.cpp
+++ b/src/leader/releaser.cpp
@@ -39,7 +39,7 @@
   usage_.reset();
 }
 
-const SliceRecord* Releaser::current(const JobId& job_id, std::uint32_t number) const {
+const SliceRecord* Releaser::current_slice(const JobId& job_id, std::uint32_t number) const {
   if (const SliceRecord* open = open_.slice({job_id, number})) return open;
   const auto* stored = cache_.records().slice(job_id, number);
   return stored == nullptr ? nullptr : &stored->record;
@@ -60,8 +60,9 @@
   }
 }
 
-void Releaser::retain_only(const std::unordered_set<JobId>& queued) {
-  std::erase_if(last_release_, [&](const auto& entry) { return !queued.contains(entry.first); });
+void Releaser::retain_only(const std::unordered_set<JobId>& queued_jobs) {
+  std::erase_if(last_release_,
+                [&](const auto& entry) { return !queued_jobs.contains(entry.first); });
 }
 
 bool Releaser::short_of_writes() const {
@@ -131,11 +132,11 @@
   const JobSpec& spec = job->spec;
   if (spec.shape != JobShape::array || !short_of_writes()) return true;
   const SteadyTime now = clock_.steady();
-  const auto last = last_release_.try_emplace(start.job_id, kLongAgo).first;
+  const auto last_release = last_release_.try_emplace(start.job_id, kLongAgo).first;
   const bool small =
       start.task_indices.size() < std::min<std::size_t>(kSmallStartTasks, spec.task_count);
-  if (small && now - last->second < kSmallStartInterval) return false;
-  last->second = now;
+  if (small && now - last_release->second < kSmallStartInterval) return false;
+  last_release->second = now;
   return true;
 }
 
@@ -148,12 +149,12 @@
   for (const Placement& placement : start.plan.placements) {
     ++counts[machines[placement.machine].zone];
   }
-  const auto most =
+  const auto largest_zone =
       std::max_element(counts.begin(), counts.end(),
                        [](const auto& a, const auto& b) { return a.second < b.second; });
   Start selected{start.job_id, {}, {}};
   for (std::size_t i = 0; i < start.task_indices.size(); ++i) {
-    if (machines[start.plan.placements[i].machine].zone != most->first) continue;
+    if (machines[start.plan.placements[i].machine].zone != largest_zone->first) continue;
     selected.plan.placements.push_back(start.plan.placements[i]);
     selected.task_indices.push_back(start.task_indices[i]);
   }
@@ -179,14 +180,14 @@
   return out;
 }
 
-Attempt Releaser::last_attempt(const JobSpec& job) const {
-  Attempt last{};
+Attempt Releaser::highest_attempt(const JobSpec& job) const {
+  Attempt highest{};
   for (std::uint32_t n = 0; n < slice_count(job); ++n) {
-    const SliceRecord* slice = current(job.job_id, n);
+    const SliceRecord* slice = current_slice(job.job_id, n);
     if (slice == nullptr) continue;
-    for (const TaskRecord& task : slice->tasks) last = std::max(last, task.attempt);
+    for (const TaskRecord& task : slice->tasks) highest = std::max(highest, task.attempt);
   }
-  return last;
+  return highest;
 }
 
 SliceRecord Releaser::make_released_slice(const JobSpec& job, std::uint32_t number,
@@ -200,14 +201,14 @@
     slice.tasks.resize(slice_size(job, number));
   }
   // The tasks of a gang find one another by their attempt: all have the same.
-  const Attempt of_gang = job.gang() ? last_attempt(job) : Attempt{};
+  const Attempt gang_attempt = job.gang() ? highest_attempt(job) : Attempt{};
   const WallTime now = clock_.wall();
   for (std::size_t i = 0; i < start.task_indices.size(); ++i) {
     if (start.task_indices[i] / kSliceTasks != number) continue;
     TaskRecord& task = slice.tasks.at(start.task_indices[i] % kSliceTasks);
     const PlanMachine& machine = planner.profile().machines()[start.plan.placements[i].machine];
     task.state = TaskState::released;
-    task.attempt = Attempt((job.gang() ? of_gang : task.attempt).get() + 1);
+    task.attempt = Attempt((job.gang() ? gang_attempt : task.attempt).get() + 1);
     task.zone = machine.zone;
     task.machine_id = machine.machine_id;
     task.since = now;
@@ -284,11 +285,12 @@
   for (const Placement& placement : start.plan.placements) {
     const auto shard = records.shards.find(planner.profile().machines()[placement.machine].zone);
     if (shard == records.shards.end()) return std::nullopt;
-    const ShardRecord& held = shard->second.record;
-    if (!records.alive(held.holder, held.incarnation) || (holder && *holder != held.holder)) {
+    const ShardRecord& shard_record = shard->second.record;
+    if (!records.alive(shard_record.holder, shard_record.incarnation) ||
+        (holder && *holder != shard_record.holder)) {
       return std::nullopt;
     }
-    holder = held.holder;
+    holder = shard_record.holder;
   }
   return holder;
 }
--- a/src/leader/releaser.hpp
+++ b/src/leader/releaser.hpp
@@ -51,7 +51,7 @@
   /// Settles what the records decide, and sends again what has been without an answer for too long.
   void settle_and_retry_due();
   /// Forgets what is remembered of jobs that wait no longer.
-  void retain_only(const std::unordered_set<JobId>& queued);
+  void retain_only(const std::unordered_set<JobId>& queued_jobs);
 
   /// Releases by priority, as far as the budget for writes allows; a later round plans the rest
   /// again.
@@ -65,9 +65,9 @@
   /// The budget for writes is short, here or at the holders that are to bind the open offers.
   [[nodiscard]] bool short_of_writes() const;
   /// The changes whose outcome is open.
-  [[nodiscard]] const OpenReleases& open() const { return open_; }
+  [[nodiscard]] const OpenReleases& open_releases() const { return open_; }
   /// The slice as the open changes would leave it, or else as it is recorded.
-  [[nodiscard]] const SliceRecord* current(const JobId& job_id, std::uint32_t number) const;
+  [[nodiscard]] const SliceRecord* current_slice(const JobId& job_id, std::uint32_t number) const;
   /// What the teams use of their quotas now.
   const TeamQuotaUsage& usage();
 
@@ -85,7 +85,7 @@
   [[nodiscard]] bool within_team_quota(const JobSpec& job, std::size_t tasks);
   void report_quota_exceeded(const JobSpec& job, const Resources& used, bool usage_known);
   /// The highest attempt of the job's tasks.
-  [[nodiscard]] Attempt last_attempt(const JobSpec& job) const;
+  [[nodiscard]] Attempt highest_attempt(const JobSpec& job) const;
   /// The slice, with those tasks of the start that belong to it released.
   [[nodiscard]] SliceRecord make_released_slice(const JobSpec& job, std::uint32_t number,
                                                 const Start& start, const Planner& planner) const;
--- a/src/leader/scale_out_planner.cpp
+++ b/src/leader/scale_out_planner.cpp
@@ -24,7 +24,7 @@
 
 bool ScaleOutPlanner::due() const {
   return clock_.steady() - last_run_ >=
-         std::max(kMinInterval, scaled(last_run_took_, kIntervalToRunTime));
+         std::max(kMinInterval, scaled(last_run_duration_, kIntervalToRunTime));
 }
 
 void ScaleOutPlanner::plan(const Planner& planner, const Reservations& reservations) {
@@ -46,7 +46,7 @@
   }
   autoscaler_.update_demand(std::move(demands), team_resources(profile),
                             machines_in_use(reservations, now));
-  last_run_took_ = clock_.steady() - last_run_;
+  last_run_duration_ = clock_.steady() - last_run_;
 }
 
 std::vector<ForecastEntry> ScaleOutPlanner::forecast(const Planner& planner,
@@ -115,10 +115,10 @@
   // Where estimates are too low, room is always about to become free. A job that has waited for a
   // while is expected to wait as long again, unless machines are booting already.
   const Duration waited = now - item.accepted;
-  Demand one = item.demand;
-  one.tasks = 1;
+  Demand single_task = item.demand;
+  single_task.tasks = 1;
   if (!machines_booting && waited > std::max(wait, kMaxStartDelay) &&
-      !profile.may_fit_beside_running(one, now)) {
+      !profile.may_fit_beside_running(single_task, now)) {
     wait = waited;
     late_tasks = item.demand.tasks;
   }
--- a/src/leader/scale_out_planner.hpp
+++ b/src/leader/scale_out_planner.hpp
@@ -48,7 +48,7 @@
   const Settings& settings_;
   Autoscaler& autoscaler_;
   SteadyTime last_run_ = kLongAgo;
-  Duration last_run_took_{};
+  Duration last_run_duration_{};
 };
 
 }  // namespace marblevale
--- a/src/leader/shard_assigner.cpp
+++ b/src/leader/shard_assigner.cpp
@@ -14,13 +14,13 @@
 constexpr Duration kMinHomeUptime{6'000};
 /// A leader keeps its own shard for this long before it hands it to another controller of its zone:
 /// where leaders change again and again, shards would move with each.
-constexpr Duration kLeaderKeepsShard{20'000};
+constexpr Duration kLeaderHandoverDelay{20'000};
 /// The home node can't tell whether its workers reach it again but by being given the shard, and
 /// each try costs its machines some of their leases. So the length of an absence backs off.
-constexpr Duration kFirstAbsence{45'000};
-constexpr Duration kMaxAbsence{180'000};
+constexpr Duration kFirstFailbackDelay{45'000};
+constexpr Duration kMaxFailbackDelay{180'000};
 /// Within this time after an absence has begun, the next one is twice as long.
-constexpr Duration kRelapseWindow{300'000};
+constexpr Duration kRepeatedMoveWindow{300'000};
 constexpr Duration kMisroutedHeartbeatMaxAge{3'000};
 }  // namespace
 
@@ -38,8 +38,8 @@
 
 void ShardAssigner::begin() { timer_.start(kReconcileInterval); }
 
-void ShardAssigner::note_misrouted_heartbeat(const ZoneId& zone, const NodeId& witness) {
-  misrouted_heartbeats_[zone] = {witness, clock_.steady()};
+void ShardAssigner::note_misrouted_heartbeat(const ZoneId& zone, const NodeId& receiver) {
+  misrouted_heartbeats_[zone] = {receiver, clock_.steady()};
   timer_.start(Duration{0});
 }
 
@@ -57,17 +57,17 @@
   term_ = election_.term();
   leading_since_ = clock_.steady();
   // Between two terms nobody has watched the controllers.
-  node_lives_.clear();
+  node_uptimes_.clear();
 }
 
 void ShardAssigner::track_live_nodes() {
   const auto& nodes = cache_.records().nodes;
   // A controller that was cut off and is back begins anew, though its incarnation is the same.
-  std::erase_if(node_lives_, [&](const auto& entry) { return !nodes.contains(entry.first); });
+  std::erase_if(node_uptimes_, [&](const auto& entry) { return !nodes.contains(entry.first); });
   for (const auto& [node, stored] : nodes) {
-    NodeLife& life = node_lives_[node];
-    if (life.incarnation != stored.record.incarnation) {
-      life = {stored.record.incarnation, clock_.steady()};
+    NodeUptime& uptime = node_uptimes_[node];
+    if (uptime.incarnation != stored.record.incarnation) {
+      uptime = {stored.record.incarnation, clock_.steady()};
     }
   }
 }
@@ -76,11 +76,12 @@
   const Records& records = cache_.records();
   const auto it = records.shards.find(zone);
   const Versioned<ShardRecord>* current = it == records.shards.end() ? nullptr : &it->second;
-  const ShardRecord* held = current == nullptr ? nullptr : &current->record;
-  const auto holder = choose_holder(zone, held);
+  const ShardRecord* shard = current == nullptr ? nullptr : &current->record;
+  const auto holder = choose_holder(zone, shard);
   if (!holder) return;
   const NodeRecord& node = records.nodes.at(*holder).record;
-  if (held != nullptr && held->holder == *holder && held->incarnation == node.incarnation) return;
+  if (shard != nullptr && shard->holder == *holder && shard->incarnation == node.incarnation)
+    return;
   commit_assignment(zone, current, *holder, node.incarnation, node.shard_lease_id);
 }
 
@@ -98,37 +99,38 @@
                 [this, zone](const CommitResult&) { commits_in_flight_.erase(zone); });
 }
 
-std::optional<NodeId> ShardAssigner::choose_holder(const ZoneId& zone, const ShardRecord* held) {
+std::optional<NodeId> ShardAssigner::choose_holder(const ZoneId& zone, const ShardRecord* shard) {
   const SteadyTime now = clock_.steady();
   const bool holder_alive =
-      held != nullptr && cache_.records().alive(held->holder, held->incarnation);
-  if (auto witness = take_witness(zone, held, now)) return witness;
-
-  if (auto home = home_node(zone, held); home && !is_absent(zone, now)) {
-    if (!holder_alive || held->holder == *home) return home;
-    const bool newly_leading = held->holder == settings_.node && zone == settings_.zone &&
-                               now - leading_since_ < kLeaderKeepsShard;
-    if (!newly_leading && now - node_lives_[*home].alive_since > kMinHomeUptime) return home;
+      shard != nullptr && cache_.records().alive(shard->holder, shard->incarnation);
+  if (auto receiver = take_heartbeat_receiver(zone, shard, now)) return receiver;
+
+  if (auto home = home_node(zone, shard); home && !is_failback_delayed(zone, now)) {
+    if (!holder_alive || shard->holder == *home) return home;
+    const bool newly_leading = shard->holder == settings_.node && zone == settings_.zone &&
+                               now - leading_since_ < kLeaderHandoverDelay;
+    if (!newly_leading && now - node_uptimes_[*home].alive_since > kMinHomeUptime) return home;
   }
-  if (holder_alive) return held->holder;
+  if (holder_alive) return shard->holder;
   return least_loaded_node(zone);
 }
 
-std::optional<NodeId> ShardAssigner::take_witness(const ZoneId& zone, const ShardRecord* held,
-                                                  SteadyTime now) {
+std::optional<NodeId> ShardAssigner::take_heartbeat_receiver(const ZoneId& zone,
+                                                             const ShardRecord* shard,
+                                                             SteadyTime now) {
   const auto it = misrouted_heartbeats_.find(zone);
   if (it == misrouted_heartbeats_.end() || now - it->second.noted_at >= kMisroutedHeartbeatMaxAge) {
     return std::nullopt;
   }
-  std::optional<NodeId> witness = std::move(it->second.witness);
+  std::optional<NodeId> receiver = std::move(it->second.receiver);
   misrouted_heartbeats_.erase(it);
-  const bool alive = cache_.records().nodes.contains(*witness);
-  if (!alive || held == nullptr || held->holder == *witness) return std::nullopt;
-  begin_absence(zone, now);
-  return witness;
+  const bool alive = cache_.records().nodes.contains(*receiver);
+  if (!alive || shard == nullptr || shard->holder == *receiver) return std::nullopt;
+  begin_failback_delay(zone, now);
+  return receiver;
 }
 
-std::optional<NodeId> ShardAssigner::home_node(const ZoneId& zone, const ShardRecord* held) const {
+std::optional<NodeId> ShardAssigner::home_node(const ZoneId& zone, const ShardRecord* shard) const {
   // A leader has work enough: it holds its zone's shard only as the zone's only live controller.
   const auto& live_nodes = cache_.records().nodes;
   std::vector<NodeId> zone_nodes;
@@ -138,7 +140,7 @@
   }
   const auto rank = [&](const NodeId& node) {
     const bool is_leader = node == settings_.node;
-    const bool is_holder = held != nullptr && held->holder == node;
+    const bool is_holder = shard != nullptr && shard->holder == node;
     return std::make_tuple(is_leader, !is_holder, node);
   };
   std::optional<NodeId> best;
@@ -149,16 +151,18 @@
   return best;
 }
 
-bool ShardAssigner::is_absent(const ZoneId& zone, SteadyTime now) const {
-  const auto absence = absences_.find(zone);
-  return absence != absences_.end() && now - absence->second.since <= absence->second.length;
+bool ShardAssigner::is_failback_delayed(const ZoneId& zone, SteadyTime now) const {
+  const auto delay = failback_delays_.find(zone);
+  return delay != failback_delays_.end() && now - delay->second.since <= delay->second.length;
 }
 
-void ShardAssigner::begin_absence(const ZoneId& zone, SteadyTime now) {
-  const auto last = absences_.find(zone);
-  const bool relapse = last != absences_.end() && now - last->second.since < kRelapseWindow;
-  const Duration length = relapse ? std::min(last->second.length * 2, kMaxAbsence) : kFirstAbsence;
-  absences_[zone] = {now, length};
+void ShardAssigner::begin_failback_delay(const ZoneId& zone, SteadyTime now) {
+  const auto last = failback_delays_.find(zone);
+  const bool repeated_move =
+      last != failback_delays_.end() && now - last->second.since < kRepeatedMoveWindow;
+  const Duration length =
+      repeated_move ? std::min(last->second.length * 2, kMaxFailbackDelay) : kFirstFailbackDelay;
+  failback_delays_[zone] = {now, length};
 }
 
 std::optional<NodeId> ShardAssigner::least_loaded_node(const ZoneId& zone) const {
--- a/src/leader/shard_assigner.hpp
+++ b/src/leader/shard_assigner.hpp
@@ -30,20 +30,20 @@
   void begin();
   /// The controller `witness` keeps getting heartbeats from workers of the zone that can't reach
   /// the shard's holder.
-  void note_misrouted_heartbeat(const ZoneId& zone, const NodeId& witness);
+  void note_misrouted_heartbeat(const ZoneId& zone, const NodeId& receiver);
 
  private:
   struct MisroutedHeartbeat {
-    NodeId witness;
+    NodeId receiver;
     SteadyTime noted_at;
   };
   /// Since when this leader has seen the controller alive, in one incarnation.
-  struct NodeLife {
+  struct NodeUptime {
     ProcessIncarnation incarnation;
     SteadyTime alive_since;
   };
   /// For how long a shard stays away from its home node after a move for cause.
-  struct Absence {
+  struct FailbackDelay {
     SteadyTime since;
     Duration length{};
   };
@@ -56,12 +56,13 @@
                          const NodeId& holder, ProcessIncarnation incarnation, LeaseId lease);
 
   /// The controller that should hold the zone's shard; none when none is alive.
-  [[nodiscard]] std::optional<NodeId> choose_holder(const ZoneId& zone, const ShardRecord* held);
+  [[nodiscard]] std::optional<NodeId> choose_holder(const ZoneId& zone, const ShardRecord* shard);
   /// The witness of recent misrouted heartbeats, if the shard is to move to it.
-  std::optional<NodeId> take_witness(const ZoneId& zone, const ShardRecord* held, SteadyTime now);
-  [[nodiscard]] std::optional<NodeId> home_node(const ZoneId& zone, const ShardRecord* held) const;
-  [[nodiscard]] bool is_absent(const ZoneId& zone, SteadyTime now) const;
-  void begin_absence(const ZoneId& zone, SteadyTime now);
+  std::optional<NodeId> take_heartbeat_receiver(const ZoneId& zone, const ShardRecord* shard,
+                                                SteadyTime now);
+  [[nodiscard]] std::optional<NodeId> home_node(const ZoneId& zone, const ShardRecord* shard) const;
+  [[nodiscard]] bool is_failback_delayed(const ZoneId& zone, SteadyTime now) const;
+  void begin_failback_delay(const ZoneId& zone, SteadyTime now);
   /// The live controller that holds the fewest other shards.
   [[nodiscard]] std::optional<NodeId> least_loaded_node(const ZoneId& zone) const;
 
@@ -69,11 +70,11 @@
   const Settings& settings_;
   WatchCache& cache_;
   Election& election_;
-  ModRevision term_;  // of which `leading_since_` and `node_lives_` are
+  ModRevision term_;  // of which `leading_since_` and `node_uptimes_` are
   SteadyTime leading_since_{};
-  std::map<NodeId, NodeLife> node_lives_;
+  std::map<NodeId, NodeUptime> node_uptimes_;
   std::map<ZoneId, MisroutedHeartbeat> misrouted_heartbeats_;
-  std::map<ZoneId, Absence> absences_;
+  std::map<ZoneId, FailbackDelay> failback_delays_;
   std::set<ZoneId> commits_in_flight_;
   Timer timer_;
 };
--- a/src/leader/starvation_check.cpp
+++ b/src/leader/starvation_check.cpp
@@ -32,22 +32,22 @@
                           const std::set<ZoneId>& unreachable_zones) {
   last_run_ = clock_.steady();
   const Round round{planner, reservations, unreachable_zones};
-  const auto found = find_starved(cache_.records(), settings_, clock_.wall(), kMinStarvedWait,
-                                  kMinOutOfUse, kMaxStarvedJobs);
+  const auto starved_jobs = find_starved(cache_.records(), settings_, clock_.wall(),
+                                         kMinStarvedWait, kMinOutOfUse, kMaxStarvedJobs);
   std::set<JobId> still_starved;
   bool profile_is_wrong = false;
-  for (const StarvedJob& job : found) {
+  for (const StarvedJob& job : starved_jobs) {
     still_starved.insert(job.job_id);
-    Waiting& waiting = waiting_.try_emplace(job.job_id, Waiting{last_run_, {}}).first->second;
-    if (last_run_ - waiting.first_found_at < kConfirmTime) continue;
-    if (last_run_ - waiting.last_logged_at < kLogInterval) continue;
-    waiting.last_logged_at = last_run_;
+    Finding& finding = findings_.try_emplace(job.job_id, Finding{last_run_, {}}).first->second;
+    if (last_run_ - finding.first_found_at < kConfirmTime) continue;
+    if (last_run_ - finding.last_logged_at < kLogInterval) continue;
+    finding.last_logged_at = last_run_;
     const Cause cause = explain(job, round);
     spdlog::warn("leader: job_starved job={} waited_s={} free_machine={} cause=\"{}\"",
                  job.job_id.get(), whole_seconds(job.waited), job.machine_id.get(), cause.text);
     profile_is_wrong = profile_is_wrong || cause.profile_is_wrong;
   }
-  std::erase_if(waiting_, [&](const auto& entry) { return !still_starved.contains(entry.first); });
+  std::erase_if(findings_, [&](const auto& entry) { return !still_starved.contains(entry.first); });
   return profile_is_wrong;
 }
 
@@ -70,15 +70,15 @@
 std::optional<StarvationCheck::Cause> StarvationCheck::find_unsettled_release(
     const StarvedJob& job) const {
   const Records& records = cache_.records();
-  const OpenReleases& open = releaser_.open();
+  const OpenReleases& open_releases = releaser_.open_releases();
   const JobSpec& spec = records.job(job.job_id)->spec;
   for (std::uint32_t n = 0; n < slice_count(spec); ++n) {
-    const auto state = open.state(SliceKey{job.job_id, n});
+    const auto state = open_releases.state(SliceKey{job.job_id, n});
     if (!state) continue;
     return Cause{*state == OpenReleases::State::offered ? "an offer has not been settled"
                                                         : "a release has not been settled"};
   }
-  for (const SliceKey& key : open.unsettled_for(kMinUnsettledTime, clock_.steady())) {
+  for (const SliceKey& key : open_releases.unsettled_for(kMinUnsettledTime, clock_.steady())) {
     const JobRecord* other = records.job(key.job_id);
     if (other != nullptr && other->spec.team == spec.team) {
       return Cause{"a release of its team has not been settled"};
--- a/src/leader/starvation_check.hpp
+++ b/src/leader/starvation_check.hpp
@@ -22,7 +22,7 @@
                   const Releaser& releaser);
 
   /// Forgets what an earlier term has found.
-  void begin_term() { waiting_.clear(); }
+  void begin_term() { findings_.clear(); }
   /// True when the last check was long enough ago.
   [[nodiscard]] bool due() const;
   /// True when a job waits for no reason that the records show: the profile has gone wrong.
@@ -36,7 +36,7 @@
     /// The cause lies in the planner's profile: the records show no reason.
     bool profile_is_wrong = false;
   };
-  struct Waiting {
+  struct Finding {
     SteadyTime first_found_at;
     SteadyTime last_logged_at;
   };
@@ -56,7 +56,7 @@
   const WatchCache& cache_;
   const Releaser& releaser_;
   SteadyTime last_run_{};
-  std::map<JobId, Waiting> waiting_;
+  std::map<JobId, Finding> findings_;
 };
 
 }  // namespace marblevale
--- a/tests/leader_cache_test.cpp
+++ b/tests/leader_cache_test.cpp
@@ -19,9 +19,9 @@
   txn.put(keys::job(spec.job_id), encode(JobRecord{spec, time_.wall(), std::nullopt}));
   cache_.commit(RequestPriority::submission, txn, [](const CommitResult&) {});
   store_.hold_answers = false;
-  Transaction over;
-  over.remove(keys::job(spec.job_id));
-  store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
+  Transaction removal;
+  removal.remove(keys::job(spec.job_id));
+  store_.commit(RequestPriority::binding, removal, [](const CommitResult&) {});
   run(Duration{50});
   store_.deliver_held_answers();
   EXPECT_FALSE(cache_.records().jobs.contains(spec.job_id));
--- a/tests/leader_failover_test.cpp
+++ b/tests/leader_failover_test.cpp
@@ -63,15 +63,16 @@
   ASSERT_FALSE(cloud_.removed.empty());
   cloud_.removes = true;
   outage(Duration{2'000});
-  const std::size_t asked = cloud_.removed.size();
+  const std::size_t requests_before = cloud_.removed.size();
   outage(Duration{15'000});
-  EXPECT_EQ(cloud_.removed.size(), asked) << "once it was answered, that is enough";
+  EXPECT_EQ(cloud_.removed.size(), requests_before) << "once it was answered, that is enough";
   for (const MachineId& machine_id : cloud_.removed) EXPECT_EQ(machine_id, MachineId("vm-1"));
   EXPECT_EQ(tasks("req-1").at(0).state, TaskState::bound) << "what is not recorded is no proof";
   EXPECT_EQ(machine_state("vm-1"), MachineState::up);
   run(Duration{3'000});
   EXPECT_EQ(machine_state("vm-1"), MachineState::gone);
-  EXPECT_GT(cloud_.removed.size(), asked) << "after it was recorded, the deletion is asked again";
+  EXPECT_GT(cloud_.removed.size(), requests_before)
+      << "after it was recorded, the deletion is asked again";
   EXPECT_EQ(machine_state("vm-2"), MachineState::up);
 }
 
@@ -85,15 +86,15 @@
   run(Duration{3'000});
   ASSERT_EQ(cloud_.provisioning_requests.size(), 1U);
   const std::string key = keys::provisioning_request(cloud_.provisioning_requests[0]);
-  const auto asked = store_.get(key);
-  ASSERT_TRUE(asked);
+  const auto stored_request = store_.get(key);
+  ASSERT_TRUE(stored_request);
   Transaction txn;
   txn.remove(keys::kLeader);
   store_.commit(RequestPriority::lease, txn, [](const CommitResult&) {});
   run(Duration{100});
   ASSERT_FALSE(election_.is_established_leader()) << "the others may stand first";
   cloud_.answer_provisioning();
-  EXPECT_EQ(store_.get(key)->mod_revision, asked->mod_revision);
+  EXPECT_EQ(store_.get(key)->mod_revision, stored_request->mod_revision);
   cloud_.hold_provisioning = false;
   run(Duration{3'000});
   ASSERT_TRUE(election_.is_established_leader());
@@ -143,7 +144,7 @@
 TEST_F(LeaderFailoverTest, JobsAreReleasedOnceThroughTenFailovers) {
   machine("vm-1");
   begin();
-  std::vector<std::string> begun;
+  std::vector<std::string> released_jobs;
   for (int i = 0; i < 10; ++i) {
     const std::string job_id = "req-" + std::to_string(i);
     submit(testing::gang(job_id, 1, 2, 60));  // as much as the team may take
@@ -162,13 +163,13 @@
     ASSERT_EQ(tasks(job_id).size(), 1U) << job_id;
     EXPECT_EQ(tasks(job_id)[0].state, TaskState::released) << job_id;
     EXPECT_EQ(tasks(job_id)[0].attempt, Attempt(1)) << job_id << " was released once";
-    begun.push_back(job_id);
-    Transaction over;  // it ends
-    over.remove(keys::slice(JobId(job_id), 0)).remove(keys::job(JobId(job_id)));
-    store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
+    released_jobs.push_back(job_id);
+    Transaction removal;  // it ends
+    removal.remove(keys::slice(JobId(job_id), 0)).remove(keys::job(JobId(job_id)));
+    store_.commit(RequestPriority::binding, removal, [](const CommitResult&) {});
     run(Duration{200});
   }
-  EXPECT_EQ(begun.size(), 10U);
+  EXPECT_EQ(released_jobs.size(), 10U);
 }
 
 TEST_F(LeaderFailoverTest, AFailoverDoesNotMoveShards) {
--- a/tests/leader_loop_test.cpp
+++ b/tests/leader_loop_test.cpp
@@ -79,12 +79,12 @@
   submit(testing::gang("req-1", 1, 1, 60));
   run(Duration{200});
   GuaranteeWriter writer(time_, cache_, election_);
-  Reservations none;
+  Reservations no_reservations;
   writer.note(JobId("req-1"), "displaced for req-7 (urgent)");
   store_.scripts = {Script::refuse};
-  writer.flush(none);
+  writer.flush(no_reservations);
   EXPECT_EQ(notes("req-1"), std::vector<std::string>{});
-  writer.flush(none);
+  writer.flush(no_reservations);
   EXPECT_EQ(notes("req-1"), std::vector<std::string>{"displaced for req-7 (urgent)"});
 }
 
@@ -209,15 +209,17 @@
   submit(testing::gang("req-1", 1, 1, 60));
   GuaranteeRecord guarantee_record;
   guarantee_record.job_id = JobId("req-1");
-  const WallTime promised = time_.wall() + Duration{700'000};
-  guarantee_record.guarantees = {{0, promised, promised, promised + Duration{60'000}}};
+  const WallTime guaranteed_start = time_.wall() + Duration{700'000};
+  guarantee_record.guarantees = {
+      {0, guaranteed_start, guaranteed_start, guaranteed_start + Duration{60'000}}};
   store_.put(keys::guarantee_record(guarantee_record.job_id),
              encode(guarantee_record, testing::kValueBytes));
   begin();
   run(Duration{1000});
-  const auto& kept = cache_.records().guarantee_records.at(JobId("req-1")).record.guarantees.at(0);
-  EXPECT_EQ(kept.first, promised);
-  EXPECT_LE(kept.start, promised);
+  const auto& stored_guarantee =
+      cache_.records().guarantee_records.at(JobId("req-1")).record.guarantees.at(0);
+  EXPECT_EQ(stored_guarantee.first, guaranteed_start);
+  EXPECT_LE(stored_guarantee.start, guaranteed_start);
 }
 
 }  // namespace
--- a/tests/open_releases_test.cpp
+++ b/tests/open_releases_test.cpp
@@ -44,12 +44,12 @@
     return out;
   }
 
-  ReleaseId sent() {
+  ReleaseId add_sent() {
     const ReleaseId id = releases_.add(request(), cache_.records());
     releases_.mark_sent(id, RecordSize{});
     return id;
   }
-  ReleaseId offered() {
+  ReleaseId add_offered() {
     return releases_.add_offer(request(), cache_.records(), NodeId("n1"), time_.steady());
   }
 
@@ -75,13 +75,13 @@
 };
 
 TEST_F(OpenReleasesTest, IsResolvedWhenAllItsCommitsWereRefused) {
-  answer(sent(), Outcome::refused);
+  answer(add_sent(), Outcome::refused);
   EXPECT_TRUE(open_after(Duration{100})) << "it rests for a while";
   EXPECT_FALSE(open_after(Duration{500}));
 }
 
 TEST_F(OpenReleasesTest, StaysOpenWhenOnlyTheRetryIsRefused) {
-  const ReleaseId id = sent();
+  const ReleaseId id = add_sent();
   answer(id, Outcome::unknown);
   for (int i = 0; i < 20; ++i) {
     time_.advance(Duration{5'000});
@@ -96,7 +96,7 @@
 }
 
 TEST_F(OpenReleasesTest, RefusedRetriesBackOff) {
-  const ReleaseId id = sent();
+  const ReleaseId id = add_sent();
   answer(id, Outcome::unknown);
   std::vector<std::int64_t> pauses;
   for (int i = 0; i < 6; ++i) {
@@ -110,7 +110,7 @@
 }
 
 TEST_F(OpenReleasesTest, AConflictResolvesItOnceTheCacheHasItsRevision) {
-  const ReleaseId id = sent();
+  const ReleaseId id = add_sent();
   answer(id, Outcome::conflict, Revision(cache_.revision().get() + 1));
   EXPECT_TRUE(open_after(Duration{60'000})) << "what made a guard fail is not in the records yet";
   store_.put("mv/grants/req-9",
@@ -120,28 +120,28 @@
 }
 
 TEST_F(OpenReleasesTest, ANewRevisionOfTheSliceResolvesIt) {
-  answer(sent(), Outcome::unknown);
+  answer(add_sent(), Outcome::unknown);
   store_.put(keys::slice(kJob, 0), encode(request().slices[0]));
   update_cache();
   EXPECT_FALSE(open_after(Duration{0}));
 }
 
 TEST_F(OpenReleasesTest, ANewRevisionOfTheJobOrItsEndResolvesIt) {
-  answer(sent(), Outcome::unknown);
+  answer(add_sent(), Outcome::unknown);
   store_.put(keys::job(kJob), encode(JobRecord{testing::gang("req-1", 2, 1, 60), {}, {}}));
   update_cache();
   EXPECT_FALSE(open_after(Duration{0}));
-  answer(sent(), Outcome::unknown);
-  Transaction over;
-  over.remove(keys::job(kJob));
-  store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
+  answer(add_sent(), Outcome::unknown);
+  Transaction removal;
+  removal.remove(keys::job(kJob));
+  store_.commit(RequestPriority::binding, removal, [](const CommitResult&) {});
   update_cache();
   EXPECT_FALSE(open_after(Duration{0}));
 }
 
 // Read page by page, the records may have one slice of a transaction and lack the other.
 TEST_F(OpenReleasesTest, NothingIsResolvedWhileTheCacheReloads) {
-  const ReleaseId id = sent();
+  const ReleaseId id = add_sent();
   answer(id, Outcome::conflict, Revision(1));
   // A process that has just begun reads them, as after a watch that fell behind.
   ScriptedStore unreachable;
@@ -155,19 +155,19 @@
 }
 
 TEST_F(OpenReleasesTest, OnlyANewTermDropsIt) {
-  const ReleaseId id = sent();
+  const ReleaseId id = add_sent();
   releases_.begin_term(ModRevision(1));
   EXPECT_TRUE(releases_.contains(kKey)) << "the same term goes on";
   releases_.begin_term(ModRevision(2));
   EXPECT_FALSE(releases_.contains(kKey));
-  const ReleaseId next = sent();
+  const ReleaseId next = add_sent();
   EXPECT_NE(next, id);
   answer(id, Outcome::refused);
   EXPECT_TRUE(open_after(Duration{1'000})) << "the answer names a release of the earlier term";
 }
 
 TEST_F(OpenReleasesTest, AnOfferThatIsNotBoundInTimeIsCommitted) {
-  const ReleaseId id = offered();
+  const ReleaseId id = add_offered();
   EXPECT_TRUE(open_after(Duration{3'000}));
   EXPECT_TRUE(releases_.retry_due(time_.steady()).empty());
   EXPECT_TRUE(open_after(Duration{600}));
@@ -178,9 +178,9 @@
 }
 
 TEST_F(OpenReleasesTest, ADeclineResolvesAnOfferUnlessACommitFollowedIt) {
-  releases_.on_offer_declined(offered(), time_.steady());
+  releases_.on_offer_declined(add_offered(), time_.steady());
   EXPECT_FALSE(open_after(Duration{500}));
-  const ReleaseId id = offered();
+  const ReleaseId id = add_offered();
   releases_.mark_sent(id, RecordSize{});
   releases_.on_offer_declined(id, time_.steady());
   EXPECT_TRUE(open_after(Duration{60'000})) << "the commit decides by its own answer";
@@ -210,7 +210,7 @@
 
 TEST_F(TeamUsageTest, CountsRecordsAndOpenReleases) {
   EXPECT_EQ(gpus(), 0);
-  answer(sent(), Outcome::unknown);
+  answer(add_sent(), Outcome::unknown);
   usage_.mark_dirty(kKey);
   EXPECT_EQ(gpus(), 2);
   store_slice({true, false});
@@ -236,9 +236,9 @@
   usage_.mark_dirty(kKey);
   gpus();
   EXPECT_TRUE(usage_.incomplete());
-  Transaction over;
-  over.remove(keys::job(kJob));
-  store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
+  Transaction removal;
+  removal.remove(keys::job(kJob));
+  store_.commit(RequestPriority::binding, removal, [](const CommitResult&) {});
   update_cache();
   usage_.mark_dirty(kKey);
   EXPECT_EQ(gpus(), 0);
@@ -254,12 +254,13 @@
   const JobSpec fits_without = testing::gang("req-2", 1, 2, 60);
   const JobSpec too_large = testing::gang("req-3", 1, 3, 60);
   const std::vector<QueueItem> queue{testing::item(fits_without, 2), testing::item(too_large, 3)};
-  answer(sent(), Outcome::unknown);
+  answer(add_sent(), Outcome::unknown);
   usage_.mark_dirty(kKey);
   gpus();
   time_.advance(Duration{5'000});
-  const auto unsettled = releases_.unsettled_for(Duration{5'000}, time_.steady());
-  const auto waits = find_quota_waits(queue, settings, cache_.records(), usage_, unsettled, 10);
+  const auto unsettled_slices = releases_.unsettled_for(Duration{5'000}, time_.steady());
+  const auto waits =
+      find_quota_waits(queue, settings, cache_.records(), usage_, unsettled_slices, 10);
   ASSERT_EQ(waits.size(), 1U);
   EXPECT_EQ(waits[0].job_id, JobId("req-2"));
   EXPECT_EQ(waits[0].unsettled_job_id, kJob);
--- a/tests/quota_under_faults_test.cpp
+++ b/tests/quota_under_faults_test.cpp
@@ -23,11 +23,11 @@
       if (recorded > limit) return team + (" has by the records " + std::to_string(recorded));
       if (running > limit) return team + (" has at the workers " + std::to_string(running));
     }
-    const std::string twice = cluster_.running_twice();
-    return twice.empty() ? "" : twice + " runs on two machines";
+    const std::string duplicate_task = cluster_.running_twice();
+    return duplicate_task.empty() ? "" : duplicate_task + " runs on two machines";
   }
 
-  void submit_some() {
+  void submit_random_job() {
     testing::RandomSource& random = cluster_.random;
     if (cluster_.unfinished_jobs() >= kMaxOpenJobs || !random.chance(0.5)) return;
     const std::string job_id = "req-" + std::to_string(++last_job_);
@@ -56,13 +56,13 @@
     if (!leader) return;
     const NodeId node = leader->node;
     set_condition(node, Condition::losing);
-    const auto later = [this, node](std::int64_t ms, Condition condition) {
+    const auto set_condition_after = [this, node](std::int64_t ms, Condition condition) {
       cluster_.events.after(Duration{ms},
                             [this, node, condition] { set_condition(node, condition); });
     };
-    later(500, Condition::good);
-    later(1'900, Condition::refusing);
-    later(3'000, Condition::good);
+    set_condition_after(500, Condition::good);
+    set_condition_after(1'900, Condition::refusing);
+    set_condition_after(3'000, Condition::good);
   }
 
   void inject_faults() {
@@ -89,14 +89,14 @@
   }
 
   void run_with_faults() {
-    for (Duration at{}; at < kFaultPeriod; at = at + SimulatedCluster::kStep) {
-      if (at.count() % 200 == 0) {
-        submit_some();
+    for (Duration elapsed{}; elapsed < kFaultPeriod; elapsed = elapsed + SimulatedCluster::kStep) {
+      if (elapsed.count() % 200 == 0) {
+        submit_random_job();
         inject_faults();
       }
       cluster_.step();
-      const std::string found = violation();
-      ASSERT_EQ(found, "") << "after " << at.count() << " ms of faults";
+      const std::string error = violation();
+      ASSERT_EQ(error, "") << "after " << elapsed.count() << " ms of faults";
     }
   }
 
@@ -117,8 +117,8 @@
   run_with_faults();
   if (HasFatalFailure()) return;
   end_faults();
-  for (Duration at{}; at < kRecovery && cluster_.unfinished_jobs() > 0;
-       at = at + SimulatedCluster::kStep) {
+  for (Duration elapsed{}; elapsed < kRecovery && cluster_.unfinished_jobs() > 0;
+       elapsed = elapsed + SimulatedCluster::kStep) {
     cluster_.step();
     ASSERT_EQ(violation(), "") << "after the faults";
   }
--- a/tests/release_offer_test.cpp
+++ b/tests/release_offer_test.cpp
@@ -150,9 +150,9 @@
 TEST_F(ReleaseOfferTest, ADeclineDoesNotResolveTheCommitThatFollowedTheOffer) {
   begin_offering();
   submit(testing::gang("req-1", 1, 2, 60));
-  std::deque<Script> first_is_late(60, Script::refuse);
-  first_is_late.push_front(Script::delay);
-  store_.key_scripts[keys::slice(JobId("req-1"), 0)] = first_is_late;
+  std::deque<Script> delay_then_refuse(60, Script::refuse);
+  delay_then_refuse.push_front(Script::delay);
+  store_.key_scripts[keys::slice(JobId("req-1"), 0)] = delay_then_refuse;
   run(Duration{4500});
   ASSERT_EQ(store_.delayed.size(), 1U) << "the leader's own commit";
   channel_.unanswered.at(0)(OfferOutcome::declined);
--- a/tests/release_outcome_test.cpp
+++ b/tests/release_outcome_test.cpp
@@ -75,11 +75,11 @@
   run(Duration{14'000});
   ASSERT_EQ(tasks("req-1").size(), 1U) << "the repeat was committed";
   EXPECT_LE(gpus_in_use({{"req-1", 2}, {"req-2", 1}}), kLimit);
-  TaskRecord over;
-  over.state = TaskState::idle;
-  over.attempt = Attempt(1);
-  over.since = time_.wall();
-  set_task("req-1", over);
+  TaskRecord ended;
+  ended.state = TaskState::idle;
+  ended.attempt = Attempt(1);
+  ended.since = time_.wall();
+  set_task("req-1", ended);
   run(Duration{1000});
   EXPECT_EQ(gpus_in_use({{"req-2", 1}}), 1) << "the team's next job has its turn";
 }
@@ -150,9 +150,9 @@
   set_task("req-1", bound("vm-1"));
   begin();
   refuse_retries_after(Script::delay, "req-1", 20);
-  MachineRecord taken = cache_.records().machines.at(MachineId("vm-1")).record;
-  taken.reclaim_at = time_.wall() + Duration{4'000};
-  store_.put_machine(taken);
+  MachineRecord reclaimed = cache_.records().machines.at(MachineId("vm-1")).record;
+  reclaimed.reclaim_at = time_.wall() + Duration{4'000};
+  store_.put_machine(reclaimed);
   machine("vm-2");
   run(Duration{500});
   ASSERT_EQ(store_.delayed.size(), 1U) << "the stop";
--- a/tests/service_job_test.cpp
+++ b/tests/service_job_test.cpp
@@ -103,7 +103,7 @@
     submit(spec);
     set_tasks(spec.job_id.get(), tasks);
   }
-  [[nodiscard]] std::size_t stopping(const std::string& job_id) const {
+  [[nodiscard]] std::size_t count_stopping(const std::string& job_id) const {
     std::size_t count = 0;
     for (const TaskRecord& task : tasks(job_id)) count += task.stop ? 1 : 0;
     return count;
@@ -192,7 +192,7 @@
   begin();
   submit_with_tasks(testing::service_job("req-1", 2, 1), {replica("vm-2"), replica("vm-2")});
   run(Duration{3'000});
-  EXPECT_EQ(stopping("req-1"), 1U) << "the service goes on with the other";
+  EXPECT_EQ(count_stopping("req-1"), 1U) << "the service goes on with the other";
 }
 
 // A replica is down from the end of its worker's lease: its machine is given up then, and not a
@@ -214,17 +214,17 @@
 
 TEST(Evacuation, WaitsWhileAnotherReplicaIsDown) {
   Records records;
-  MachineRecord sick;
-  sick.machine_id = MachineId("vm-1");
-  sick.state = MachineState::quarantined;
-  records.machines[sick.machine_id] = {sick, ModRevision(1)};
+  MachineRecord quarantined;
+  quarantined.machine_id = MachineId("vm-1");
+  quarantined.state = MachineState::quarantined;
+  records.machines[quarantined.machine_id] = {quarantined, ModRevision(1)};
   const JobSpec spec = testing::service_job("req-1", 2, 1);
   records.jobs[spec.job_id] = {JobRecord{spec, {}, std::nullopt}, ModRevision(1)};
   SliceRecord slice;
   slice.job_id = spec.job_id;
   slice.tasks = {running_since(from_unix_milliseconds(1'000)), TaskRecord{}};
   records.slices[{spec.job_id, 0}] = {slice, ModRevision(1)};
-  records.placed[sick.machine_id][{spec.job_id, 0}] = Attempt(1);
+  records.placed[quarantined.machine_id][{spec.job_id, 0}] = Attempt(1);
   EXPECT_TRUE(find_evacuations(records, WallTime{Duration{5'000}}).empty());
   records.slices[{spec.job_id, 0}].record.tasks[1] = running_since(from_unix_milliseconds(1'000));
   records.slices[{spec.job_id, 0}].record.tasks[1].machine_id = MachineId("vm-2");
