--- a/src/leader/guarantee_writer.cpp
+++ b/src/leader/guarantee_writer.cpp
@@ -6,16 +6,16 @@
 namespace marblevale {
 
 namespace {
-/// A job that starts within this time of its acceptance needs no record of its guarantee: its slice
-/// shows the start.
+/// A job that starts within this time of its acceptance needs no record of its guarantee, because
+/// its slice shows the start.
 constexpr Duration kMinRecordedWait{2'000};
-/// Between two records of one job's guarantee.
+/// Minimum time between two writes of the same job's guarantee.
 constexpr Duration kRewriteInterval{10'000};
-/// Between two batches while the budget for writes is short.
+/// Minimum time between two batches while the write budget is low.
 constexpr Duration kShortBudgetInterval{5'000};
-/// Share of the budget for writes below which it is short.
+/// The write budget is low when its unused share is below this value.
 constexpr double kShortWriteSlack = 0.3;
-/// Notes of one job that wait to be written.
+/// Maximum number of queued notes for one job.
 constexpr std::size_t kMaxQueuedNotes = 16;
 
 bool contains_text(const std::vector<Note>& notes, const std::string& text) {
@@ -87,7 +87,7 @@
 GuaranteeWriter::Batch GuaranteeWriter::make_batch(const std::set<JobId>& due,
                                                    Reservations& reservations, WallTime now) {
   const auto& jobs = cache_.records().jobs;
-  // Each job takes a guard of its own beside its guarantee record.
+  // Each job takes two operations: the guard on its job record, and its guarantee record.
   const std::size_t max_jobs = std::max<std::size_t>(1, cache_.max_operations() / 2);
   Batch batch;
   election_.guard(batch.txn);
@@ -129,7 +129,7 @@
     for (const Note& note : batch_notes) record.note(note.at, note.what);
     notes_.erase(queued_notes);
   }
-  // The job's guard: a guarantee record must not come back after the job has ended.
+  // This guard keeps the guarantee record from being created again after the job has ended.
   batch.txn.guard(keys::job(job_id), job.mod_revision);
   batch.txn.guard(keys::guarantee_record(job_id),
                   is_stored ? stored->second.mod_revision : ModRevision{});
@@ -154,7 +154,7 @@
     if (const auto it = reservations.find(job_id); it != reservations.end()) {
       it->second.changed = true;
     }
-    // No reason may be lost: a user may ask for it.
+    // Notes must not be lost, because users may ask for these reasons.
     auto& queued_notes = notes_[job_id];
     queued_notes.insert(queued_notes.begin(), unwritten.begin(), unwritten.end());
     if (queued_notes.empty()) notes_.erase(job_id);
--- a/src/leader/guarantee_writer.hpp
+++ b/src/leader/guarantee_writer.hpp
@@ -1,7 +1,8 @@
-/// Writes the guarantee records: which start each job was guaranteed, and notes on why it changed.
+/// Writes the guarantee records: the start time that each job was guaranteed, and notes that
+/// explain changes to it.
 ///
-/// Users who ask about a job read them, and so does the next leader. They are written in batches,
-/// later when the budget for writes is short: no decision of this term depends on them.
+/// The records serve users who ask about a job, and the next leader. No decision of the current
+/// term reads them, so they are written in batches, and less often while the write budget is low.
 #pragma once
 
 #include <set>
@@ -15,32 +16,36 @@
 
 namespace marblevale {
 
-/// Collects notes and changed guarantees, and commits at most one batch at a time.
+/// Collects notes and changed guarantees, and has at most one batch commit in flight.
 class GuaranteeWriter {
  public:
   GuaranteeWriter(const Clock& clock, WatchCache& cache, Election& election);
 
-  /// Drops what an earlier term has not written. Notes again the reasons of stops that stand in the
-  /// slices but not in the guarantee records.
+  /// Discards unwritten notes of earlier terms. Then queues the stop reasons that the slices
+  /// contain but the guarantee records lack.
   void begin_term();
-  /// Something that happened to the job, for users who ask why.
+  /// Queues a note on an event of the job, for users who ask for its reason. Discards the note when
+  /// too many notes of the job are queued.
   void note(const JobId& job_id, std::string text);
-  /// Commits one batch of what has changed, unless a batch is in flight or writes are short.
-  /// `reservations` must outlive the commit.
+  /// Commits one batch of changed guarantees and queued notes. Does nothing while a commit is in
+  /// flight, or while the write budget is low and the last batch was recent. `reservations` must
+  /// outlive the commit.
   void flush(Reservations& reservations);
 
  private:
   using NotesByJob = std::unordered_map<JobId, std::vector<Note>>;
-  /// One transaction, and the notes that it carries: they are queued again when it fails.
+  /// One transaction and the notes that it writes. The notes are queued again when the commit
+  /// fails.
   struct Batch {
     Transaction txn;
     NotesByJob notes;
   };
 
   void note_unrecorded_stops(const JobId& job_id, const SliceRecord& slice);
-  /// Jobs with notes, and jobs whose changed guarantee is old enough to be written.
+  /// Jobs with queued notes, and jobs whose changed guarantee may be written now.
   [[nodiscard]] std::set<JobId> due_jobs(const Reservations& reservations, WallTime now) const;
-  /// True when a changed guarantee is not to be written yet.
+  /// True when a changed guarantee must wait: the last write was too recent, or the job was
+  /// accepted so recently that it may start without a record of its guarantee.
   [[nodiscard]] bool write_later(const JobId& job_id, const Reservation& reservation,
                                  WallTime now) const;
   [[nodiscard]] Batch make_batch(const std::set<JobId>& due, Reservations& reservations,
@@ -53,9 +58,9 @@
   const Clock& clock_;
   WatchCache& cache_;
   Election& election_;
-  NotesByJob notes_;  // not yet in a batch
+  NotesByJob notes_;  // queued, not yet in a batch
   bool commit_in_flight_ = false;
-  /// Tells answers to commits of this term from those of earlier ones.
+  /// Distinguishes answers to commits of this term from answers to commits of earlier terms.
   std::uint64_t term_count_ = 0;
   SteadyTime last_commit_ = kLongAgo;
 };
--- a/src/leader/job_cleanup.cpp
+++ b/src/leader/job_cleanup.cpp
@@ -6,13 +6,14 @@
 namespace marblevale {
 
 namespace {
-/// Share of the settings' time for cancellations after which machines are deleted.
+/// Share of the configured cancellation time (`cancel_s`) after which the machines that still hold
+/// the tasks are deleted.
 constexpr double kCancelledDeletionShare = 0.4;
 constexpr Duration kUnrecordedMachineTimeout{20'000};
-/// Share of the budget for writes from which on leftovers are removed.
+/// Leftover records are removed only while at least this share of the write budget is unused.
 constexpr double kMinRemovalWriteSlack = 0.6;
-/// Records beyond what the live jobs account for, from which on leftovers are removed even while
-/// the budget for writes is short.
+/// When the slices and guarantee records exceed two for each live job by this number, leftovers are
+/// removed even while the write budget is low.
 constexpr std::size_t kMaxLeftovers = 1000;
 }  // namespace
 
@@ -69,16 +70,18 @@
     }
   }
   if (job.record.cancelled) {
-    // This controller's own commit of the cancellation is in the copy before the watch has told
-    // what came before it: perhaps a binding of which the copy knows nothing yet.
+    // The watch cache shows this controller's own commit of the cancellation before the watch has
+    // delivered earlier commits of others, such as a binding. The job may end only once the cache
+    // has reached the job's revision.
     const bool observed = cache_.revision().get() >= job.mod_revision.get();
     if (observed && !any_placed) return true;
   }
   const JobSpec& spec = job.record.spec;
-  // A service job ends by its cancellation alone.
+  // A service job ends only when it is cancelled.
   if (spec.endless()) return false;
-  // A gang completes together, but its slices are seen to end one by one, and tasks that are lost
-  // after the first was done are never started again: it has ended once none of them is placed.
+  // The tasks of a gang complete together, but the ends of its slices are recorded one by one. A
+  // task that is lost after the first task was done is never started again, so the gang has ended
+  // once none of its tasks is placed.
   return slices_done == slice_count(spec) || (spec.gang() && any_done && !any_placed);
 }
 
@@ -98,7 +101,7 @@
   Transaction txn;
   election_.guard(txn);
   txn.guard(keys::job(job_id), job.mod_revision);
-  // Its slices and its guarantee record are removed afterwards.
+  // The slices and the guarantee record are removed later, by `remove_leftovers`.
   txn.put(keys::final_job(job_id), encode(std::move(record), cache_.lasting_value_bytes()))
       .remove(keys::job(job_id));
   cache_.commit(RequestPriority::leader_commit, std::move(txn),
@@ -117,7 +120,8 @@
 }
 
 void JobCleanup::delete_unrecorded_machines() {
-  // Nobody but the cloud could prove a task gone on a machine without a record.
+  // On a machine without a record only the machine's deletion by the cloud proves that its tasks
+  // have ended.
   const auto& records = cache_.records();
   const WallTime now = clock_.wall();
   std::set<MachineId> unrecorded;
--- a/src/leader/leader_loop.cpp
+++ b/src/leader/leader_loop.cpp
@@ -13,12 +13,12 @@
 namespace {
 
 constexpr Duration kReconcileInterval{500};
-/// Changes within this time after a round are planned together.
+/// Changes that arrive within this time after a round are planned together in the next round.
 constexpr Duration kChangeCoalesceInterval{15};
 constexpr Duration kMinRoundDelay{5};
 constexpr Duration kSummaryInterval{10'000};
 
-/// The key under which the watch cache reports a slice: "job/number".
+/// Parses the key that the watch cache reports for a slice: "job/number".
 SliceKey parse_slice_key(const std::string& key) {
   const auto slash = key.find('/');
   return {JobId(key.substr(0, slash)),
@@ -58,7 +58,8 @@
 
 void LeaderLoop::schedule_round() {
   if (!election_.is_established_leader()) return;
-  // Rounds take at most about a third of the processor's share.
+  // Waiting twice the duration of the last round limits rounds to about a third of the processor
+  // time.
   const Duration since_last = clock_.steady() - last_round_end_;
   const Duration delay = std::max(
       kMinRoundDelay, std::max(kChangeCoalesceInterval, last_round_duration_ * 2) - since_last);
@@ -67,7 +68,8 @@
 }
 
 void LeaderLoop::on_record_changed(RecordKind kind, const std::string& key) {
-  // A term begins with all records: to remember changes before it would only take memory.
+  // A term begins with a read of all records, so changes from before the term need not be
+  // remembered.
   if (state_ != State::leading) {
     schedule_round();
     return;
@@ -137,12 +139,13 @@
     transition(State::idle);
     return;
   }
-  // The term goes on meanwhile: what is in flight under it still counts.
+  // The term continues while the lease is not fresh, so changes that are in flight under it still
+  // count.
   if (!election_.holds_fresh_lease()) return;
   const auto timed = metrics_.time(Duty::round);
   const SteadyTime begin = clock_.steady();
   if (state_ != State::leading || term_ != election_.term()) begin_term();
-  // Without the machine types nothing is known of what the machines can take.
+  // The capacity of the machines is unknown until the machine types have been read.
   if (!cache_.records().types) return;
 
   reconcile();
@@ -200,12 +203,13 @@
 bool LeaderLoop::plan_and_release(Planner& planner, SteadyTime round_begin) {
   restore_reservations(planner, round_begin);
   const bool admitted = admit_arrivals(planner);
-  // What starts now leaves the queue in the next round, which sees it as placed.
+  // The queue of this round still contains the jobs that start now. The next round sees them as
+  // placed.
   const std::vector<Start> starts = compress(planner);
   releaser_.release_all(starts, planner);
   const bool complete = admitted && compression_cursor_ == 0;
-  // Preemption decides best when nothing more can start. A busy leader, whose rounds always start
-  // something or end early, tries it now and then all the same.
+  // Preemption makes the best choices when nothing more can start. Under load every round starts
+  // jobs or runs out of budget, so an overdue preemption runs in such a round too.
   const bool quiet = starts.empty() && complete;
   if (quiet || preemptor_.overdue(round_begin)) preemptor_.run(planner, planning_.reservations());
   return complete;
@@ -243,8 +247,8 @@
 }
 
 void LeaderLoop::check_starvation(const Planner& planner) {
-  // A job of one slice is ended by its holder, with the commit that ends its last task; whatever
-  // kept that from happening, the job must not stay for ever.
+  // The holder of a one-slice job ends the job in the commit that ends its last task. This call
+  // ends such jobs when the holder did not, for whatever reason.
   cleanup_.end_all_finished();
   const bool profile_is_wrong =
       starvation_.run(planner, planning_.reservations(),
--- a/src/leader/leader_loop.hpp
+++ b/src/leader/leader_loop.hpp
@@ -1,10 +1,10 @@
-/// The leader's reconciliation loop: plans the waiting jobs in rounds and commits what follows.
+/// The leader's reconciliation loop: plans the waiting jobs in rounds and commits the results.
 ///
-/// A round brings the planning state up to the records, runs the planner, and hands its results to
+/// A round updates the planning state from the records, runs the planner, and passes its results to
 /// the modules that commit them: starts to `Releaser`, guarantees and notes to `GuaranteeWriter`,
-/// unmet demand to `ScaleOutPlanner`. Only an established leader with a fresh lease runs rounds;
-/// whatever a round commits is guarded by the leader's term, so that a leader that lost its
-/// leadership without knowing it changes nothing.
+/// unmet demand to `ScaleOutPlanner`. Only an established leader with a fresh lease runs rounds.
+/// Every commit is guarded by the leader's term, so a controller that has lost leadership without
+/// noticing it changes nothing.
 #pragma once
 
 #include <set>
@@ -30,18 +30,18 @@
 
 namespace marblevale {
 
-/// Owns the modules of a round and runs them in their order, each round on the loop's timer.
+/// Owns the modules of a round and runs them in a fixed order, each round on the loop's timer.
 class LeaderLoop {
  public:
   LeaderLoop(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
              Election& election, Autoscaler& autoscaler);
 
-  /// Starts the timer of the rounds. Rounds do nothing while this controller does not lead.
+  /// Starts the timer of the rounds. Rounds do nothing while this controller is not the leader.
   void begin();
-  /// Has releases offered to shard holders by this channel; without it they are committed by the
-  /// leader.
+  /// Offers releases to shard holders through this channel, which must outlive the loop. Without a
+  /// channel the leader commits all releases itself.
   void offer_releases_through(OfferChannel& channel) { releaser_.offer_through(channel); }
-  /// A controller reports the zones in which it reaches no machine; see `UnreachableZones`.
+  /// Records which zones the controller `holder` reports as unreachable. See `UnreachableZones`.
   void note_unreachable_zones(const NodeId& holder, std::set<ZoneId> zones);
 
  private:
@@ -49,7 +49,7 @@
 
   void transition(State next);
   void arm_timer(Duration delay);
-  /// Runs a round soon, because something has changed that it may use.
+  /// Schedules a round soon, because a change may allow new decisions.
   void schedule_round();
   void on_record_changed(RecordKind kind, const std::string& key);
   void mark_slice_dirty(const SliceKey& key);
@@ -57,20 +57,21 @@
   void rebuild_profile();
 
   void run_round();
-  /// Settles what the records decide and commits what does not depend on the plan.
+  /// Settles open releases by the records, and commits changes that do not depend on the plan.
   void reconcile();
   [[nodiscard]] Planner make_planner(SteadyTime round_begin);
   [[nodiscard]] std::vector<QueueItem> build_current_queue(WallTime now);
-  /// Drops what is remembered of jobs that wait no longer.
+  /// Discards the state kept for jobs that are no longer in the queue.
   void retain_only(const std::unordered_set<JobId>& queued_jobs);
-  /// Runs the planner within the round's budget, releases the starts, and preempts where nothing
-  /// more could start. False: the budget ended before the queue did.
+  /// Runs the planner within the round's time budget and releases the starts. Preempts when nothing
+  /// more can start, or when preemption is overdue. Returns false when the budget ended before the
+  /// whole queue was planned.
   bool plan_and_release(Planner& planner, SteadyTime round_begin);
-  /// The planner's steps, each timed by itself.
+  /// The planner's steps, each with a time measurement of its own.
   void restore_reservations(Planner& planner, SteadyTime round_begin);
   bool admit_arrivals(Planner& planner);
   std::vector<Start> compress(Planner& planner);
-  /// The parts of a round that have intervals of their own.
+  /// Runs the steps that have intervals of their own.
   void run_periodic_steps(const Planner& planner);
   void check_starvation(const Planner& planner);
 
@@ -92,7 +93,7 @@
   PlanningState planning_;
   State state_ = State::idle;
   ModRevision term_;
-  /// Where the planner's compression goes on in the next round; 0: at the queue's front.
+  /// Queue position at which compression continues in the next round. 0 is the front of the queue.
   std::size_t compression_cursor_ = 0;
   SteadyTime timer_due_{};
   SteadyTime last_round_end_{};
--- a/src/leader/machine_evacuator.cpp
+++ b/src/leader/machine_evacuator.cpp
@@ -17,7 +17,7 @@
     for (const auto& [number, indices] : evacuation.tasks) {
       stopped = releaser_.stop_tasks({job_id, number}, indices, order) || stopped;
     }
-    // Once for each stop: a note at every round would push out the others.
+    // Each stop is noted once. A note in every round would displace the job's other notes.
     if (stopped) {
       guarantee_writer_.note(job_id,
                              std::string("stopped to go on elsewhere: ") + evacuation.reason);
--- a/src/leader/machine_evacuator.hpp
+++ b/src/leader/machine_evacuator.hpp
@@ -1,5 +1,5 @@
-/// Graceful eviction: stops the tasks on machines that are about to go, so that they save their
-/// progress and go on elsewhere.
+/// Graceful eviction: stops the tasks on machines that will soon go away, so that the tasks save
+/// their progress and continue on other machines.
 #pragma once
 
 #include "leader/guarantee_writer.hpp"
@@ -8,13 +8,14 @@
 
 namespace marblevale {
 
-/// Runs in each round, before planning, so that what it stops is planned elsewhere early.
+/// Runs in each round before planning, so that the stopped tasks are planned elsewhere without
+/// delay.
 class MachineEvacuator {
  public:
   MachineEvacuator(const Clock& clock, const WatchCache& cache, Releaser& releaser,
                    GuaranteeWriter& guarantee_writer);
 
-  /// Commits the stops that `find_evacuations` decides on, with a note for each job.
+  /// Commits the stops that `find_evacuations` returns, with a note for each affected job.
   void run();
 
  private:
--- a/src/leader/open_releases.cpp
+++ b/src/leader/open_releases.cpp
@@ -10,13 +10,14 @@
 
 namespace {
 
-/// Time that a holder has to bind an offer; then the leader commits the release itself.
+/// Time within which a holder must bind an offer. After it the leader commits the release itself.
 constexpr Duration kOfferTimeout{3'500};
-/// After a first refusal, since the state service may be refusing this controller for a while.
-/// Doubled with each further one.
+/// Backoff after the first refusal, because the state service may refuse this controller for a
+/// while. It doubles with each further refusal.
 constexpr Duration kFirstRefusalBackoff{400};
 constexpr std::uint32_t kMaxBackoffDoublings = 3;
-/// Of the values of one transaction: its body may have 64 KiB, with keys and guards.
+/// Maximum total size of the values of one transaction. The body is limited to 64 KiB including
+/// keys and guards.
 constexpr std::size_t kMaxTransactionBytes = std::size_t{48} * 1024;
 
 const char* name_of(OpenReleases::State state) {
@@ -158,8 +159,9 @@
 }
 
 void OpenReleases::transition(ReleaseId id, Release& release, State next, Trigger trigger) {
-  // A commit without an answer is worth a line or two. The thousands of releases that are answered
-  // at once are not, nor are the many retries of a long outage.
+  // A commit without an answer is logged at info level, but not its later retries, because a long
+  // outage causes many. The thousands of releases that are answered at once are logged at debug
+  // level.
   const bool notable = release.commit_open && release.retries <= 1;
   const auto level = notable ? spdlog::level::info : spdlog::level::debug;
   const SliceKey& first = release.slices.front().key;
@@ -211,8 +213,8 @@
 
 void OpenReleases::refuse(ReleaseId id, Release& release, Trigger trigger, SteadyTime now) {
   if (release.offer_open) {
-    // The holder may be about to bind it; where writes are short, quick retries only lengthen the
-    // queue.
+    // The holder may still bind the offer, so the retry waits longer. While the write budget is
+    // low, quick retries would only lengthen the queue of requests.
     release.deadline = now + kOfferTimeout;
   } else {
     const std::uint32_t doublings = std::min(release.refusals++, kMaxBackoffDoublings);
@@ -227,7 +229,7 @@
   if (it == open_.end()) return;
   Release& release = it->second;
   release.offer_open = false;
-  // A commit that followed the offer decides by its own answer.
+  // A commit that followed the offer is settled by its own answer.
   if (release.state == State::sent || release.state == State::answered) return;
   refuse(id, release, Trigger::offer_declined, now);
 }
@@ -235,14 +237,15 @@
 std::optional<SettledBy> OpenReleases::settled_by(const Release& release, const WatchCache& cache,
                                                   SteadyTime now) {
   const Records& records = cache.records();
-  // A transaction is applied whole: one guard that can't hold any more is enough.
+  // A transaction is applied as a whole, so one guard that can no longer hold is enough.
   const bool slice_changed = std::any_of(
       release.slices.begin(), release.slices.end(),
       [&](const GuardedSlice& slice) { return slice_revision(records, slice.key) != slice.guard; });
   if (slice_changed) return SettledBy::slice_revision;
   const JobId& job_id = release.slices.front().key.job_id;
-  // The release may have been applied just before the job changed, and the copy have only our own
-  // change of the job: then the slice follows.
+  // The job's change must have been observed by the watch. Otherwise the cache may contain only
+  // this controller's own change of the job, while the slice that an earlier release changed has
+  // yet to be delivered.
   if (release.job_guard && cache.observed_by_watch(keys::job(job_id))) {
     const auto job = records.jobs.find(job_id);
     if (job == records.jobs.end() || job->second.mod_revision != *release.job_guard) {
@@ -257,7 +260,8 @@
 
 std::vector<SliceKey> OpenReleases::settle(const WatchCache& cache, SteadyTime now) {
   std::vector<SliceKey> settled;
-  // While the records are read anew, page by page, a transaction may be there in part.
+  // During a reload the cache reads the records page by page and may show only part of a
+  // transaction.
   if (cache.state() != WatchCache::State::following) return settled;
   for (auto it = open_.begin(); it != open_.end();) {
     const Release& release = it->second;
--- a/src/leader/open_releases.hpp
+++ b/src/leader/open_releases.hpp
@@ -1,10 +1,10 @@
-/// The leader's changes of slices whose outcome is open: releases and stops that were sent to the
-/// state service, and releases that were offered to the holder of a shard.
+/// The leader's slice changes of unknown outcome: releases and stops sent to the state service, and
+/// releases offered to a shard holder.
 ///
-/// Whatever may still be applied counts in full against the machines' room and the team's quota. A
-/// change is settled by nothing but its own definite answer, by a guarded revision that has moved
-/// on in the records, or by the end of the term that guards it. A refusal says something only of
-/// the request that it answers: an earlier copy of the same transaction that went without an answer
+/// A change that may still be applied counts in full against the machines' capacity and the team's
+/// quota. Three kinds of evidence settle a change: a definite answer to the change itself, a new
+/// revision of a guarded record, or the end of the term that guards the change. A refusal applies
+/// only to the request that it answers. An earlier copy of the same transaction that got no answer
 /// may still be applied.
 #pragma once
 
@@ -19,101 +19,105 @@
 
 namespace marblevale {
 
-/// Identifies one change of slices (a release or a stop) within the leader's process. It is never
-/// used again, not in another term either, so an answer that comes late belongs to no other change.
+/// Identifies one slice change (a release or a stop) within this process. An id is never used
+/// again, even in another term, so a late answer can't be attributed to a different change.
 using ReleaseId = StrongType<struct ReleaseIdTag, std::uint64_t>;
 
-/// The evidence by which a change is no longer open.
+/// The evidence that settled a change.
 enum class SettledBy {
-  /// The records show another revision of a slice than the change is guarded by.
+  /// A slice's revision in the records differs from the revision that guards the change.
   slice_revision,
-  /// The records show another revision of the job than the change is guarded by.
+  /// The job's revision in the records differs from the revision that guards the change.
   job_revision,
-  /// It was committed, or a guard failed, and the records have caught up with that answer.
+  /// The commit was answered as done or as a failed guard, and the records have reached the
+  /// revision of that answer.
   answer,
-  /// Every request that carried it was refused.
+  /// Every request that carried the change was refused or declined.
   never_executed,
 };
 
 const char* name_of(SettledBy evidence);
 
-/// A change of slices that the leader wants committed.
+/// A slice change that the leader wants to commit.
 struct SliceChangeRequest {
   enum class Kind { release, stop };
   Kind kind = Kind::release;
-  /// Guarded by the leader's term and by each slice's revision.
+  /// Guarded by the leader's term and by the revision of each slice.
   Transaction txn;
-  /// As the transaction leaves them.
+  /// The slices as the transaction writes them.
   std::vector<SliceRecord> slices;
-  /// One of several steps: tasks of the other steps wait for these, so a refusal doesn't end it.
+  /// True for one of several steps of a split request. A refused step stays open and is sent again,
+  /// because the tasks of the other steps wait for its tasks.
   bool is_step = false;
 };
 
-/// Splits the request into steps that each fit one transaction, with the same guards of term and
-/// job. Each step is safe alone: the tasks of a gang wait for one another, and end when some never
-/// come.
+/// Splits the request into steps that each fit one transaction. Each step keeps the guards on the
+/// term and the job. Committing only some of the steps is safe, because the tasks of a gang wait
+/// for each other and end when some of them never start.
 std::vector<SliceChangeRequest> split_request(const SliceChangeRequest& request,
                                               std::size_t max_operations);
 
-/// The open changes of one term, each with its state. It sends nothing itself: `Releaser` sends
-/// what is due and passes the answers on.
+/// The open changes of one term and their states. This class sends nothing itself: `Releaser` sends
+/// the changes that are due and reports the answers.
 class OpenReleases {
  public:
   enum class State {
-    /// The holder may bind it; no commit is in flight.
+    /// The holder may bind it. No commit is in flight.
     offered,
     /// A commit is in flight.
     sent,
-    /// A commit or an offer may still be applied; the commit is due again.
+    /// A commit or an offer may still be applied. The commit is due to be sent again.
     unknown,
-    /// Decided; the records have yet to show how.
+    /// The outcome is decided, but the records do not show it yet.
     answered,
-    /// Nothing of it will be applied; its slices stay blocked for a short time.
+    /// The change will never be applied. Its slices stay blocked for a short backoff.
     refused,
   };
 
-  /// Begins the term. What an earlier one left open fails by its guard; under the term that it has
-  /// begun already everything stays open.
+  /// Begins the term and discards the open changes of earlier terms, which fail by their guard. A
+  /// call with the current term changes nothing.
   void begin_term(ModRevision term);
 
-  /// Adds a change that is about to be committed. Its slices must have none that is open.
+  /// Adds a change that is about to be committed. None of its slices may have an open change.
   ReleaseId add(const SliceChangeRequest& request, const Records& records);
-  /// Adds a release that is about to be offered to the holder.
+  /// Adds a release that is about to be offered to the holder. None of its slices may have an open
+  /// change.
   ReleaseId add_offer(const SliceChangeRequest& request, const Records& records,
                       const NodeId& holder, SteadyTime now);
 
-  /// Notes that the commit is about to be sent, and returns what to send. The slices are encoded
-  /// each time: the state service may by now accept only smaller values than when the change was
-  /// decided, and would refuse it for ever.
+  /// Marks the change as sent and returns the transaction to send. The slices are encoded anew for
+  /// each attempt, because the state service may have lowered its limit on value sizes and would
+  /// otherwise refuse every retry.
   Transaction mark_sent(ReleaseId id, const RecordSize& size);
-  /// The answer to a commit of this change. Ignored when the change is settled already.
+  /// Handles the answer to a commit of this change. Ignored when the change is already settled.
   void on_commit_answer(ReleaseId id, const CommitResult& result, SteadyTime now);
-  /// The holder declined this offer, and remembers that: no copy of it will be bound.
+  /// Handles a declined offer. The holder remembers the decline, so it binds no copy of this offer.
   void on_offer_declined(ReleaseId id, SteadyTime now);
 
-  /// Settles what the records decide, and returns the slices of the changes that were settled.
+  /// Settles the changes whose outcome the records decide. Returns the slices of the settled
+  /// changes.
   std::vector<SliceKey> settle(const WatchCache& cache, SteadyTime now);
-  /// Changes whose commit is to be sent now: retries, and offers that were not bound in time.
+  /// Changes whose commit must be sent now: retries, and offers that were not bound in time.
   [[nodiscard]] std::vector<ReleaseId> retry_due(SteadyTime now) const;
 
   [[nodiscard]] bool contains(const SliceKey& key) const { return by_slice_.contains(key); }
-  /// The slice as an open change would leave it; nothing when none is open.
+  /// The slice as its open change would leave it, or nullptr when it has no open change.
   [[nodiscard]] const SliceRecord* slice(const SliceKey& key) const;
-  /// All slices that open changes would leave.
+  /// The slices of all open changes, as those changes would leave them.
   [[nodiscard]] Occupancy::Slices slices() const;
-  /// The state of the slice's open change.
+  /// The state of the slice's open change, or nothing when it has none.
   [[nodiscard]] std::optional<State> state(const SliceKey& key) const;
   [[nodiscard]] State state(ReleaseId id) const { return open_.at(id).state; }
   [[nodiscard]] const JobId& job_id_of(ReleaseId id) const {
     return open_.at(id).slices.front().key.job_id;
   }
-  /// Slices whose changes have had no definite answer for at least `min_time`.
+  /// Slices whose open change has had an unknown outcome for at least `min_time`.
   [[nodiscard]] std::vector<SliceKey> unsettled_for(Duration min_time, SteadyTime now) const;
 
   [[nodiscard]] std::size_t size() const { return open_.size(); }
-  /// Offers that wait for a binding or for the leader's own commit.
+  /// Number of offers that wait for the holder's binding or for the leader's own commit.
   [[nodiscard]] std::size_t open_offers() const;
-  /// Offers to the holder that it still has time to bind.
+  /// Number of offers that this holder still has time to bind.
   [[nodiscard]] std::size_t open_offers_to(const NodeId& holder) const;
 
  private:
@@ -128,24 +132,25 @@
     Transaction txn;
     std::vector<GuardedSlice> slices;
     std::optional<ModRevision> job_guard;
-    /// The shard's holder, if it was offered.
+    /// The shard holder that the release was offered to. Empty when it was not offered.
     NodeId holder;
-    /// The holder may still bind it.
+    /// True while the holder may still bind the offer.
     bool offer_open = false;
-    /// A commit went without an answer and may still be applied.
+    /// True when a commit got no answer and may still be applied.
     bool commit_open = false;
     bool is_step = false;
-    /// When its outcome was first known to be open.
+    /// When the change was offered, or else when its commit first got no answer.
     std::optional<SteadyTime> unknown_since;
-    /// When `offered`, `unknown` or `refused` is left without any answer.
+    /// When the state `offered` or `unknown` makes a commit due, and when the state `refused`
+    /// settles the change.
     SteadyTime deadline;
-    /// What the records must have reached to show the answer.
+    /// The revision that the records must reach to show the answer.
     std::optional<Revision> answer_revision;
     std::uint32_t retries = 0;
-    /// Since the last answer of another kind.
+    /// Consecutive refusals, which determine the backoff. Reset when a commit gets no answer.
     std::uint32_t refusals = 0;
   };
-  /// Why a change's state changes.
+  /// The event that causes a state change.
   enum class Trigger {
     sent,
     retried,
@@ -157,7 +162,7 @@
   };
 
   static const char* trigger_name(Trigger trigger);
-  /// The only place where a state changes.
+  /// Changes a state. No other function does.
   static void transition(ReleaseId id, Release& release, State next, Trigger trigger);
   static void refuse(ReleaseId id, Release& release, Trigger trigger, SteadyTime now);
   [[nodiscard]] static std::optional<SettledBy> settled_by(const Release& release,
--- a/src/leader/planning_state.hpp
+++ b/src/leader/planning_state.hpp
@@ -1,5 +1,5 @@
-/// What the planner keeps from one round to the next: the profile, the jobs' reservations and the
-/// starts that failed.
+/// The state that the planner keeps between rounds: the profile, the jobs' reservations and the
+/// failed starts.
 #pragma once
 
 #include <functional>
@@ -13,41 +13,41 @@
 
 namespace marblevale {
 
-/// Belongs to one term of leadership; `begin_term` starts it again from the records.
+/// Belongs to one term of leadership. `begin_term` initializes it from the records.
 class PlanningState {
  public:
-  /// Takes over the stored guarantees as reservations without a place; the next round finds places
-  /// at the guaranteed times.
+  /// Loads the stored guarantees as reservations without places. The next round finds places at the
+  /// guaranteed times.
   void begin_term(const Records& records);
 
-  /// Marks what has changed in the records; it is read again at the next `sync`.
+  /// Marks a changed record, which the next `sync` reads again.
   void mark_slice_dirty(const SliceKey& key) { occupancy_.mark_slice_dirty(key); }
   void mark_machine_dirty(const MachineId& machine_id) {
     occupancy_.mark_machine_dirty(machine_id);
   }
-  /// Has the profile rebuilt from all records at the next `sync`. Reservations stay.
+  /// Makes the next `sync` rebuild the profile from all records. Keeps the reservations.
   void reset_profile();
-  /// As `reset_profile`, for a profile that disagrees with the records. False, and nothing is done,
-  /// when the last such rebuild was a short while ago.
+  /// Like `reset_profile`, for a profile that disagrees with the records. Returns false and does
+  /// nothing when the last such rebuild was too recent.
   bool rebuild_profile(SteadyTime now);
 
-  /// Brings the profile up to the records.
+  /// Updates the profile from the records, the open changes (`pending`) and the booting machines.
   void sync(const Records& records, const Settings& settings, const Occupancy::Slices& pending,
             const std::vector<BootingMachine>& booting, WallTime now);
   void set_unreachable_zones(const std::set<ZoneId>& zones, const Records& records) {
     occupancy_.set_unreachable_zones(zones, records);
   }
-  /// Forgets reservations and failed starts of jobs that wait no longer.
+  /// Removes the reservations and failed starts of jobs that are no longer in the queue.
   void retain_only(const std::unordered_set<JobId>& queued_jobs);
 
-  /// Lends the profile to a round's planner. `budget_spent` tells whether this share of the
-  /// round's time is used up.
+  /// Moves the profile into a planner for one round. `take_back` must return it. `budget_spent`
+  /// returns true when this share of the round's time budget is used up.
   [[nodiscard]] Planner lend_to_planner(std::vector<QueueItem> queue, WallTime now,
                                         std::function<bool(double share)> budget_spent);
-  /// Ends the round: takes the profile back.
+  /// Ends the round and takes the profile back from the planner.
   void take_back(Planner& planner) { occupancy_.profile() = planner.take_profile(); }
 
-  /// By job; also the guarantees that `GuaranteeWriter` writes.
+  /// The reservations by job. `GuaranteeWriter` writes them as guarantees.
   [[nodiscard]] Reservations& reservations() { return reservations_; }
 
  private:
--- a/src/leader/preemptor.cpp
+++ b/src/leader/preemptor.cpp
@@ -15,21 +15,21 @@
 
 constexpr Duration kMinInterval{400};
 constexpr Duration kMaxInterval{2'000};
-/// The interval is at least this many times what the last run took: to look through all running
-/// tasks takes long in a large cluster.
+/// The interval is at least this many times the duration of the last run, because a search through
+/// all running tasks takes long in a large cluster.
 constexpr int kIntervalToRunTime = 10;
-/// Jobs for which preemption is tried in one run.
+/// Maximum number of jobs for which one run tries to preempt.
 constexpr std::size_t kMaxJobsPerRun = 6;
-/// Time after which a run tries no further job.
+/// A run tries no further job after this time.
 constexpr Duration kRunBudget{60};
-/// Between two preemptions for the same job.
+/// Minimum time between two preemptions for the same job.
 constexpr Duration kRetryInterval{12'000};
-/// A job that starts sooner by its reservation needs no preemption.
+/// A job whose reservation starts within this time needs no preemption.
 constexpr Duration kMinWait{3'000};
 constexpr Duration kFreedMachinesRetention{60'000};
 
-/// Time to save a checkpoint; none where saving takes longer than the work that is lost on average
-/// by not saving.
+/// The time that a preempted task gets to save a checkpoint. 0 when saving takes at least as long
+/// as the work that is lost on average without saving, which is half a checkpoint interval.
 Duration preemption_grace_period(const JobSpec& job) {
   const Duration saving = job.save_time + Duration{2'000};
   return job.checkpoint_interval > Duration{0} && scaled(job.checkpoint_interval, 0.5) <= saving
@@ -93,7 +93,8 @@
   if (reservation == reservations.end() || item.not_before > wall) return false;
   if (reservation->second.start - wall < kMinWait) return false;
   if (!item.guaranteed && item.demand.job->urgency == Urgency::low) return false;
-  // Probably submitted with a mistake: nothing is stopped so that it can fail once more.
+  // A job whose tasks keep failing was probably submitted with a mistake. Preempting for it would
+  // only let it fail again.
   if (item.failing) return false;
   return !freed_recently(item.job_id, now);
 }
@@ -105,8 +106,9 @@
 
 std::set<MachineId> Preemptor::claimed_machines(const std::vector<QueueItem>& queue,
                                                 SteadyTime now) const {
-  // Room that is being made for one job is not another's: otherwise all the others would wait for
-  // it, and a burst of urgent jobs would get its room one job after the other.
+  // Capacity that is being freed for one job is not available to other jobs. Without this exclusion
+  // a burst of urgent jobs would all wait for the same machines, and capacity would be freed for
+  // one job after the other.
   std::set<JobId> waiting_jobs;
   for (const QueueItem& item : queue) waiting_jobs.insert(item.job_id);
   std::set<MachineId> claimed_machine_ids;
--- a/src/leader/preemptor.hpp
+++ b/src/leader/preemptor.hpp
@@ -1,8 +1,8 @@
 /// Preemption: stops running tasks so that a job of higher priority can start.
 ///
-/// `select_victims` decides which tasks lose least. The preemptor decides for which jobs and how
-/// often that is tried, commits the stops, and keeps the machines that were freed for the job that
-/// they were freed for.
+/// `select_victims` chooses the tasks that lose the least work. The preemptor decides for which
+/// jobs and how often to preempt, commits the stops, and reserves the freed machines for the job
+/// that they were freed for.
 #pragma once
 
 #include <set>
@@ -19,20 +19,21 @@
 
 namespace marblevale {
 
-/// Runs at intervals of its own, since to look through all running tasks is expensive.
+/// Runs at intervals of its own, because a search through all running tasks is expensive.
 class Preemptor {
  public:
   Preemptor(Metrics& metrics, const Clock& clock, const Settings& settings, const WatchCache& cache,
             Releaser& releaser, GuaranteeWriter& guarantee_writer);
 
-  /// Forgets which machines an earlier term has freed.
+  /// Discards the freed machines of earlier terms.
   void begin_term() { freed_by_job_.clear(); }
-  /// True when preemption has not been tried for so long that it must not wait for a quiet round.
+  /// True when the last run was so long ago that preemption must not wait for a round without
+  /// starts.
   [[nodiscard]] bool overdue(SteadyTime now) const;
-  /// Tries the queue's jobs by priority, within a budget of jobs and time. Does nothing when the
-  /// last run was a short while ago.
+  /// Tries to preempt for the queue's jobs by priority, within a limit on jobs and time. Does
+  /// nothing when the last run was too recent.
   void run(const Planner& planner, const Reservations& reservations);
-  /// The machines that were freed recently, by the job that they were freed for.
+  /// The recently freed machines, by the job that they were freed for.
   [[nodiscard]] PinnedMachines pins(SteadyTime now) const;
 
  private:
@@ -45,11 +46,11 @@
   [[nodiscard]] bool may_preempt(const QueueItem& item, const Reservations& reservations,
                                  SteadyTime now, WallTime wall) const;
   [[nodiscard]] bool freed_recently(const JobId& job_id, SteadyTime now) const;
-  /// Machines that were freed recently for jobs that still wait.
+  /// Machines that were freed recently for jobs that are still in the queue.
   [[nodiscard]] std::set<MachineId> claimed_machines(const std::vector<QueueItem>& queue,
                                                      SteadyTime now) const;
-  /// Stops tasks so that the job can start. Returns the machines on which that makes room; none
-  /// when there is nothing to stop.
+  /// Stops tasks so that the job can start. Returns the machines on which this frees capacity, or
+  /// none when there is nothing to stop.
   std::vector<MachineId> preempt_for(const QueueItem& item,
                                      const std::unordered_set<JobId>& guaranteed,
                                      const Profile& profile,
--- a/src/leader/quota_waits.cpp
+++ b/src/leader/quota_waits.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr Duration kCheckInterval{2'000};
-/// How long a release has to be without a definite answer before it is given as a reason.
+/// A release is named as the reason only after this time without a definite answer.
 constexpr Duration kMinUnsettledTime{5'000};
-/// Notes of one check.
+/// Maximum number of jobs for one check.
 constexpr std::size_t kMaxNotes = 8;
 
 struct UnsettledUse {
--- a/src/leader/quota_waits.hpp
+++ b/src/leader/quota_waits.hpp
@@ -1,8 +1,8 @@
-/// Jobs that wait for their team's quota because of a release without a definite answer.
+/// Finds jobs that wait for their team's quota because of a release without a definite answer.
 ///
-/// An open release counts in full against its team's limit until it is settled (see
-/// `OpenReleases`), so it can keep jobs of the team waiting that would otherwise start. Users who
-/// ask why such a job waits are told the job whose release is open.
+/// An open release counts in full against its team's quota until it is settled (see
+/// `OpenReleases`), so it can keep other jobs of the team from starting. Users who ask why such a
+/// job waits see the job whose release is open.
 #pragma once
 
 #include <unordered_set>
@@ -22,28 +22,28 @@
   JobId unsettled_job_id;
 };
 
-/// Of the queue's jobs, at most `max_waits` that their team's limit would let start if the open
-/// changes of the slices in `unsettled` came to nothing, and does not let start as things are.
-/// Pure.
+/// Finds at most `max_waits` jobs of the queue that their team's quota keeps from starting only
+/// because of the open changes of `unsettled_slices`. Such a job would fit the quota if these
+/// changes were never applied. Pure.
 std::vector<QuotaWait> find_quota_waits(const std::vector<QueueItem>& queue,
                                         const Settings& settings, const Records& records,
                                         const TeamQuotaUsage& usage,
                                         const std::vector<SliceKey>& unsettled_slices,
                                         std::size_t max_waits);
 
-/// Writes a note, once for each job and time of waiting, for the jobs of `find_quota_waits`.
+/// Writes one note for each job that `find_quota_waits` returns and each of the job's waits.
 class QuotaWaitNotes {
  public:
   QuotaWaitNotes(const Clock& clock, const Settings& settings, const WatchCache& cache,
                  Releaser& releaser, GuaranteeWriter& guarantee_writer);
 
-  /// Forgets which jobs have the note.
+  /// Discards the jobs that already have the note.
   void begin_term() { noted_jobs_.clear(); }
-  /// Forgets jobs that wait no longer: they get the note again should they wait once more.
+  /// Discards jobs that are no longer in the queue. They get the note again when they wait again.
   void retain_only(const std::unordered_set<JobId>& queued_jobs);
   /// True when the last check was long enough ago.
   [[nodiscard]] bool due() const;
-  /// Looks through the queue and writes the notes.
+  /// Finds the jobs in the queue that wait for this reason, and writes their notes.
   void run(const std::vector<QueueItem>& queue);
 
  private:
--- a/src/leader/releaser.cpp
+++ b/src/leader/releaser.cpp
@@ -10,16 +10,17 @@
 
 namespace {
 
-/// Share of the budget for writes below which it is short.
+/// The write budget is low when its unused share is at most this value.
 constexpr double kShortWriteSlack = 0.3;
-/// Tasks of an array below which its part of a start is small.
+/// A start of an array is small when it has fewer tasks than this.
 constexpr std::size_t kSmallStartTasks = 8;
-/// Between two releases of small parts of one array.
+/// Minimum time between two small releases of the same array while the write budget is low.
 constexpr Duration kSmallStartInterval{3'000};
-/// Offers that wait for one holder's binding. A holder that lacks the budget for more writes would
-/// let them time out, and each would then cost a second write: the release by the leader.
+/// Maximum number of offers that wait for one holder's binding. A holder with a low write budget
+/// would let more offers time out, and each time-out costs a second write: the leader's own
+/// release.
 constexpr std::size_t kMaxOffersToHolder = 10;
-/// Offers that wait for any holder's binding, from which on writes are taken to be short.
+/// The write budget counts as low from this total number of offers that wait for a binding.
 constexpr std::size_t kManyOpenOffers = 12;
 constexpr Duration kQuotaLogInterval{10'000};
 
@@ -111,8 +112,8 @@
 }
 
 void Releaser::release_all(const std::vector<Start>& starts, const Planner& planner) {
-  // By priority: what a holder can't bind yet waits for a later round, in which small pieces of an
-  // array have become larger ones.
+  // The starts are in priority order. Starts that a holder can't bind yet are left to a later
+  // round, in which small pieces of an array may have grown.
   for (const Start& start : starts) {
     if (!worth_releasing(start)) continue;
     const Start selected = short_of_writes() ? restrict_to_largest_zone(start, planner) : start;
@@ -125,8 +126,9 @@
 }
 
 bool Releaser::worth_releasing(const Start& start) {
-  // Each piece of an array costs the same writes, however small it is. Without budget to spare
-  // small pieces wait for others; their room stays theirs until the next round.
+  // Each release of part of an array costs the same number of writes, however small it is. While
+  // the write budget is low, small parts wait for more tasks. They keep their capacity until the
+  // next round.
   const JobRecord* job = cache_.records().job(start.job_id);
   if (job == nullptr) return false;
   const JobSpec& spec = job->spec;
@@ -141,7 +143,7 @@
 }
 
 Start Releaser::restrict_to_largest_zone(const Start& start, const Planner& planner) const {
-  // The part of an array's start that one holder can bind; the rest has its turn in the next round.
+  // One holder can bind the part in one zone. The remaining tasks are released in a later round.
   const JobRecord* job = cache_.records().job(start.job_id);
   if (job == nullptr || job->spec.shape != JobShape::array) return start;
   const auto& machines = planner.profile().machines();
@@ -162,8 +164,9 @@
 }
 
 std::vector<Start> Releaser::split_by_slice(const Start& start) const {
-  // An array's tasks start separately, so each slice is released by itself: it can be offered to
-  // its holder, and one that has to wait for its last commit does not hold up the others.
+  // The tasks of an array start independently, so each slice is released separately. Each slice can
+  // then be offered to its holder, and a slice that waits for its last commit does not delay the
+  // others.
   const JobRecord* job = cache_.records().job(start.job_id);
   if (job == nullptr || job->spec.gang()) return {start};
   std::map<std::uint32_t, Start> pieces;
@@ -200,7 +203,7 @@
     slice.number = number;
     slice.tasks.resize(slice_size(job, number));
   }
-  // The tasks of a gang find one another by their attempt: all have the same.
+  // The tasks of a gang find each other by their attempt number, so all of them get the same one.
   const Attempt gang_attempt = job.gang() ? highest_attempt(job) : Attempt{};
   const WallTime now = clock_.wall();
   for (std::size_t i = 0; i < start.task_indices.size(); ++i) {
--- a/src/leader/releaser.hpp
+++ b/src/leader/releaser.hpp
@@ -1,13 +1,13 @@
-/// Releases: the leader's grants of places to tasks, and the stops of tasks.
+/// Releases tasks to the places that the planner chose, and stops tasks.
 ///
-/// A start that the planner found becomes a release in one of two ways. A release of one slice on
-/// machines of one shard is offered to the shard's holder, which binds it in a single commit. Any
-/// other is committed to the state service by the leader, and bound by the holders afterwards.
-/// `OpenReleases` keeps each change until its outcome is known, and has it sent again when it went
-/// without an answer.
+/// A start becomes a release in one of two ways. A release of one slice on machines of one shard is
+/// offered to the shard's holder, which binds it in a single commit. The leader commits any other
+/// release to the state service itself, and the holders bind it afterwards. `OpenReleases` tracks
+/// each change until its outcome is known and reports when a change without an answer must be sent
+/// again.
 ///
-/// The team's quota is enforced here, right before a release (`within_team_quota`), against what is
-/// recorded and open rather than against the planner's profile.
+/// The team's quota is enforced here, immediately before a release (`within_team_quota`). Usage is
+/// counted from the records and the open changes, not from the planner's profile.
 #pragma once
 
 #include <functional>
@@ -27,66 +27,75 @@
 
 namespace marblevale {
 
-/// What the releaser reports to its owner.
+/// Callbacks of the releaser to its owner.
 struct ReleaserEvents {
-  /// A release or stop has got an answer: the next round may use it.
+  /// Called when a release or stop got an answer. The next round may use it.
   std::function<void()> change_answered;
-  /// A start would have taken its team over its quota by the records: the profile is wrong.
+  /// Called when a start would have exceeded its team's quota by the records. The planner's profile
+  /// is wrong in this case.
   std::function<void()> quota_exceeded;
 };
 
-/// Commits or offers the changes of one term; keeps at most one open change for each slice.
+/// Commits or offers the changes of one term. Each slice has at most one open change.
 class Releaser {
  public:
   Releaser(Metrics& metrics, const Clock& clock, const Settings& settings, WatchCache& cache,
            Election& election, ReleaserEvents events);
 
-  /// Has releases offered to shard holders by this channel; without it they are committed here.
+  /// Offers releases to shard holders through this channel, which must outlive the releaser.
+  /// Without a channel the leader commits all releases itself.
   void offer_through(OfferChannel& channel) { channel_ = &channel; }
 
-  /// Drops the open changes of earlier terms, which fail by their guard.
+  /// Discards the open changes of earlier terms, which fail by their guard.
   void begin_term();
-  /// A slice has changed in the records.
+  /// Marks a slice that has changed in the records, so that its usage is counted again.
   void mark_dirty(const SliceKey& key) { usage_.mark_dirty(key); }
-  /// Settles what the records decide, and sends again what has been without an answer for too long.
+  /// Settles the changes that the records decide, and sends those again that have been without an
+  /// answer for too long.
   void settle_and_retry_due();
-  /// Forgets what is remembered of jobs that wait no longer.
+  /// Discards the state kept for jobs that are no longer in the queue.
   void retain_only(const std::unordered_set<JobId>& queued_jobs);
 
-  /// Releases by priority, as far as the budget for writes allows; a later round plans the rest
-  /// again.
+  /// Releases the starts by priority, as far as the write budget allows. A later round plans the
+  /// remaining starts again.
   void release_all(const std::vector<Start>& starts, const Planner& planner);
-  /// Gives the order to the slice's tasks at these indices, apart from those that run nowhere or
-  /// are being stopped already. True when that stops any. Does nothing while a change of the slice
-  /// is open.
+  /// Sets the stop order on the slice's tasks at these indices, except tasks that are not placed or
+  /// are already being stopped. Returns true when this stops any task. Does nothing while the slice
+  /// has an open change.
   bool stop_tasks(const SliceKey& key, const std::set<std::size_t>& indices,
                   const StopOrder& order);
 
-  /// The budget for writes is short, here or at the holders that are to bind the open offers.
+  /// True when the write budget is low, or when many offers wait for a binding, which indicates
+  /// that the holders' write budget is low.
   [[nodiscard]] bool short_of_writes() const;
-  /// The changes whose outcome is open.
+  /// The changes whose outcome is still open.
   [[nodiscard]] const OpenReleases& open_releases() const { return open_; }
-  /// The slice as the open changes would leave it, or else as it is recorded.
+  /// The slice as its open change would leave it, or as recorded when it has none. nullptr when
+  /// there is neither.
   [[nodiscard]] const SliceRecord* current_slice(const JobId& job_id, std::uint32_t number) const;
-  /// What the teams use of their quotas now.
+  /// The teams' current quota usage, updated before it is returned.
   const TeamQuotaUsage& usage();
 
  private:
-  /// False for a small part of an array, which is better released together with others later.
+  /// False while the write budget is low for a small part of an array's tasks, which costs fewer
+  /// writes when released with other tasks later.
   bool worth_releasing(const Start& start);
-  /// The part of an array's start that lies in the zone with most of its tasks.
+  /// The part of an array's start in the zone that has most of its tasks. Other starts are returned
+  /// whole.
   [[nodiscard]] Start restrict_to_largest_zone(const Start& start, const Planner& planner) const;
   [[nodiscard]] std::vector<Start> split_by_slice(const Start& start) const;
-  /// The controller that holds the shards of all the start's machines, if one alone does.
+  /// The live controller that holds the shards of all the start's machines. Nothing when there is
+  /// no single such controller or no offer channel.
   [[nodiscard]] std::optional<NodeId> common_holder(const Start& start,
                                                     const Planner& planner) const;
-  /// Enforces the team's limit (its quota): false when the tasks, together with all that its other
-  /// tasks use by the records and the open releases, would exceed it.
+  /// Enforces the team's quota. Returns false when these tasks would exceed it together with the
+  /// team's other tasks, counted from the records and the open releases, or when that usage is not
+  /// fully known.
   [[nodiscard]] bool within_team_quota(const JobSpec& job, std::size_t tasks);
   void report_quota_exceeded(const JobSpec& job, const Resources& used, bool usage_known);
-  /// The highest attempt of the job's tasks.
+  /// The highest attempt number of the job's tasks, including open releases.
   [[nodiscard]] Attempt highest_attempt(const JobSpec& job) const;
-  /// The slice, with those tasks of the start that belong to it released.
+  /// The slice with those of the start's tasks released that belong to it.
   [[nodiscard]] SliceRecord make_released_slice(const JobSpec& job, std::uint32_t number,
                                                 const Start& start, const Planner& planner) const;
   [[nodiscard]] SliceChangeRequest make_request(const JobSpec& job, ModRevision job_revision,
@@ -106,7 +115,7 @@
   OfferChannel* channel_ = nullptr;
   OpenReleases open_;
   TeamQuotaUsage usage_;
-  std::unordered_map<JobId, SteadyTime> last_release_;  // of arrays that still wait
+  std::unordered_map<JobId, SteadyTime> last_release_;  // by array job in the queue
   SteadyTime last_quota_log_ = kLongAgo;
 };
 
--- a/src/leader/round_summary.cpp
+++ b/src/leader/round_summary.cpp
@@ -10,7 +10,7 @@
   Resources free{};
   std::size_t up = 0;
   for (std::size_t i = 0; i < profile.machines().size(); ++i) {
-    // Still booting, or no longer in the profile.
+    // The machine is still booting, or it was removed from the profile.
     if (profile.machines()[i].ready > now) continue;
     ++up;
     total += profile.timeline(i).capacity();
--- a/src/leader/round_summary.hpp
+++ b/src/leader/round_summary.hpp
@@ -1,4 +1,4 @@
-/// The leader's regular log line about the cluster as a round has planned it.
+/// The leader's periodic log line about the state of the cluster after a round's planning.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 
 namespace marblevale {
 
-/// Logs the machines, idle GPUs, waiting work and the number of open releases.
+/// Logs the number of machines, free GPUs, waiting jobs and tasks, and open releases.
 void log_round_summary(const Planner& planner, std::size_t open_releases, WallTime now);
 
 }  // namespace marblevale
--- a/src/leader/scale_out_planner.cpp
+++ b/src/leader/scale_out_planner.cpp
@@ -6,15 +6,16 @@
 
 namespace {
 constexpr Duration kMinInterval{1000};
-/// The interval is at least this many times what the last run took.
+/// The interval is at least this many times the duration of the last run.
 constexpr double kIntervalToRunTime = 30.0;
-/// Jobs at the queue's front that are placed anew.
+/// Number of jobs at the front of the queue that the forecast places anew.
 constexpr std::size_t kMaxJobsPlaced = 30;
 /// A task that starts within this time needs no new machine.
 constexpr Duration kMaxStartDelay{20'000};
-/// A machine that should be up within this time is late, or about to come up: it is not counted on.
+/// A machine with less than this time until it is ready does not count as booting, because it is
+/// either overdue or about to come up.
 constexpr Duration kOverdueBoot{5'500};
-/// The wait that is assumed of a job that no machine can take.
+/// Assumed wait of a job that no machine can take.
 constexpr Duration kUnplacedWait{600'000};
 }  // namespace
 
@@ -51,10 +52,12 @@
 
 std::vector<ForecastEntry> ScaleOutPlanner::forecast(const Planner& planner,
                                                      const Reservations& reservations) {
-  // Reservations lag behind what has become possible since (holes are kept on purpose), so what is
-  // missing is read from the plan that the queue would get if it were laid out anew.
+  // Reservations do not use capacity that became free after they were made, because holes are kept
+  // on purpose. So the demand is derived from the plan that the queue would get if it were planned
+  // anew.
   std::vector<ForecastEntry> out = planner.forecast(kMaxJobsPlaced);
-  // Jobs further back are taken by their reservations: to place a long queue anew is expensive.
+  // Jobs further back are judged by their reservations, because planning a long queue anew is
+  // expensive.
   for (std::size_t i = out.size(); i < planner.queue().size(); ++i) {
     const QueueItem& item = planner.queue()[i];
     if (item.demand.tasks == 0) continue;
@@ -83,8 +86,8 @@
 }
 
 bool ScaleOutPlanner::worth_scaling_out_for(const QueueItem& item) const {
-  // Jobs without an objective, of a team without a guarantee, run on idle machines only, unless
-  // they have waited for too long.
+  // Jobs without an objective, of a team without a guarantee, use only idle machines unless they
+  // are overdue.
   const auto is_of_class = [&](const Objective& objective) {
     return objective.job_class == item.demand.job->job_class && !objective.job_class.empty();
   };
@@ -112,8 +115,9 @@
     }
     if (job.gang() && late_tasks > 0) late_tasks = item.demand.tasks;
   }
-  // Where estimates are too low, room is always about to become free. A job that has waited for a
-  // while is expected to wait as long again, unless machines are booting already.
+  // When run time estimates are too low, the plan always shows capacity that is about to become
+  // free. A job that has waited for a while is therefore expected to wait as long again, unless
+  // machines are already booting.
   const Duration waited = now - item.accepted;
   Demand single_task = item.demand;
   single_task.tasks = 1;
@@ -129,7 +133,7 @@
 std::map<TeamId, Resources> ScaleOutPlanner::team_resources(const Profile& profile) const {
   std::map<TeamId, Resources> resources;
   for (const Team& team : settings_.teams) {
-    // Only what runs counts: reservations are what the machines are wanted for.
+    // Only running tasks count, because the machines are requested for the reserved ones.
     const ResourceTimeline* timeline = profile.team_timeline(team.name);
     if (timeline != nullptr) resources[team.name] = team.limit() - timeline->running();
   }
--- a/src/leader/shard_assigner.cpp
+++ b/src/leader/shard_assigner.cpp
@@ -10,16 +10,17 @@
 
 namespace {
 constexpr Duration kReconcileInterval{500};
-/// How long a home node must have been alive before a shard that works elsewhere returns to it.
+/// Minimum uptime of a home node before a shard with a live holder elsewhere returns to it.
 constexpr Duration kMinHomeUptime{6'000};
-/// A leader keeps its own shard for this long before it hands it to another controller of its zone:
-/// where leaders change again and again, shards would move with each.
+/// A new leader keeps its own zone's shard for this long before it hands the shard to another
+/// controller of the zone. Without this delay, frequent leader changes would move shards each time.
 constexpr Duration kLeaderHandoverDelay{20'000};
-/// The home node can't tell whether its workers reach it again but by being given the shard, and
-/// each try costs its machines some of their leases. So the length of an absence backs off.
+/// The home node can find out whether its workers reach it again only by holding the shard, and
+/// each attempt costs the machines part of their lease time. The failback delay therefore doubles
+/// with repeated moves.
 constexpr Duration kFirstFailbackDelay{45'000};
 constexpr Duration kMaxFailbackDelay{180'000};
-/// Within this time after an absence has begun, the next one is twice as long.
+/// A move within this time after the last failback delay began doubles the delay.
 constexpr Duration kRepeatedMoveWindow{300'000};
 constexpr Duration kMisroutedHeartbeatMaxAge{3'000};
 }  // namespace
@@ -56,13 +57,13 @@
 void ShardAssigner::begin_term() {
   term_ = election_.term();
   leading_since_ = clock_.steady();
-  // Between two terms nobody has watched the controllers.
+  // The controllers were not observed between the two terms.
   node_uptimes_.clear();
 }
 
 void ShardAssigner::track_live_nodes() {
   const auto& nodes = cache_.records().nodes;
-  // A controller that was cut off and is back begins anew, though its incarnation is the same.
+  // The uptime of a controller that was cut off starts anew, even in the same incarnation.
   std::erase_if(node_uptimes_, [&](const auto& entry) { return !nodes.contains(entry.first); });
   for (const auto& [node, stored] : nodes) {
     NodeUptime& uptime = node_uptimes_[node];
@@ -131,7 +132,8 @@
 }
 
 std::optional<NodeId> ShardAssigner::home_node(const ZoneId& zone, const ShardRecord* shard) const {
-  // A leader has work enough: it holds its zone's shard only as the zone's only live controller.
+  // The leader already carries the planning load, so it holds its zone's shard only when it is the
+  // zone's only live controller.
   const auto& live_nodes = cache_.records().nodes;
   std::vector<NodeId> zone_nodes;
   if (settings_.zone == zone) zone_nodes.push_back(settings_.node);
--- a/src/leader/shard_assigner.hpp
+++ b/src/leader/shard_assigner.hpp
@@ -1,13 +1,14 @@
 /// The leader's assignment of shards to controllers.
 ///
-/// A shard is the machines of one zone. Its holder should be a controller of that zone, its home
-/// node, so that the machines of a zone that is cut off still have their holder. The leader assigns
-/// a shard elsewhere when its home node is dead, or when workers of the zone reach another
-/// controller in place of the holder (misrouted heartbeats). After such a move for cause the shard
-/// is absent: it stays away from its home node for a time that doubles with each relapse.
+/// A shard is the machines of one zone. Its holder should be a controller of that zone (the home
+/// node), so that a zone that is cut off from the others keeps a reachable holder. The leader
+/// assigns a shard elsewhere when its home node is dead, or when workers of the zone reach another
+/// controller instead of the holder (misrouted heartbeats). After a move because of misrouted
+/// heartbeats, the return to the home node (failback) is delayed. The delay doubles when such a
+/// move is repeated soon after the last one.
 ///
-/// The assignment is a compare-and-swap on the shard's record under the leader's term. Its new
-/// revision fences the former holder.
+/// The assignment is a compare-and-swap on the shard's record under the leader's term. The new
+/// revision fences off the former holder.
 #pragma once
 
 #include <map>
@@ -20,16 +21,17 @@
 
 namespace marblevale {
 
-/// Keeps what it knows of controllers' lives and absences in memory only; a new leader begins anew.
+/// Keeps the controllers' uptimes and the failback delays in memory only, so a new leader starts
+/// without them.
 class ShardAssigner {
  public:
   ShardAssigner(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
                 Election& election);
 
-  /// Starts the timer. Nothing is assigned while this controller does not lead.
+  /// Starts the timer. Assigns nothing while this controller is not the leader.
   void begin();
-  /// The controller `witness` keeps getting heartbeats from workers of the zone that can't reach
-  /// the shard's holder.
+  /// Records that the controller `receiver` gets heartbeats from workers of the zone that can't
+  /// reach the shard's holder.
   void note_misrouted_heartbeat(const ZoneId& zone, const NodeId& receiver);
 
  private:
@@ -37,12 +39,13 @@
     NodeId receiver;
     SteadyTime noted_at;
   };
-  /// Since when this leader has seen the controller alive, in one incarnation.
+  /// Since when this leader has seen the controller alive in the same incarnation.
   struct NodeUptime {
     ProcessIncarnation incarnation;
     SteadyTime alive_since;
   };
-  /// For how long a shard stays away from its home node after a move for cause.
+  /// For how long a shard does not return to its home node after a move because of misrouted
+  /// heartbeats.
   struct FailbackDelay {
     SteadyTime since;
     Duration length{};
@@ -55,22 +58,24 @@
   void commit_assignment(const ZoneId& zone, const Versioned<ShardRecord>* current,
                          const NodeId& holder, ProcessIncarnation incarnation, LeaseId lease);
 
-  /// The controller that should hold the zone's shard; none when none is alive.
+  /// The controller that should hold the zone's shard, or nothing when no controller is alive.
+  /// `shard` is the current record, or nullptr.
   [[nodiscard]] std::optional<NodeId> choose_holder(const ZoneId& zone, const ShardRecord* shard);
-  /// The witness of recent misrouted heartbeats, if the shard is to move to it.
+  /// Removes the zone's misrouted heartbeat if it is recent. Returns its receiver when the shard
+  /// must move there, and begins the failback delay.
   std::optional<NodeId> take_heartbeat_receiver(const ZoneId& zone, const ShardRecord* shard,
                                                 SteadyTime now);
   [[nodiscard]] std::optional<NodeId> home_node(const ZoneId& zone, const ShardRecord* shard) const;
   [[nodiscard]] bool is_failback_delayed(const ZoneId& zone, SteadyTime now) const;
   void begin_failback_delay(const ZoneId& zone, SteadyTime now);
-  /// The live controller that holds the fewest other shards.
+  /// The live controller that holds the fewest other shards, or nothing when none is alive.
   [[nodiscard]] std::optional<NodeId> least_loaded_node(const ZoneId& zone) const;
 
   const Clock& clock_;
   const Settings& settings_;
   WatchCache& cache_;
   Election& election_;
-  ModRevision term_;  // of which `leading_since_` and `node_uptimes_` are
+  ModRevision term_;  // the term of `leading_since_` and `node_uptimes_`
   SteadyTime leading_since_{};
   std::map<NodeId, NodeUptime> node_uptimes_;
   std::map<ZoneId, MisroutedHeartbeat> misrouted_heartbeats_;
--- a/src/leader/starvation_check.cpp
+++ b/src/leader/starvation_check.cpp
@@ -9,15 +9,17 @@
 namespace {
 
 constexpr Duration kCheckInterval{10'000};
-/// Waiting time from which on a job counts as starved: none may wait for 90 s beside free room.
+/// A job counts as starved from this waiting time. The target is that no job waits for 90 s while a
+/// machine has capacity for it.
 constexpr Duration kMinStarvedWait{30'000};
-/// From the check that finds a job first to its log line: it may be about to start.
+/// Time between the first finding of a job and its log line, because the job may be about to start.
 constexpr Duration kConfirmTime{15'000};
 constexpr Duration kLogInterval{60'000};  // for one job
-/// Time out of use from which on a machine's room is looked at all the same.
+/// When no machine that is up has capacity, a machine that has been out of service for this long is
+/// considered too, so that the log names its state as the cause.
 constexpr Duration kMinOutOfUse{60'000};
 constexpr std::size_t kMaxStarvedJobs = 32;
-/// Time without a definite answer from which on a release is given as the cause.
+/// A release is given as the cause only after this time without a definite answer.
 constexpr Duration kMinUnsettledTime{5'000};
 
 }  // namespace
--- a/src/leader/starvation_check.hpp
+++ b/src/leader/starvation_check.hpp
@@ -1,7 +1,9 @@
-/// The leader's regular check for starvation: jobs that wait although a machine has room for them.
+/// The leader's periodic check for starvation: jobs that wait although a machine has capacity for
+/// them.
 ///
-/// `find_starved` finds them by the records alone. Each is logged with what keeps it waiting. Where
-/// the records show no reason, the planner's profile must be wrong, and the leader rebuilds it.
+/// `find_starved` finds these jobs from the records alone. Each job is logged with the cause of its
+/// wait. When the records show no cause, the planner's profile must be wrong, and the leader
+/// rebuilds it.
 #pragma once
 
 #include <map>
@@ -15,32 +17,34 @@
 
 namespace marblevale {
 
-/// Remembers how long each job has been found starved: one is reported only once that is confirmed.
+/// Tracks since when each job has been starved. A job is reported only after a later check has
+/// confirmed the finding.
 class StarvationCheck {
  public:
   StarvationCheck(const Clock& clock, const Settings& settings, const WatchCache& cache,
                   const Releaser& releaser);
 
-  /// Forgets what an earlier term has found.
+  /// Discards the findings of earlier terms.
   void begin_term() { findings_.clear(); }
   /// True when the last check was long enough ago.
   [[nodiscard]] bool due() const;
-  /// True when a job waits for no reason that the records show: the profile has gone wrong.
+  /// Logs the starved jobs. Returns true when a job waits for no reason that the records show,
+  /// because the planner's profile must then be wrong.
   bool run(const Planner& planner, const Reservations& reservations,
            const std::set<ZoneId>& unreachable_zones);
 
  private:
-  /// What keeps a job waiting.
+  /// Why a job waits.
   struct Cause {
     std::string text;
-    /// The cause lies in the planner's profile: the records show no reason.
+    /// True when the records show no reason, so the planner's profile must be wrong.
     bool profile_is_wrong = false;
   };
   struct Finding {
     SteadyTime first_found_at;
     SteadyTime last_logged_at;
   };
-  /// What the check looks at, beside the records.
+  /// Inputs of one check, in addition to the records.
   struct Round {
     const Planner& planner;
     const Reservations& reservations;
--- a/src/leader/team_quota_usage.cpp
+++ b/src/leader/team_quota_usage.cpp
@@ -11,7 +11,8 @@
   return slice != nullptr && index < slice->tasks.size() && slice->tasks[index].placed();
 }
 
-/// Counts a task if it is placed in any version of its slice that the state service may have.
+/// Counts the tasks that are placed in the stored slice or in its open change, because the state
+/// service may have either version.
 std::size_t count_placed(const SliceRecord* stored, const SliceRecord* open) {
   const std::size_t size = std::max(stored == nullptr ? 0 : stored->tasks.size(),
                                     open == nullptr ? 0 : open->tasks.size());
@@ -48,7 +49,7 @@
   const JobRecord* job = records.job(key.job_id);
   std::size_t placed = count_placed(stored == nullptr ? nullptr : &stored->record, open.slice(key));
   if (job == nullptr) {
-    // The slices of a job that has ended stay for a while; its tasks are proven gone.
+    // The slices of an ended job remain for a while, but its tasks are proven to have ended.
     if (placed > 0 && records.unreadable.contains(keys::job(key.job_id))) {
       slices_of_unreadable_jobs_.insert(key);
     }
--- a/src/leader/team_quota_usage.hpp
+++ b/src/leader/team_quota_usage.hpp
@@ -1,8 +1,8 @@
-/// What each team uses of its quota (its limit in the settings).
+/// The usage of each team's quota (its limit in the settings).
 ///
-/// Counted from the records and the open releases, never from the planner's profile or from
-/// expected ends: it is what `Releaser::within_team_quota` checks before each release, whatever the
-/// planner made of its profile. Only slices that have changed are counted again.
+/// Usage is counted from the records and the open releases, never from the planner's profile or
+/// from expected ends. `Releaser::within_team_quota` checks it before each release, so a wrong
+/// profile can't make a release exceed the quota. Only changed slices are counted again.
 #pragma once
 
 #include <map>
@@ -13,23 +13,23 @@
 
 namespace marblevale {
 
-/// Usage by team and by slice, counted from records and open releases.
+/// Usage by team and by slice, counted from the records and the open releases.
 class TeamQuotaUsage {
  public:
-  /// A slice has changed, in the records or among the open releases.
+  /// Marks a slice that has changed in the records or among the open releases.
   void mark_dirty(const SliceKey& key) { dirty_.insert(key); }
-  /// Has everything counted again at the next `sync`.
+  /// Makes the next `sync` count all slices again.
   void reset() { all_dirty_ = true; }
-  /// Counts the slices that are dirty.
+  /// Counts the dirty slices.
   void sync(const Records& records, const OpenReleases& open);
 
-  /// What the team's placed tasks use. All tasks of a slice that this version can't read count as
-  /// placed.
+  /// The resources of the team's placed tasks. When this version can't read a slice, all tasks of
+  /// the slice count as placed.
   [[nodiscard]] Resources used_by(const TeamId& team) const;
-  /// True when a job that this version can't read has placed tasks: any team may be the one that
+  /// True when a job that this version can't read has placed tasks. Any team may be the one that
   /// uses their resources.
   [[nodiscard]] bool incomplete() const { return !slices_of_unreadable_jobs_.empty(); }
-  /// What the slice adds to its team's usage.
+  /// The slice's share of its team's usage.
   [[nodiscard]] Resources used_by(const SliceKey& key) const;
 
  private:
--- a/src/leader/unreachable_zones.hpp
+++ b/src/leader/unreachable_zones.hpp
@@ -1,7 +1,7 @@
-/// Zones whose shard holder reaches none of their machines, as the controllers report it.
+/// Tracks the zones in which the shard holder reaches no machine, as reported by the controllers.
 ///
-/// No task could be bound in such a zone: the leader would release tasks there that its holder
-/// gives back, again and again. So the planner leaves these zones out.
+/// The planner excludes these zones. Otherwise the leader would repeatedly release tasks that the
+/// holder can't bind and gives back.
 #pragma once
 
 #include <map>
@@ -14,10 +14,11 @@
 /// Keeps the last report of each controller.
 class UnreachableZones {
  public:
-  /// Replaces the controller's last report. A report says something of a zone only while its
-  /// sender holds the zone's shard.
+  /// Replaces the controller's last report. The report applies to a zone only while the controller
+  /// holds the zone's shard.
   void report(const NodeId& holder, std::set<ZoneId> zones, SteadyTime now);
-  /// The zones that their present holders report as unreachable, by reports that are recent enough.
+  /// The zones that their current holders report as unreachable. Reports that are too old are
+  /// ignored.
   [[nodiscard]] std::set<ZoneId> current(const Records& records, SteadyTime now) const;
 
  private:
