--- a/tests/leader_cache_test.cpp
+++ b/tests/leader_cache_test.cpp
@@ -1,4 +1,4 @@
-// A leader whose copy of the records lags behind, or receives answers out of order.
+// A leader whose watch cache lags behind or receives answers out of order.
 #include "support/leader_loop_fixture.hpp"
 
 namespace marblevale {
@@ -8,8 +8,9 @@
 
 class LeaderCacheTest : public testing::LeaderLoopTest {};
 
-// A slow answer to its own commit, delivered after the watch had delivered the deletion,
-// left the record in this copy for good. A job that was over waited there beside free machines.
+// Guards against a deleted record that stays in the cache. The slow answer to this controller's own
+// commit arrives after the watch has delivered the deletion, and must not restore the record. A job
+// that had ended waited in the cache beside free machines because of this fault.
 TEST_F(LeaderCacheTest, ADelayedCommitAnswerDoesNotRestoreADeletedRecord) {
   begin();
   const JobSpec spec = testing::gang("req-1", 1, 1, 60);
@@ -45,7 +46,7 @@
 TEST_F(LeaderCacheTest, RecordsOfAJobMissingFromTheCacheAreNotCleanedUp) {
   begin();
   run(Duration{1'000});
-  // As while the cache is reloaded page by page.
+  // The cache contains the slice but not its job, as during a page-by-page reload.
   submit(testing::gang("req-1", 1, 1, 60));
   set_task("req-1", bound("vm-1"));
   const auto slice = store_.get(keys::slice(JobId("req-1"), 0));
@@ -65,7 +66,7 @@
   begin();
   submit(testing::gang("req-2", 1, 2, 60));
   run(Duration{1'000});
-  set_limit(4);  // the records' view; the profile was made with the earlier limit
+  set_limit(4);  // seen by the records only; the profile was built with the earlier limit
   run(Duration{20'000});
   EXPECT_TRUE(tasks("req-2").empty());
   run(Duration{60'000});
@@ -73,9 +74,9 @@
   EXPECT_EQ(tasks("req-2")[0].state, TaskState::released);
 }
 
-// The leader's own commit of a cancellation is in its copy at once, before the
-// watch tells of a binding that was committed earlier. The job was called over, and its task, no
-// longer anybody's to stop, went on outside its team's limit.
+// The cache shows the leader's own commit of a cancellation before the watch delivers a binding
+// that was committed earlier. Guards against ending the job at this point: its task would never be
+// stopped, and would keep running outside its team's quota.
 TEST_F(LeaderCacheTest, ACancelledJobIsCompletedOnlyOnceEarlierCommitsAreObserved) {
   machine("vm-1");
   begin();
--- a/tests/leader_failover_test.cpp
+++ b/tests/leader_failover_test.cpp
@@ -1,5 +1,5 @@
-// Failover of the leader while requests are in flight or the state service is out: nothing is done
-// twice, nothing of an earlier term is committed, nothing is lost.
+// Leader failover while requests are in flight or the state service is unavailable: no action is
+// executed twice, no commit of an earlier term is applied, and no work is lost.
 #include "leader/shard_assigner.hpp"
 #include "support/leader_loop_fixture.hpp"
 
@@ -10,7 +10,7 @@
 
 class LeaderFailoverTest : public testing::LeaderLoopTest {
  protected:
-  /// The state service is out: commits are refused, and open watches wait.
+  /// Simulates an outage of the state service: commits are refused, and watches get no answer.
   void outage(Duration duration) {
     for (std::int64_t at = 0; at < duration.count(); at += 10) {
       store_.scripts.assign(100, Script::refuse);
@@ -31,7 +31,8 @@
     run(Duration{50});
     ASSERT_TRUE(election_.is_established_leader());
   }
-  /// A term of another between two of this controller's, shorter than a tick of anything.
+  /// Lets another controller lead for a term that is shorter than any timer interval. Then this
+  /// controller leads again under a new term.
   void fail_over_and_back() {
     const ModRevision before = election_.term();
     lose_leadership();
@@ -40,8 +41,9 @@
   }
 };
 
-// `deleting` is committed before the cloud is asked; an outage longer than `cancel_s` would leave a
-// cancelled task where it is.
+// The state `deleting` is normally committed before the cloud gets the deletion request. Guards
+// against a cancelled task that keeps running because an outage of the state service lasts longer
+// than `cancel_s`.
 TEST_F(LeaderFailoverTest, AMachineWithACancelledTaskIsDeletedDuringAnOutage) {
   machine("vm-1");
   machine("vm-2");
@@ -121,7 +123,8 @@
   EXPECT_EQ(cache_.records().provisioning_requests.at("h-5-1").record.machine_ids.size(), 2U);
 }
 
-// What had been decided under one term was written under the next.
+// Guards against a deletion that is decided in one term and committed under the guard of the next
+// term.
 TEST_F(LeaderFailoverTest, ADeletionDecidedInAnEarlierTermIsNotCommittedInALaterOne) {
   machine("vm-1");
   begin();
@@ -147,8 +150,9 @@
   std::vector<std::string> released_jobs;
   for (int i = 0; i < 10; ++i) {
     const std::string job_id = "req-" + std::to_string(i);
-    submit(testing::gang(job_id, 1, 2, 60));  // as much as the team may take
-    // The term ends with the release on its way: carried out, or not, or with the service out.
+    submit(testing::gang(job_id, 1, 2, 60));  // uses the team's whole quota
+    // The term ends while the release is in flight: the commit is applied, refused, or lost in an
+    // outage.
     store_.hold_answers = true;
     if (i % 3 == 1) store_.scripts.assign(20, Script::refuse);
     if (i % 3 == 2) store_.scripts.assign(20, Script::drop_request);
@@ -164,7 +168,7 @@
     EXPECT_EQ(tasks(job_id)[0].state, TaskState::released) << job_id;
     EXPECT_EQ(tasks(job_id)[0].attempt, Attempt(1)) << job_id << " was released once";
     released_jobs.push_back(job_id);
-    Transaction removal;  // it ends
+    Transaction removal;  // the job ends
     removal.remove(keys::slice(JobId(job_id), 0)).remove(keys::job(JobId(job_id)));
     store_.commit(RequestPriority::binding, removal, [](const CommitResult&) {});
     run(Duration{200});
@@ -201,7 +205,7 @@
   ASSERT_EQ(store_.delayed[0].puts.at(0).key, keys::slice(first.job_id, 0));
   store_.scripts.clear();
   lose_leadership();
-  // Under the other the team's limit is used by another job.
+  // Under the other leader another job uses the team's quota.
   submit(testing::gang("req-2", 1, 2, 60));
   set_task("req-2", bound("vm-1"));
   run(Duration{20});
@@ -239,7 +243,8 @@
   submit(testing::gang("req-2", 66, 1, 60));
   SliceRecord last = slice("req-1", 1, 2);
   last.tasks[1] = bound("vm-1");
-  // The machines of the gang's second slice were lost after it was done, before anybody saw that.
+  // The gang's second slice lost its machines after its tasks were done, but before their end was
+  // recorded.
   SliceRecord lost = slice("req-2", 1, 2);
   lost.tasks[0].state = TaskState::idle;
   lost.tasks[1] = bound("vm-1");
@@ -260,7 +265,8 @@
   EXPECT_TRUE(store_.get(keys::final_job(JobId("req-2"))));
 }
 
-// Team at its limit, a change of leader, a machine that can't be asked, and a cancellation.
+// The task of a cancelled job may still run on a machine that does not confirm its end. It must
+// count against the team's quota under a new leader too.
 TEST_F(LeaderFailoverTest, ACancelledTaskCountsAgainstTheLimitUntilTerminated) {
   machine("vm-1");
   machine("vm-2");
@@ -280,7 +286,8 @@
   EXPECT_EQ(tasks("req-2")[0].state, TaskState::released);
 }
 
-// Tasks that nobody can ask about, on machines that are silent, out of reach or in no record.
+// Tasks whose state can't be determined still count, because their machine is silent, in an
+// unreachable zone, or without a record.
 TEST_F(LeaderFailoverTest, TasksOnUnreachableMachinesCountUnderANewLeader) {
   use_two_zones();
   set_limit(3);
--- a/tests/leader_loop_test.cpp
+++ b/tests/leader_loop_test.cpp
@@ -40,14 +40,15 @@
   ASSERT_EQ(store_.delayed.size(), 1U);
   submit(testing::gang("req-2", 1, 1, 30));
   run(Duration{200});
-  // The late one may still come: no second release may use the same quota.
+  // The delayed commit may still be applied, so no second release may use the same quota.
   store_.apply_delayed();
   run(Duration{2000});
   EXPECT_EQ(tasks("req-1").at(0).state, TaskState::released);
   EXPECT_TRUE(tasks("req-2").empty());
 }
 
-// A leader that the state service refused released the same task every 20 ms.
+// Guards against a leader that releases the same task every 20 ms while the state service refuses
+// its commits.
 TEST_F(LeaderLoopTest, ARefusedReleaseIsRetriedWithBackoff) {
   machine("vm-1");
   begin();
@@ -138,7 +139,7 @@
   leader_loop_.note_unreachable_zones(NodeId("me"), {ZoneId("a"), ZoneId("b")});
   submit(testing::gang("req-1", 1, 8, 60));
   run(Duration{100});
-  submit(testing::gang("req-2", 1, 8, 60));  // as long, accepted later
+  submit(testing::gang("req-2", 1, 8, 60));  // same length, accepted later
   run(Duration{500});
   leader_loop_.note_unreachable_zones(NodeId("me"), {ZoneId("a")});
   run(Duration{1'000});
@@ -160,7 +161,7 @@
   run(Duration{1000});
   EXPECT_TRUE(tasks("req-1").empty());
   leader_loop_.note_unreachable_zones(NodeId("other"),
-                                      {ZoneId("a")});  // not the holder: its word is nothing
+                                      {ZoneId("a")});  // not the holder, so its report is ignored
   leader_loop_.note_unreachable_zones(NodeId("me"), {});
   run(Duration{1000});
   ASSERT_EQ(tasks("req-1").size(), 1U);
--- a/tests/leader_process_pause_test.cpp
+++ b/tests/leader_process_pause_test.cpp
@@ -1,5 +1,4 @@
-// A leader whose process was paused: it acts on nothing until its copy of the records is fresh
-// again.
+// A leader whose process was paused takes no action until its cache is fresh again.
 #include "leader/shard_assigner.hpp"
 #include "support/leader_loop_fixture.hpp"
 
@@ -22,8 +21,9 @@
   std::size_t commits_before_ = 0;
 };
 
-// Found by inc-0452: a paused leader planned a round and released three tasks before it
-// read that its epoch had ended. The commits failed by their guards; the plan was in vain.
+// Found by inc-0452: guards against a paused leader that plans a round and releases tasks (three in
+// that case) before it reads that its session has ended. The commits failed by their guards, so the
+// planning was wasted.
 TEST_F(LeaderProcessPauseTest, ReleasesNothingBeforeTheCacheIsFresh) {
   machine("vm-1");
   begin();
@@ -44,7 +44,7 @@
   run(Duration{1'200});
   submit(testing::gang("req-1", 1, 2, 60));
   for (int i = 0; i < 20 && store_.commits.empty(); ++i) run(Duration{10});
-  run(Duration{200});  // a round has requested machines; the autoscaler's next tick is to come
+  run(Duration{200});  // a round has requested machines; the autoscaler's next tick has not run
   ASSERT_TRUE(cloud_.provisioning_requests.empty());
   pause_process();
   run_without_watch(Duration{2'500});
@@ -90,7 +90,7 @@
   machine("vm-1");
   begin();
   run(Duration{1'100});
-  cloud_.removes = false;  // the cloud is out
+  cloud_.removes = false;  // the cloud does not answer
   autoscaler_.request_deletion(MachineId("vm-1"), DeletionReason::silent);
   run(Duration{1'100});
   ASSERT_EQ(machine_state("vm-1"), MachineState::deleting);
--- a/tests/open_releases_test.cpp
+++ b/tests/open_releases_test.cpp
@@ -1,4 +1,4 @@
-// The states of an open release: which answers and records resolve it, and which do not.
+// The states of an open release: which answers and records settle it, and which do not.
 #include <gtest/gtest.h>
 
 #include "leader/quota_waits.hpp"
@@ -27,7 +27,7 @@
     time_.advance(Duration{100});
   }
 
-  /// The first slice of the job with both tasks released.
+  /// A request that releases both tasks of the job's first slice.
   [[nodiscard]] SliceChangeRequest request() const {
     SliceRecord slice;
     slice.job_id = kJob;
@@ -57,7 +57,7 @@
     releases_.on_commit_answer(id, {outcome, revision, {}}, time_.steady());
   }
 
-  /// Whether it is still open after so long without new records.
+  /// True when the release is still open after this time without new records.
   bool open_after(Duration duration) {
     time_.advance(duration);
     releases_.settle(cache_, time_.steady());
@@ -139,11 +139,11 @@
   EXPECT_FALSE(open_after(Duration{0}));
 }
 
-// Read page by page, the records may have one slice of a transaction and lack the other.
+// During a page-by-page reload the cache may contain one slice of a transaction and lack the other.
 TEST_F(OpenReleasesTest, NothingIsResolvedWhileTheCacheReloads) {
   const ReleaseId id = add_sent();
   answer(id, Outcome::conflict, Revision(1));
-  // A process that has just begun reads them, as after a watch that fell behind.
+  // A new cache loads all records, as a cache does after its watch has fallen behind.
   ScriptedStore unreachable;
   unreachable.failing_ranges = 1'000;
   WatchCache loading(loop_, time_, unreachable, 1);
@@ -194,7 +194,7 @@
     usage_.sync(cache_.records(), releases_);
     return usage_.used_by(TeamId("crew")).gpus;
   }
-  /// Replaces the slice in the records; its tasks are placed or idle.
+  /// Stores the slice with each task bound or idle as `placed` says.
   void store_slice(std::vector<bool> placed) {
     SliceRecord slice = request().slices[0];
     for (std::size_t i = 0; i < placed.size(); ++i) {
--- a/tests/quota_under_faults_test.cpp
+++ b/tests/quota_under_faults_test.cpp
@@ -1,6 +1,6 @@
-// Random faults of the state service and of the network, failovers, moves of shards and restarts:
-// no team exceeds its limit, by the records or on the workers, and every job ends. Each seed
-// repeats exactly.
+// Random faults of the state service and the network, failovers, shard moves and restarts: no team
+// exceeds its quota, by the records or on the workers, and every job ends. Each seed gives the same
+// run.
 #include "support/simulated_cluster.hpp"
 
 namespace marblevale {
@@ -37,7 +37,7 @@
             ? testing::gang(job_id, 1, gpus, 5)
             : testing::batch(job_id, static_cast<std::uint32_t>(random.between(1, 4)), gpus, 5);
     spec.team = TeamId(random.chance(0.5) ? "crew" : "guild");
-    // What comes later often goes first: by its urgency, or as the shorter one.
+    // Later jobs often have priority, by their urgency or their shorter estimated run time.
     spec.urgency = static_cast<Urgency>(
         random.between(static_cast<int>(Urgency::low), static_cast<int>(Urgency::production)));
     spec.estimated_run = random.span(2'000, 20'000);
@@ -49,8 +49,8 @@
     if (it != cluster_.controllers.end()) it->second->store.condition = condition;
   }
 
-  /// Commits of the leader go without an answer; when it repeats them it is refused, and served
-  /// again a moment later.
+  /// Loses the answers to the leader's commits, refuses its retries, and accepts requests again a
+  /// moment later.
   void drop_answers_then_refuse() {
     const auto leader = testing::stored_record<LeaderRecord>(cluster_.store, keys::kLeader);
     if (!leader) return;
--- a/tests/release_offer_test.cpp
+++ b/tests/release_offer_test.cpp
@@ -1,5 +1,5 @@
-// Releases that the leader offers to the holder of a shard: an offer counts against the limit until
-// it is resolved, whatever the holder answers and whenever the answer arrives.
+// Release offers to a shard holder. An offer counts against the team's quota until it is settled,
+// whatever the holder answers and whenever the answer arrives.
 #include "support/leader_loop_fixture.hpp"
 
 namespace marblevale {
@@ -8,7 +8,8 @@
 using testing::LeaderLoopTest;
 using testing::Script;
 
-/// Keeps the offers, and answers them as the test says.
+/// Records the offers. Answers each with `answer`, or stores its callback in `unanswered` while
+/// `answer` is not set.
 class ScriptedChannel : public OfferChannel {
  public:
   void offer(const NodeId& holder, const ReleaseOffer& offer,
@@ -42,7 +43,7 @@
     submit(spec);
   }
 
-  /// The holder's commit of an offer arrives, with the guards that it had.
+  /// Commits the holder's binding of the offer, with the guards that the offer names.
   void bind_late(const ReleaseOffer& offer, const TaskRecord& task) {
     SliceRecord slice;
     slice.job_id = JobId(offer.job_id);
@@ -55,7 +56,7 @@
     store_.commit(RequestPriority::binding, txn, [](const CommitResult&) {});
   }
 
-  /// Binds whatever was offered for the job.
+  /// Binds all offers for the job.
   void bind_offers_for(const std::string& job_id) {
     for (const ReleaseOffer& offer : channel_.offers) {
       if (offer.job_id == job_id) bind_late(offer, bound("vm-1"));
@@ -72,7 +73,8 @@
   ASSERT_EQ(channel_.offers.size(), 1U);
   EXPECT_EQ(channel_.offers[0].term, election_.term().get());
   EXPECT_TRUE(tasks("req-1").empty()) << "nothing is committed by the leader yet";
-  // No word from the holder, and the state service refuses the leader: the binding may come yet.
+  // The holder does not answer, and the state service refuses the leader's commits. The holder may
+  // still bind the offer.
   submit(testing::gang("req-2", 1, 1, 30));
   store_.scripts.assign(300, Script::refuse);
   run(Duration{4000});
@@ -95,8 +97,9 @@
   EXPECT_EQ(channel_.offers.size(), 1U);
 }
 
-// 959 offers in 30 s found no binding in time, because their holders had
-// no budget for more writes, and the leader's own releases cost as many again.
+// Guards against more offers than a holder can bind. In one case 959 offers in 30 s timed out
+// because their holders had no write budget left, and the leader's own releases cost as many writes
+// again.
 TEST_F(ReleaseOfferTest, OffersInFlightToAHolderAreBounded) {
   settings_.teams[0].gpus_max = 1000;
   for (int i = 0; i < 10; ++i) machine("vm-" + std::to_string(10 + i));
@@ -121,7 +124,7 @@
   EXPECT_TRUE(tasks("req-1").empty());
 }
 
-// An answer names its offer: one that comes late says nothing of a later offer for the same slice,
+// An answer belongs to one offer. A late decline must not settle a later offer for the same slice,
 // which the holder may still bind.
 TEST_F(ReleaseOfferTest, ADelayedDeclineDoesNotResolveALaterOffer) {
   begin_offering();
@@ -145,8 +148,8 @@
   EXPECT_LE(gpus_in_use({{"req-1", 2}, {"req-2", 1}}), 2);
 }
 
-// The holder did not answer in time, so the leader committed the release itself, without an answer
-// either. The holder's decline says nothing about that commit.
+// The holder did not answer in time, so the leader committed the release itself and got no answer
+// either. The holder's late decline must not settle this commit.
 TEST_F(ReleaseOfferTest, ADeclineDoesNotResolveTheCommitThatFollowedTheOffer) {
   begin_offering();
   submit(testing::gang("req-1", 1, 2, 60));
--- a/tests/release_outcome_test.cpp
+++ b/tests/release_outcome_test.cpp
@@ -1,5 +1,5 @@
-// Releases of unknown outcome: what may still be executed counts against the team's limit. The
-// tests sum up what the team has in use by the records of the state service.
+// Releases of unknown outcome: a change that may still be applied counts against the team's quota.
+// The tests sum up the team's usage from the records in the state service.
 #include "support/leader_loop_fixture.hpp"
 
 namespace marblevale {
@@ -22,23 +22,23 @@
     submit(spec);
   }
 
-  /// What becomes of the first commit that writes the job's slice; its repeats are refused so
-  /// often.
+  /// Applies the script `first` to the first commit that writes the job's slice, and refuses the
+  /// next `refusals` commits.
   void refuse_retries_after(Script first, const std::string& job_id, std::size_t refusals) {
     std::deque<Script>& scripts = store_.key_scripts[slice_key(job_id)];
     scripts.assign(refusals, Script::refuse);
     scripts.push_front(first);
   }
 
-  /// The late commit arrives.
+  /// Applies the delayed commit.
   void execute_delayed_commit() {
     store_.apply_delayed();
     run(Duration{100});
   }
 };
 
-// The first commit of the release had no answer and is applied late; its repeat is refused, which
-// says nothing of the first. The room must not go to another job meanwhile.
+// The first commit of the release got no answer and is applied late. The refusal of its retry does
+// not settle the first commit, so the capacity must not go to another job.
 TEST_F(ReleaseOutcomeTest, ARefusedRetryDoesNotResolveTheUnansweredCommit) {
   begin();
   refuse_retries_after(Script::delay, "req-1", 60);
@@ -51,7 +51,7 @@
   EXPECT_LE(gpus_in_use({{"req-1", 2}, {"req-2", 1}}), kLimit);
 }
 
-// As above for an array, of which another job's tasks would take the room.
+// The same for an array, whose capacity another job's tasks would take.
 TEST_F(ReleaseOutcomeTest, ARefusedRetryOfAnArraysReleaseDoesNotResolveIt) {
   begin();
   refuse_retries_after(Script::delay, "req-1", 60);
@@ -64,8 +64,8 @@
   EXPECT_LE(gpus_in_use({{"req-1", 1}, {"req-2", 2}}), kLimit);
 }
 
-// Nothing stays counted forever: once the state service answers again the release is resolved by
-// its repeat, and the team's next job starts when the first one has ended.
+// An unanswered release does not count forever. When the state service answers again, the retry
+// settles the release, and the team's next job starts after the first job has ended.
 TEST_F(ReleaseOutcomeTest, AnUnansweredReleaseIsResolvedOnceTheStateServiceRecovers) {
   begin();
   refuse_retries_after(Script::drop_request, "req-1", 5);
@@ -84,8 +84,8 @@
   EXPECT_EQ(gpus_in_use({{"req-2", 1}}), 1) << "the team's next job has its turn";
 }
 
-// A epoch that ends and is opened again under the same leader record: what is open stays open,
-// and an answer that arrives in between counts.
+// The session ends and a new one begins under the same leader record, so the term continues. Open
+// releases stay open, and an answer that arrives in between counts.
 TEST_F(ReleaseOutcomeTest, AReleaseStaysOpenThroughAnInterruptionOfItsTerm) {
   begin();
   refuse_retries_after(Script::delay, "req-1", 60);
@@ -96,7 +96,7 @@
   store_.hold_answers = true;
   run(Duration{1100});
   for (const auto& answer : std::exchange(store_.held_answers, {}))
-    answer();  // the epoch has ended
+    answer();  // the session has ended
   run(Duration{1000});
   ASSERT_FALSE(election_.is_established_leader()) << "the next session is not open yet";
   store_.hold_answers = false;
@@ -127,8 +127,8 @@
             1);
 }
 
-// Use is counted from what is placed, never from an expected end: at no moment of an overrun,
-// however often the end is reached, does the task seem to be gone.
+// Usage is counted from placed tasks, never from an expected end. An overrunning task must count at
+// every moment, however often its expected end passes.
 TEST_F(ReleaseOutcomeTest, AnOverrunningTaskCountsUntilItEnds) {
   JobSpec overrunning = testing::gang("req-1", 1, 2, 1);
   submit(overrunning);
@@ -143,8 +143,8 @@
   }
 }
 
-// A commit that stops tasks went without an answer, and its repeat is refused: what it stops is on
-// its machine until proof.
+// The commit of a stop got no answer, and its retry is refused. The task that it stops counts until
+// it is proven to have ended.
 TEST_F(ReleaseOutcomeTest, AnUnansweredStopFreesNoQuota) {
   submit(testing::gang("req-1", 1, 2, 600));
   set_task("req-1", bound("vm-1"));
@@ -165,8 +165,8 @@
   EXPECT_TRUE(tasks("req-2").empty());
 }
 
-// The leader's own commits are in its copy before what others committed earlier: a release may have
-// been applied just before this controller cancelled its job.
+// The cache shows this controller's own commits before earlier commits of others. A release may
+// have been applied just before this controller cancelled its job.
 TEST_F(ReleaseOutcomeTest, AnOwnCommitOfTheJobDoesNotResolveAnEarlierRelease) {
   begin();
   run(Duration{600});
--- a/tests/service_job_test.cpp
+++ b/tests/service_job_test.cpp
@@ -1,5 +1,5 @@
-// Service jobs: their replicas run until the job is cancelled. A replica that ends runs again, and
-// one on a machine that goes away is evicted.
+// Service jobs: their replicas run until the job is cancelled. A replica that ends is started
+// again, and a replica on a machine that goes away is evicted.
 #include "scheduling/machine_evacuation.hpp"
 #include "shards/task_presence.hpp"
 #include "support/leader_loop_fixture.hpp"
@@ -42,7 +42,7 @@
     EXPECT_EQ(task.faults, n);
     EXPECT_EQ(task.failed_on, MachineId("vm-1"));
   }
-  // One that had run for long failed for the first time: it runs again at once.
+  // A failure after a long run counts as the first fault, so the replica is retried at once.
   task = running_since(from_unix_milliseconds(1'000'000));
   task.faults = 4;
   apply_task_end(task, job, TaskEndCause::failed, false,
@@ -72,8 +72,9 @@
   EXPECT_FALSE(store_.get(keys::final_job(JobId("req-1"))));
 }
 
-// While writes are short sixteen commits are on their way, and those that wait have their turn one
-// by one: on a day of hawakir-fields-next replicas were bound 20 to 80 s after their release.
+// While the write budget is low, sixteen commits are in flight and the others wait for their turn.
+// Guards against replica bindings that wait with them: on one day of hawakir-fields-next, replicas
+// were bound 20 to 80 s after their release.
 TEST_F(ServiceJobHolderTest, AReplicasBindingDoesNotWaitForOtherCommits) {
   handle_heartbeat(1, 0);
   run(Duration{50});
@@ -185,7 +186,8 @@
   }));
 }
 
-// Such a machine would never empty by itself, and would be paid for until the job is cancelled.
+// Without evictions a quarantined machine would never become empty, and would be paid for until the
+// job is cancelled.
 TEST_F(ServiceJobLeaderTest, ReplicasAreEvictedOneAtATimeFromAQuarantinedMachine) {
   machine("vm-1");
   machine_in_state("vm-2", MachineState::quarantined);
@@ -195,8 +197,8 @@
   EXPECT_EQ(count_stopping("req-1"), 1U) << "the service goes on with the other";
 }
 
-// A replica is down from the end of its worker's lease: its machine is given up then, and not a
-// part of a lease later like others that fell silent.
+// A replica is down when its worker's lease ends. Its machine must be given up then, and not part
+// of a lease later like other silent machines.
 TEST_F(ServiceJobLeaderTest, ASilentMachineWithAReplicaIsDeletedAtLeaseExpiry) {
   const Duration lease_over =
       settings_.workers.lease - scaled(settings_.workers.heartbeat, kSilentHeartbeats);
--- a/tests/shard_assigner_test.cpp
+++ b/tests/shard_assigner_test.cpp
@@ -8,8 +8,8 @@
 
 class ShardAssignerTest : public testing::LeaderLoopTest {};
 
-// Found by inc-9b45: a zone's controller that had lost its workers for two minutes was given its
-// shard back every 45 s, and lost it again 20 s later.
+// Found by inc-9b45: guards against a failback delay that does not grow. A zone's controller that
+// had lost its workers for two minutes got its shard back every 45 s, and lost it again 20 s later.
 TEST_F(ShardAssignerTest, AShardReturnsToAnUnreachableHomeWithGrowingBackoff) {
   settings_.peers = {{NodeId("n2"), ZoneId("a"), {}}, {NodeId("n3"), ZoneId("b"), {}}};
   for (const char* node : {"n2", "n3"}) {
--- a/tests/wide_gang_release_test.cpp
+++ b/tests/wide_gang_release_test.cpp
@@ -33,14 +33,14 @@
 
 TEST_F(WideGangReleaseTest, IsCommittedInStepsThatFitOneTransactionEach) {
   begin_with_wide_gang();
-  // A step that is refused is sent again: the tasks of the other would wait for it in vain.
+  // The refused step must be sent again, because the tasks of the other step wait for its tasks.
   store_.key_scripts[keys::slice(JobId("req-1"), 6)] = {Script::refuse};
   run(Duration{3'000});
   EXPECT_EQ(placed_by_attempt(), (std::map<Attempt, std::size_t>{{Attempt(1), kTasks}}));
 }
 
-// The leader ends between the steps: what was released counts, and the rest is not released beside
-// it under another attempt.
+// The leader's term ends between the steps. The released tasks count, and the remaining tasks must
+// not be released beside them under another attempt.
 TEST_F(WideGangReleaseTest, IsNotReleasedAgainAfterAPartialRelease) {
   begin_with_wide_gang();
   store_.lower_limits(LimitsEvidence::compact_record);
