--- a/src/api/job_cancellation.cpp
+++ b/src/api/job_cancellation.cpp
@@ -17,10 +17,11 @@
     : clock_(clock), cache_(cache), cancellations_(cancellations), lookup_(lookup) {}
 
 void JobCancellation::cancel(const JobId& job_id, const AnswerHandler& answer) {
-  attempt(job_id, kMaxCommitAttempts, answer);
+  look_up_and_cancel(job_id, kMaxCommitAttempts, answer);
 }
 
-void JobCancellation::attempt(const JobId& job_id, int attempts_left, const AnswerHandler& answer) {
+void JobCancellation::look_up_and_cancel(const JobId& job_id, int attempts_left,
+                                         const AnswerHandler& answer) {
   lookup_.look_up(job_id, [this, job_id, attempts_left, answer](const LookupResult& result) {
     if (std::holds_alternative<LookupFailed>(result)) {
       answer(store_unavailable_answer());
@@ -54,7 +55,8 @@
                   } else if (result.outcome == Outcome::refused) {
                     answer(store_unavailable_answer());
                   } else {
-                    attempt(job_id, attempts_left - 1, answer);  // reads back what became of it
+                    look_up_and_cancel(job_id, attempts_left - 1,
+                                       answer);  // reads back what became of it
                   }
                 });
 }
--- a/src/api/job_cancellation.hpp
+++ b/src/api/job_cancellation.hpp
@@ -18,7 +18,7 @@
 
  private:
   /// Looks the job up and commits its cancellation if it is neither cancelled nor ended.
-  void attempt(const JobId& job_id, int attempts_left, const AnswerHandler& answer);
+  void look_up_and_cancel(const JobId& job_id, int attempts_left, const AnswerHandler& answer);
   void commit_cancellation(const JobId& job_id, const Versioned<JobRecord>& job, int attempts_left,
                            const AnswerHandler& answer);
   /// Tells the user that the cancellation is committed. The other controllers are told first: each
--- a/src/api/job_explanation.cpp
+++ b/src/api/job_explanation.cpp
@@ -21,12 +21,12 @@
 /// How the tasks of an unfinished job failed.
 struct TaskFailures {
   std::uint64_t count = 0;
-  std::set<MachineId> machines;     // of each task's last failure
-  bool any_task_worked = false;     // a task was done, or saved a checkpoint
-  std::optional<Duration> backoff;  // until the next retry; absent while no task waits
+  std::set<MachineId> machines;      // of each task's last failure
+  bool any_task_progressed = false;  // a task was done, or saved a checkpoint
+  std::optional<Duration> backoff;   // until the next retry; absent while no task waits
 
   [[nodiscard]] bool suggest_faulty_job() const {
-    return !any_task_worked &&
+    return !any_task_progressed &&
            (count >= kFaultyJobFailures || machines.size() >= kFaultyJobMachines);
   }
 };
@@ -34,13 +34,13 @@
 /// How long until the planner considers the job again; absent while none of its tasks waits.
 std::optional<Duration> remaining_backoff(const Records& records, const Settings& settings,
                                           const JobRecord& job, WallTime now) {
-  Records only_this;
-  only_this.jobs.emplace(job.spec.job_id, Versioned<JobRecord>{job, {}});
-  const auto current = [&records](const JobId& job_id, std::uint32_t number) {
+  Records records_of_job;
+  records_of_job.jobs.emplace(job.spec.job_id, Versioned<JobRecord>{job, {}});
+  const auto find_slice = [&records](const JobId& job_id, std::uint32_t number) {
     const auto* stored = records.slice(job_id, number);
     return stored == nullptr ? nullptr : &stored->record;
   };
-  const auto queue = build_queue(only_this, settings, current, now, false);
+  const auto queue = build_queue(records_of_job, settings, find_slice, now, false);
   if (queue.empty()) return std::nullopt;
   return std::max(Duration{0}, queue.front().not_before - now);
 }
@@ -50,7 +50,7 @@
   TaskFailures failures;
   for_each_task(records, job.spec.job_id, [&failures](const TaskRecord& task) {
     if (task.state == TaskState::done || task.progress > Duration{0}) {
-      failures.any_task_worked = true;
+      failures.any_task_progressed = true;
     }
     if (task.faults == 0) return;
     failures.count += task.faults;
--- a/src/api/job_lookup.cpp
+++ b/src/api/job_lookup.cpp
@@ -34,7 +34,8 @@
 }
 
 void JobLookup::look_up(const JobId& job_id, LookupHandler handler) {
-  const auto then = [this, job_id, handler = std::move(handler)](const LookupResult& result) {
+  const auto handle_result = [this, job_id,
+                              handler = std::move(handler)](const LookupResult& result) {
     publish_cancellation(result);
     if (std::holds_alternative<LookupFailed>(result)) {
       unanswered_jobs_.note_unanswered(job_id);
@@ -44,11 +45,11 @@
     handler(result);
   };
   if (const FinalRecord* final_job = final_jobs_.find(job_id)) {
-    then(*final_job);
+    handle_result(*final_job);
   } else if (cache_.records().jobs.contains(job_id)) {
-    look_up_unfinished(job_id, then);
+    look_up_unfinished(job_id, handle_result);
   } else {
-    read_from_store(job_id, then);
+    read_from_store(job_id, handle_result);
   }
 }
 
@@ -72,14 +73,14 @@
   // another controller has told the user meanwhile.
   const auto it = reads_.find(job_id);
   if (it != reads_.end()) {
-    it->second.next.push_back(std::move(handler));
+    it->second.next_handlers.push_back(std::move(handler));
     return;
   }
   if (reads_.size() >= kMaxConcurrentReads) {
     handler(LookupFailed{});
     return;
   }
-  reads_[job_id].current.push_back(std::move(handler));
+  reads_[job_id].current_handlers.push_back(std::move(handler));
   read_job_record(job_id);
 }
 
@@ -127,15 +128,15 @@
 void JobLookup::complete_read(const JobId& job_id, const LookupResult& result) {
   const auto it = reads_.find(job_id);
   if (it == reads_.end()) return;
-  const auto answered = std::move(it->second.current);
-  if (it->second.next.empty()) {
+  const auto answered_handlers = std::move(it->second.current_handlers);
+  if (it->second.next_handlers.empty()) {
     reads_.erase(it);
   } else {
-    it->second.current = std::move(it->second.next);
-    it->second.next.clear();
+    it->second.current_handlers = std::move(it->second.next_handlers);
+    it->second.next_handlers.clear();
     read_job_record(job_id);
   }
-  for (const auto& handler : answered) handler(result);
+  for (const auto& handler : answered_handlers) handler(result);
 }
 
 }  // namespace marblevale
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -39,8 +39,8 @@
   /// Requests about one job: those that the read in flight answers, and those that came after it
   /// was sent, which need another.
   struct SharedRead {
-    std::vector<LookupHandler> current;
-    std::vector<LookupHandler> next;
+    std::vector<LookupHandler> current_handlers;
+    std::vector<LookupHandler> next_handlers;
   };
 
   /// Waits until the watched copy holds all that was committed before the request.
--- a/src/api/job_submission.cpp
+++ b/src/api/job_submission.cpp
@@ -44,8 +44,8 @@
     answer_with_status(submission.job_id, *rejection, answer);
     return;
   }
-  create(std::make_shared<const JobSpec>(std::get<JobSpec>(std::move(validated))),
-         kMaxCommitAttempts, answer);
+  create_job(std::make_shared<const JobSpec>(std::get<JobSpec>(std::move(validated))),
+             kMaxCommitAttempts, answer);
 }
 
 std::variant<JobSpec, UserAnswer> JobSubmission::validate(const json::Document& document) const {
@@ -70,8 +70,8 @@
   return std::move(job);
 }
 
-void JobSubmission::create(const std::shared_ptr<const JobSpec>& job, int attempts_left,
-                           const AnswerHandler& answer) {
+void JobSubmission::create_job(const std::shared_ptr<const JobSpec>& job, int attempts_left,
+                               const AnswerHandler& answer) {
   const JobRecord record{*job, clock_.wall(), std::nullopt};
   Transaction txn;
   txn.guard(keys::job(job->job_id), ModRevision{})
@@ -100,7 +100,7 @@
     case Outcome::unknown:
       // The same commit again decides it: it succeeds, or conflicts with the first one's record.
       if (attempts_left > 1) {
-        create(job, attempts_left - 1, answer);
+        create_job(job, attempts_left - 1, answer);
         return;
       }
       answer(store_unavailable_answer());
--- a/src/api/job_submission.hpp
+++ b/src/api/job_submission.hpp
@@ -33,8 +33,8 @@
   /// The job, or what its user is told if the job's id is not known.
   [[nodiscard]] std::variant<JobSpec, UserAnswer> validate(const json::Document& document) const;
   /// Commits the job's record unless the id has one already. Safe to repeat.
-  void create(const std::shared_ptr<const JobSpec>& job, int attempts_left,
-              const AnswerHandler& answer);
+  void create_job(const std::shared_ptr<const JobSpec>& job, int attempts_left,
+                  const AnswerHandler& answer);
   void handle_commit(const std::shared_ptr<const JobSpec>& job, int attempts_left,
                      const AnswerHandler& answer, Outcome outcome);
   /// Answers with the job's status, or with `if_unknown` if it was never accepted.
--- a/src/api/open_requests.cpp
+++ b/src/api/open_requests.cpp
@@ -7,14 +7,15 @@
 namespace {
 
 /// Passes on the first answer; the deadline's timer gives one when nobody else has.
-class FirstAnswer {
+class FirstAnswerHandler {
  public:
-  FirstAnswer(Loop& loop, Duration deadline, AnswerHandler handler)
-      : handler_(std::move(handler)), timer_(loop, [this] { give(store_unavailable_answer()); }) {
+  FirstAnswerHandler(Loop& loop, Duration deadline, AnswerHandler handler)
+      : handler_(std::move(handler)),
+        timer_(loop, [this] { deliver(store_unavailable_answer()); }) {
     timer_.start(deadline);
   }
 
-  void give(const UserAnswer& answer) {
+  void deliver(const UserAnswer& answer) {
     if (!handler_) return;
     timer_.stop();
     std::exchange(handler_, nullptr)(answer);
@@ -28,26 +29,29 @@
 /// Counts as one open query for as long as it exists.
 class OpenQuerySlot {
  public:
-  explicit OpenQuerySlot(std::shared_ptr<std::size_t> open) : open_(std::move(open)) { ++*open_; }
-  ~OpenQuerySlot() { --*open_; }
+  explicit OpenQuerySlot(std::shared_ptr<std::size_t> open_count)
+      : open_count_(std::move(open_count)) {
+    ++*open_count_;
+  }
+  ~OpenQuerySlot() { --*open_count_; }
   OpenQuerySlot(const OpenQuerySlot&) = delete;
   OpenQuerySlot& operator=(const OpenQuerySlot&) = delete;
   OpenQuerySlot(OpenQuerySlot&&) = delete;
   OpenQuerySlot& operator=(OpenQuerySlot&&) = delete;
 
  private:
-  std::shared_ptr<std::size_t> open_;
+  std::shared_ptr<std::size_t> open_count_;
 };
 
 }  // namespace
 
 AnswerHandler with_deadline(Loop& loop, Duration deadline, AnswerHandler handler) {
-  return [first = std::make_shared<FirstAnswer>(loop, deadline, std::move(handler))](
-             const UserAnswer& answer) { first->give(answer); };
+  return [first_answer = std::make_shared<FirstAnswerHandler>(loop, deadline, std::move(handler))](
+             const UserAnswer& answer) { first_answer->deliver(answer); };
 }
 
 AnswerHandler OpenQueryLimit::track(AnswerHandler handler) const {
-  return [slot = std::make_shared<OpenQuerySlot>(open_),
+  return [slot = std::make_shared<OpenQuerySlot>(open_count_),
           handler = std::move(handler)](const UserAnswer& answer) { handler(answer); };
 }
 
--- a/src/api/open_requests.hpp
+++ b/src/api/open_requests.hpp
@@ -21,13 +21,13 @@
  public:
   static constexpr std::size_t kMaxOpenQueries = 400;
 
-  [[nodiscard]] bool reached() const { return *open_ >= kMaxOpenQueries; }
+  [[nodiscard]] bool reached() const { return *open_count_ >= kMaxOpenQueries; }
   /// A handler that counts as an open query until it is destroyed.
   [[nodiscard]] AnswerHandler track(AnswerHandler handler) const;
 
  private:
   /// Shared with the handlers, which may outlive this object.
-  std::shared_ptr<std::size_t> open_ = std::make_shared<std::size_t>(0);
+  std::shared_ptr<std::size_t> open_count_ = std::make_shared<std::size_t>(0);
 };
 
 }  // namespace marblevale
--- a/src/api/user_answer.cpp
+++ b/src/api/user_answer.cpp
@@ -12,7 +12,7 @@
 }
 
 UserAnswer store_unavailable_answer() {
-  return error_answer(503, "the state service does not answer", kRetryAfter);
+  return error_answer(503, "the state service does not answer", kStoreUnavailableRetryAfter);
 }
 
 UserAnswer no_such_job_answer() { return error_answer(404, "no such job"); }
--- a/src/api/user_answer.hpp
+++ b/src/api/user_answer.hpp
@@ -20,7 +20,7 @@
 
 /// How long a client waits before it retries a request that the state service kept from being
 /// answered.
-inline constexpr std::chrono::seconds kRetryAfter{2};
+inline constexpr std::chrono::seconds kStoreUnavailableRetryAfter{2};
 
 [[nodiscard]] UserAnswer error_answer(
     int status, const std::string& message,
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -48,7 +48,7 @@
   // Compared by the term: another controller may have led between two reconciliations.
   if (term_ != election_.term()) begin_term();
   const auto timed = metrics_.time(Duty::autoscaler);
-  deletion_.retry_committed();
+  deletion_.send_committed();
   if (!election_.holds_fresh_lease()) {
     machine_writer_.forget_all();  // decided on records that may have changed since
     return;
--- a/src/autoscaler/machine_deletion.cpp
+++ b/src/autoscaler/machine_deletion.cpp
@@ -32,26 +32,26 @@
   const auto stored = machines.find(machine_id);
   const bool recorded = stored != machines.end();
   if (recorded && stored->second.record.state >= MachineState::deleting) return;
-  const MachineRecord record = recorded ? stored->second.record : unrecorded_machine(machine_id);
+  const MachineRecord record = recorded ? stored->second.record : record_from_inventory(machine_id);
   machine_writer_.edit(
       machine_id, record.zone,
-      [record, now = clock_.wall()](MachineRecord& known) {
-        if (known.state >= MachineState::deleting) return MachineWriter::EditAction::none;
-        if (known.machine_id == MachineId{}) known = record;
-        known.state = MachineState::deleting;
-        known.since = now;
+      [record, now = clock_.wall()](MachineRecord& current) {
+        if (current.state >= MachineState::deleting) return MachineWriter::EditAction::none;
+        if (current.machine_id == MachineId{}) current = record;
+        current.state = MachineState::deleting;
+        current.since = now;
         return MachineWriter::EditAction::put;
       },
       [this, machine_id, reason] {
         spdlog::info("autoscaler: deletion_recorded machine={} reason={}", machine_id.get(),
                      name_of(reason));
-        retry_committed();
+        send_committed();
       });
 }
 
-MachineRecord MachineDeletion::unrecorded_machine(const MachineId& machine_id) const {
+MachineRecord MachineDeletion::record_from_inventory(const MachineId& machine_id) const {
   const MachineInventory::Entry* entry = inventory_.find(machine_id);
-  if (entry == nullptr) return unlisted_machine(machine_id);
+  if (entry == nullptr) return record_from_tasks_and_requests(machine_id);
   MachineRecord record;
   record.machine_id = machine_id;
   record.address = entry->machine.address;
@@ -61,7 +61,7 @@
   return record;
 }
 
-MachineRecord MachineDeletion::unlisted_machine(const MachineId& machine_id) const {
+MachineRecord MachineDeletion::record_from_tasks_and_requests(const MachineId& machine_id) const {
   const Records& records = cache_.records();
   MachineRecord record;
   record.machine_id = machine_id;
@@ -91,7 +91,7 @@
   return machine_ids;
 }
 
-void MachineDeletion::retry_committed() {
+void MachineDeletion::send_committed() {
   if (request_in_flight_ || !election_.is_established_leader()) return;
   const std::vector<MachineId> machine_ids = committed_batch();
   if (machine_ids.empty()) return;
@@ -109,10 +109,10 @@
   for (const MachineId& machine_id : machine_ids) {
     const auto it = machines.find(machine_id);
     if (it == machines.end()) continue;
-    machine_writer_.edit(machine_id, it->second.record.zone, [now](MachineRecord& known) {
-      if (known.state != MachineState::deleting) return MachineWriter::EditAction::none;
-      known.state = MachineState::gone;
-      known.since = now;
+    machine_writer_.edit(machine_id, it->second.record.zone, [now](MachineRecord& current) {
+      if (current.state != MachineState::deleting) return MachineWriter::EditAction::none;
+      current.state = MachineState::gone;
+      current.since = now;
       return MachineWriter::EditAction::put;
     });
   }
@@ -128,9 +128,9 @@
         machine.state == MachineState::gone && now - machine.since >= kTombstoneRetention;
     if (!expired) continue;
     if (records.placed.contains(machine_id) || inventory_.in_last_list(machine_id)) continue;
-    machine_writer_.edit(machine_id, machine.zone, [](MachineRecord& known) {
-      return known.state == MachineState::gone ? MachineWriter::EditAction::erase
-                                               : MachineWriter::EditAction::none;
+    machine_writer_.edit(machine_id, machine.zone, [](MachineRecord& current) {
+      return current.state == MachineState::gone ? MachineWriter::EditAction::erase
+                                                 : MachineWriter::EditAction::none;
     });
   }
 }
--- a/src/autoscaler/machine_deletion.hpp
+++ b/src/autoscaler/machine_deletion.hpp
@@ -29,7 +29,7 @@
   void request(const MachineId& machine_id, DeletionReason reason);
   /// Sends the committed deletions to the cloud, one batch at a time. They were decided under a
   /// valid lease, so any established leader may send them, however old its records are.
-  void retry_committed();
+  void send_committed();
   /// Removes the records of deleted machines once no late copy of their heartbeats can arrive.
   void remove_tombstones();
 
@@ -46,9 +46,9 @@
 
  private:
   /// A record for a machine that has none, from its entry in the inventory.
-  [[nodiscard]] MachineRecord unrecorded_machine(const MachineId& machine_id) const;
+  [[nodiscard]] MachineRecord record_from_inventory(const MachineId& machine_id) const;
   /// The same for a machine that is not listed either: from its tasks and its request.
-  [[nodiscard]] MachineRecord unlisted_machine(const MachineId& machine_id) const;
+  [[nodiscard]] MachineRecord record_from_tasks_and_requests(const MachineId& machine_id) const;
   [[nodiscard]] std::vector<MachineId> committed_batch() const;
   void handle_confirmed(const std::vector<MachineId>& machine_ids);
 
--- a/src/autoscaler/machine_health.cpp
+++ b/src/autoscaler/machine_health.cpp
@@ -35,10 +35,10 @@
 
 MachineHealth::ClusterSnapshot MachineHealth::snapshot() const {
   const auto& machines = cache_.records().machines;
-  const auto silent = std::count_if(machines.begin(), machines.end(), [](const auto& entry) {
-    return entry.second.record.state == MachineState::silent;
-  });
-  return {clock_.steady(), clock_.wall(), static_cast<std::size_t>(silent),
+  const auto silent_machines = std::count_if(
+      machines.begin(), machines.end(),
+      [](const auto& entry) { return entry.second.record.state == MachineState::silent; });
+  return {clock_.steady(), clock_.wall(), static_cast<std::size_t>(silent_machines),
           failed_jobs_by_suspect(cache_.records())};
 }
 
@@ -108,9 +108,9 @@
   // Only its record is left, which a late commit may have restored: its holder knows no such worker
   // and can't find it silent. The record has to be older than what the list describes.
   const Duration list_age = snapshot.steady_now - inventory_.last_list_requested_at();
-  const Duration listable_for =
+  const Duration up_before_list_state =
       snapshot.wall_now - machine.since - list_age - inventory_.max_list_age();
-  return listable_for > kUnlistedGracePeriod;
+  return up_before_list_state > kUnlistedGracePeriod;
 }
 
 bool MachineHealth::drained(const MachineId& machine_id) const {
@@ -126,13 +126,13 @@
   spdlog::info("autoscaler: suspect_resolved machine={} state={}", machine.machine_id.get(),
                name_of(*resolved));
   machine_writer_.edit(machine.machine_id, machine.zone,
-                       [state = *resolved, now](MachineRecord& known) {
-                         if (known.state != MachineState::suspect) {
+                       [state = *resolved, now](MachineRecord& current) {
+                         if (current.state != MachineState::suspect) {
                            return MachineWriter::EditAction::none;
                          }
-                         known.state = state;
-                         known.since = now;
-                         known.blamed = JobId{};
+                         current.state = state;
+                         current.since = now;
+                         current.blamed = JobId{};
                          return MachineWriter::EditAction::put;
                        });
 }
@@ -141,13 +141,13 @@
   const auto& machines = cache_.records().machines;
   for (const auto& [machine_id, entry] : inventory_.entries()) {
     if (machines.contains(machine_id)) continue;
-    const ListedMachine& listed = entry.machine;
-    if (listed.status == ProvisioningStatus::failed) {
+    const ListedMachine& machine = entry.machine;
+    if (machine.status == ProvisioningStatus::failed) {
       deletion_.request(machine_id, DeletionReason::provisioning_failed);
     }
     const Duration timeout =
-        scaled(catalog_.boot_timeout(listed.machine_type), kUnrecordedTimeoutFactor);
-    if (listed.age > timeout) deletion_.request(machine_id, DeletionReason::listed_but_unrecorded);
+        scaled(catalog_.boot_timeout(machine.machine_type), kUnrecordedTimeoutFactor);
+    if (machine.age > timeout) deletion_.request(machine_id, DeletionReason::listed_but_unrecorded);
   }
 }
 
--- a/src/autoscaler/machine_inventory.cpp
+++ b/src/autoscaler/machine_inventory.cpp
@@ -75,10 +75,10 @@
   last_list_pages_ = read.pages;
   last_list_requested_at_ = read.requested_at;
   last_list_ = std::move(read.machine_ids);
-  const SteadyTime described_since = read.requested_at - max_list_age();
+  const SteadyTime oldest_list_state = read.requested_at - max_list_age();
   std::vector<MachineId> vanished;
   for (const auto& [machine_id, entry] : entries_) {
-    if (!last_list_.contains(machine_id) && described_since > entry.last_listed) {
+    if (!last_list_.contains(machine_id) && oldest_list_state > entry.last_listed) {
       vanished.push_back(machine_id);
     }
   }
--- a/src/autoscaler/machine_type_catalog.cpp
+++ b/src/autoscaler/machine_type_catalog.cpp
@@ -37,13 +37,13 @@
 }
 
 void MachineTypeCatalog::store(const std::vector<MachineType>& types) {
-  const auto& known = cache_.records().types;
+  const auto& stored = cache_.records().types;
   const std::string value = encode(types);
-  if (known && encode(known->record) == value) return;
+  if (stored && encode(stored->record) == value) return;
   Transaction txn;
   election_.guard(txn);
   // Guarded by the record's own revision as well: a late commit must not restore earlier prices.
-  txn.guard(keys::kTypes, known ? known->mod_revision : ModRevision{}).put(keys::kTypes, value);
+  txn.guard(keys::kTypes, stored ? stored->mod_revision : ModRevision{}).put(keys::kTypes, value);
   cache_.commit(RequestPriority::leader_commit, std::move(txn), [](const CommitResult&) {});
 }
 
--- a/src/autoscaler/provisioner.cpp
+++ b/src/autoscaler/provisioner.cpp
@@ -115,11 +115,12 @@
       team_resources_);
   const std::string name_prefix = "h-" + std::to_string(election_.term().get()) + "-";
   std::vector<ProvisioningRequest> requests;
-  for (const auto& [offering, wanted] : machines_by_offering) {
+  for (const auto& [offering, machine_count] : machines_by_offering) {
     // After a shortage one request probes the capacity: each costs two commits, which add up in a
     // cluster at its capacity.
-    const bool probes = capacity_backoffs_.contains(offering);
-    std::uint32_t remaining = probes ? std::min(wanted, kMaxMachinesPerRequest) : wanted;
+    const bool is_probe = capacity_backoffs_.contains(offering);
+    std::uint32_t remaining =
+        is_probe ? std::min(machine_count, kMaxMachinesPerRequest) : machine_count;
     while (remaining > 0) {
       ProvisioningRequest request;
       request.name = name_prefix + std::to_string(++last_serial_);
@@ -198,10 +199,10 @@
   if (machine_ids.empty()) {
     txn.remove(key);
   } else {
-    ProvisioningRequest answered = request;
-    answered.answered = true;
-    answered.machine_ids = std::move(machine_ids);
-    txn.put(key, encode(answered));
+    ProvisioningRequest answered_request = request;
+    answered_request.answered = true;
+    answered_request.machine_ids = std::move(machine_ids);
+    txn.put(key, encode(answered_request));
   }
   cache_.commit(RequestPriority::leader_commit, std::move(txn),
                 [this, name = request.name](const CommitResult&) { in_flight_.erase(name); });
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -24,7 +24,8 @@
     : clock_(clock), settings_(settings), cache_(cache), deletion_(deletion) {}
 
 void ScaleIn::observe(const MachineId& machine_id, SteadyTime now) {
-  const bool idle = !cache_.records().placed.contains(machine_id) && !planned_.contains(machine_id);
+  const bool idle =
+      !cache_.records().placed.contains(machine_id) && !planned_machines_.contains(machine_id);
   if (idle) {
     idle_since_.try_emplace(machine_id, now);
   } else {
@@ -42,10 +43,10 @@
 
 std::size_t ScaleIn::spare_count() const {
   const auto& machines = cache_.records().machines;
-  const auto up = std::count_if(machines.begin(), machines.end(), [](const auto& entry) {
+  const auto up_machines = std::count_if(machines.begin(), machines.end(), [](const auto& entry) {
     return entry.second.record.state == MachineState::up;
   });
-  return static_cast<std::size_t>(std::ceil(static_cast<double>(up) * kSpareShare));
+  return static_cast<std::size_t>(std::ceil(static_cast<double>(up_machines) * kSpareShare));
 }
 
 void ScaleIn::delete_idle() {
--- a/src/autoscaler/scale_in.hpp
+++ b/src/autoscaler/scale_in.hpp
@@ -20,7 +20,9 @@
   /// Forgets how long machines have been idle.
   void reset() { idle_since_.clear(); }
   /// Machines that the plan has a use for; they do not count as idle.
-  void set_planned_machines(std::set<MachineId> planned) { planned_ = std::move(planned); }
+  void set_planned_machines(std::set<MachineId> planned_machines) {
+    planned_machines_ = std::move(planned_machines);
+  }
   /// Notes whether a machine that is in service is idle now.
   void observe(const MachineId& machine_id, SteadyTime now);
   void delete_idle();
@@ -34,7 +36,7 @@
   WatchCache& cache_;
   MachineDeletion& deletion_;
   std::map<MachineId, SteadyTime> idle_since_;
-  std::set<MachineId> planned_;
+  std::set<MachineId> planned_machines_;
 };
 
 }  // namespace marblevale
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -93,9 +93,9 @@
   run(Duration{3'000});
   ASSERT_FALSE(cloud_.provisioning_requests.empty());
   EXPECT_TRUE(cache_.records().provisioning_requests.empty()) << "refused: there is no capacity";
-  Transaction over;
-  over.remove(keys::job(JobId("req-1")));
-  store_.commit(RequestPriority::binding, over, [](const CommitResult&) {});
+  Transaction removal;
+  removal.remove(keys::job(JobId("req-1")));
+  store_.commit(RequestPriority::binding, removal, [](const CommitResult&) {});
   cloud_.listing.emplace();
   cloud_.listing->machines.push_back({MachineId("vm-late"), "", "g8", ZoneId("a"), false,
                                       ProvisioningStatus::running, Duration{600'000}});
@@ -105,7 +105,7 @@
 
 // A late commit can bring back the page of a machine that is long gone; nothing else would ever
 // take it out of the plan, and jobs would be released there again and again.
-TEST_F(AutoscalerTest, AMachineMissingFromTheCloudLeavesThePlan) {
+TEST_F(AutoscalerTest, AnUpMachineMissingFromTheMachineListIsDeleted) {
   settings_.list_lag = Duration{4'000};
   store_.put_machine(testing::machine_record("vm-1", time_.wall() - Duration{600'000}));
   machine("vm-2", "a");  // not listed yet
@@ -124,10 +124,11 @@
   required_zone.required_zone = ZoneId("b");
   submit(required_zone);
   // An array whose other task still stands in zone b, as far as is known.
-  JobSpec together = testing::batch("req-2", 2, 8, 60);
-  together.together = true;
-  submit(together);
-  SliceRecord slice = testing::slice_record(together.job_id, {bound("vm-lost"), TaskRecord{}});
+  JobSpec array_in_one_zone = testing::batch("req-2", 2, 8, 60);
+  array_in_one_zone.together = true;
+  submit(array_in_one_zone);
+  SliceRecord slice =
+      testing::slice_record(array_in_one_zone.job_id, {bound("vm-lost"), TaskRecord{}});
   slice.tasks[0].zone = ZoneId("b");
   put_slice(store_, slice);
   cloud_.scales_out = true;
@@ -135,9 +136,9 @@
   run(Duration{5'000});
   ASSERT_FALSE(cloud_.provisioned_in.empty());
   for (const ZoneId& zone : cloud_.provisioned_in) EXPECT_EQ(zone, ZoneId("b"));
-  std::size_t machine_ids = 0;
-  for (const auto& [name, provisioned] : cloud_.provisioned) machine_ids += provisioned.size();
-  EXPECT_GE(machine_ids, 3U) << "two for the gang, one for the array";
+  std::size_t machine_count = 0;
+  for (const auto& [name, provisioned] : cloud_.provisioned) machine_count += provisioned.size();
+  EXPECT_GE(machine_count, 3U) << "two for the gang, one for the array";
 }
 
 }  // namespace
--- a/tests/job_api_cancel_test.cpp
+++ b/tests/job_api_cancel_test.cpp
@@ -50,9 +50,9 @@
   update_cache();
   // The job ends between the watch response that the cancellation waits for and its commit.
   bool ended = false;
-  cache_.listen([&](RecordKind topic, const std::string&) {
-    if (topic == RecordKind::guarantee_record && !ended) end_job("req-000412", mod_revision);
-    ended = ended || topic == RecordKind::guarantee_record;
+  cache_.listen([&](RecordKind kind, const std::string&) {
+    if (kind == RecordKind::guarantee_record && !ended) end_job("req-000412", mod_revision);
+    ended = ended || kind == RecordKind::guarantee_record;
   });
   const std::size_t commits = store_.commits.size();
   UserAnswer out = unanswered();
@@ -88,14 +88,14 @@
   };
   int number = 0;
   for (const Case& c : cases) {
-    for (const bool known : {true, false}) {
+    for (const bool cached : {true, false}) {
       const std::string job_id = "req-" + std::to_string(++number);
       SCOPED_TRACE(job_id);
       accept_on_peer(job_id);
-      if (known) {
+      if (cached) {
         update_cache();
       }
-      const auto cancelled = [&] {
+      const auto is_cancelled = [&] {
         json::Document doc;
         JobRecord record;
         const auto entry = store_.get(keys::job(JobId(job_id)));
@@ -105,7 +105,7 @@
       UserAnswer out = unanswered();
       api_->cancel(job_id, [&](const UserAnswer& a) {
         out = a;
-        EXPECT_EQ(a.status == 200, cancelled())
+        EXPECT_EQ(a.status == 200, is_cancelled())
             << "reported before it was committed, or not reported";
       });
       wait_for_answer(out);
@@ -114,36 +114,37 @@
       EXPECT_TRUE(store_.scripts.empty());
       // What was reported stays, also after delayed commits are executed.
       while (!store_.delayed.empty()) {
-        const Outcome expected = cancelled() ? Outcome::conflict : Outcome::done;
+        const Outcome expected = is_cancelled() ? Outcome::conflict : Outcome::done;
         EXPECT_EQ(store_.apply_delayed().outcome, expected);
       }
-      EXPECT_EQ(status_in(send(UserRequest::status, job_id)), cancelled() ? "cancelled" : "queued");
+      EXPECT_EQ(status_in(send(UserRequest::status, job_id)),
+                is_cancelled() ? "cancelled" : "queued");
     }
   }
 }
 
 // Peers rely on each other's lists: whatever reports "cancelled" to a user lists it first.
 TEST_F(JobApiCancelTest, EveryRequestListsACancellationBeforeReportingIt) {
-  const auto listed = [&](const std::string& job_id) {
+  const auto is_listed = [&](const std::string& job_id) {
     const auto list = cancellations_.list();
     return std::any_of(list.items.begin(), list.items.end(),
                        [&](const auto& item) { return item.job_id == job_id; });
   };
   int number = 0;
-  for (const UserRequest what : kUserRequests) {
-    for (const bool known : {true, false}) {
+  for (const UserRequest request : kUserRequests) {
+    for (const bool cached : {true, false}) {
       const std::string job_id = "req-" + std::to_string(++number);
-      SCOPED_TRACE(job_id + ": request " + std::to_string(static_cast<int>(what)));
+      SCOPED_TRACE(job_id + ": request " + std::to_string(static_cast<int>(request)));
       accept_on_peer(job_id, clock_.wall());  // cancelled there, too
-      if (known) {
+      if (cached) {
         update_cache();
       }
       clock_.advance(Duration{60'000});
-      EXPECT_EQ(listed(job_id), known);
+      EXPECT_EQ(is_listed(job_id), cached);
       UserAnswer out = unanswered();
-      send(what, job_id, [&](const UserAnswer& a) {
+      send(request, job_id, [&](const UserAnswer& a) {
         out = a;
-        EXPECT_TRUE(listed(job_id));
+        EXPECT_TRUE(is_listed(job_id));
       });
       wait_for_answer(out);
       EXPECT_EQ(status_in(out), "cancelled");
--- a/tests/job_api_consistency_test.cpp
+++ b/tests/job_api_consistency_test.cpp
@@ -86,8 +86,8 @@
     const std::string final = final_state(job_id);
     expect_agrees(race.request, answer, final);
     for (JobApi* api : {api_.get(), &peer}) {
-      for (const UserRequest again : kUserRequests) {
-        EXPECT_EQ(status_in(send(again, job_id, api)), final);
+      for (const UserRequest next_request : kUserRequests) {
+        EXPECT_EQ(status_in(send(next_request, job_id, api)), final);
       }
     }
   }
@@ -118,8 +118,8 @@
     while (!store_.delayed.empty()) EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
     EXPECT_FALSE(store_.get(keys::job(JobId(job_id))));
     EXPECT_EQ(final_state(job_id), final);
-    for (const UserRequest what : kUserRequests) {
-      EXPECT_EQ(status_in(send(what, job_id)), final);
+    for (const UserRequest request : kUserRequests) {
+      EXPECT_EQ(status_in(send(request, job_id)), final);
     }
   }
 }
--- a/tests/job_api_deadline_test.cpp
+++ b/tests/job_api_deadline_test.cpp
@@ -15,30 +15,30 @@
 // A state service that answers slowly costs the user a 503 while he still listens, 2 s for a
 // question and 5 s for the others; what comes later is not reported any more, but serves the next
 // request.
-TEST_F(JobApiDeadlineTest, ASlowStateServiceIs503BeforeTheClientTimesOut) {
+TEST_F(JobApiDeadlineTest, ASlowStateServiceGives503BeforeTheClientTimesOut) {
   int number = 0;
-  for (const UserRequest what : kUserRequests) {
-    const Duration patience{what == UserRequest::status || what == UserRequest::explain ? 2000
-                                                                                        : 5000};
+  for (const UserRequest request : kUserRequests) {
+    const Duration client_timeout{
+        request == UserRequest::status || request == UserRequest::explain ? 2000 : 5000};
     for (const bool ended : {false, true}) {
       const std::string job_id = "req-" + std::to_string(++number);
-      SCOPED_TRACE(job_id + ": request " + std::to_string(static_cast<int>(what)));
+      SCOPED_TRACE(job_id + ": request " + std::to_string(static_cast<int>(request)));
       const ModRevision mod_revision = accept_on_peer(job_id);
       if (ended) end_job(job_id, mod_revision);
       store_.hold_answers = true;
       std::vector<UserAnswer> answers;
-      const auto take = [&](const UserAnswer& a) { answers.push_back(a); };
-      send(what, job_id, take);
-      clock_.advance(scaled(patience, 0.5));
+      const auto collect = [&](const UserAnswer& a) { answers.push_back(a); };
+      send(request, job_id, collect);
+      clock_.advance(scaled(client_timeout, 0.5));
       EXPECT_TRUE(answers.empty()) << "there is time left";
-      clock_.advance(scaled(patience, 0.45));
+      clock_.advance(scaled(client_timeout, 0.45));
       ASSERT_EQ(answers.size(), 1U);
       EXPECT_EQ(answers.front().status, 503);
       EXPECT_GT(answers.front().retry_after, std::chrono::seconds{0});
       store_.hold_answers = false;
       store_.deliver_held_answers();
       EXPECT_EQ(answers.size(), 1U);
-      EXPECT_EQ(send(what, job_id).status, 200);
+      EXPECT_EQ(send(request, job_id).status, 200);
     }
   }
 }
@@ -115,39 +115,39 @@
       {"req-7", "cancelled"},  // the same, not yet in the copy
   };
   accept_on_peer("req-1");
-  const ModRevision ending = accept_on_peer("req-2");
+  const ModRevision req_2_revision = accept_on_peer("req-2");
   end_job("req-4", accept_on_peer("req-4"));
   end_job("req-5", accept_on_peer("req-5"));
   accept_on_peer("req-6", clock_.wall());
   update_cache();
   EXPECT_EQ(status_in(status_of("req-5")), "done");
-  end_job("req-2", ending);
+  end_job("req-2", req_2_revision);
   accept_on_peer("req-3");
   accept_on_peer("req-7", clock_.wall());
   store_.unavailable = true;
   store_.scripts.assign(1000, Script::refuse);
-  const std::vector<UserRequest> asks{UserRequest::status, UserRequest::explain,
-                                      UserRequest::submit, UserRequest::cancel};
-  for (int poll = 0; poll < 20; ++poll) {
+  const std::vector<UserRequest> requests{UserRequest::status, UserRequest::explain,
+                                          UserRequest::submit, UserRequest::cancel};
+  for (int round = 0; round < 20; ++round) {
     std::vector<UserAnswer> answers;
     for (const auto& [job_id, state] : expected) {
-      for (const UserRequest what : asks) {
-        send(what, job_id, [&answers](const UserAnswer& a) { answers.push_back(a); });
+      for (const UserRequest request : requests) {
+        send(request, job_id, [&answers](const UserAnswer& a) { answers.push_back(a); });
       }
     }
     clock_.advance(Duration{5000});
-    ASSERT_EQ(answers.size(), expected.size() * asks.size());
+    ASSERT_EQ(answers.size(), expected.size() * requests.size());
     for (const auto& a : answers) EXPECT_TRUE(a.status == 503 || status_in(a) == "done") << a.body;
   }
   store_.unavailable = false;
   store_.scripts.clear();
   for (const auto& [job_id, state] : expected) {
     SCOPED_TRACE(job_id);
-    for (const UserRequest what : asks) {
-      const auto answer = send(what, job_id);
+    for (const UserRequest request : requests) {
+      const auto answer = send(request, job_id);
       EXPECT_EQ(answer.status, 200);
-      const bool ends = what == UserRequest::cancel && state == "queued";
-      EXPECT_EQ(status_in(answer), ends ? "cancelled" : state);
+      const bool cancels = request == UserRequest::cancel && state == "queued";
+      EXPECT_EQ(status_in(answer), cancels ? "cancelled" : state);
     }
   }
 }
--- a/tests/job_api_overload_test.cpp
+++ b/tests/job_api_overload_test.cpp
@@ -33,7 +33,7 @@
   AnswerCount count_;
 };
 
-TEST_F(JobApiOverloadTest, IsAnsweredFromOneWatchResponseAndTheRestIsRejectedAtOnce) {
+TEST_F(JobApiOverloadTest, OneWatchResponseAnswersOpenQueriesAndExcessOnesAreRejectedAtOnce) {
   accept_jobs();
   store_.reads = 0;
   const std::size_t commits = store_.commits.size();
@@ -51,7 +51,7 @@
   EXPECT_EQ(store_.commits.size(), commits);
 }
 
-TEST_F(JobApiOverloadTest, DoesNotRejectCancellationsOrRepeatedSubmissions) {
+TEST_F(JobApiOverloadTest, CancellationsAndRepeatedSubmissionsAreNotRejected) {
   accept_jobs();
   send_queries(10'000);
   EXPECT_EQ(status_in(cancel(job_name(0))), "cancelled");
@@ -59,7 +59,7 @@
   EXPECT_EQ(submit(job_body_with("req-000412", job_name(1))).status, 200);
 }
 
-TEST_F(JobApiOverloadTest, OfAFinishedJobCostsTwoReads) {
+TEST_F(JobApiOverloadTest, QueriesForAFinishedJobCostTwoReads) {
   submit(kJobBody);
   finish(FinalState::done);
   step();
@@ -74,7 +74,7 @@
 }
 
 // A query that is not answered must not be counted forever.
-TEST_F(JobApiOverloadTest, DuringAnOutageLeavesNoQueryPending) {
+TEST_F(JobApiOverloadTest, NoQueryStaysPendingAfterAnOutage) {
   accept_jobs();
   send_queries(1'000);
   clock_.advance(Duration{5'000});  // the watch says nothing
--- a/tests/job_api_submit_test.cpp
+++ b/tests/job_api_submit_test.cpp
@@ -115,7 +115,7 @@
       "uid",    "workclass",    "crew",      "shape",      "urgency",  "parts",
       "cpus",   "accelerators", "memory_gb", "bundle",     "image_gb", "together",
       "spread", "loaners",      "expect_s",  "snapshot_s", "stash_s"};
-  const auto with = [](const std::string& name, const rapidjson::Value* value) {
+  const auto body_with_field = [](const std::string& name, const rapidjson::Value* value) {
     json::Document doc;
     EXPECT_TRUE(json::parse(doc, kJobBody));
     doc.RemoveMember(name.c_str());
@@ -134,7 +134,7 @@
   for (const std::string& name : required) {
     for (const rapidjson::Value* value :
          {static_cast<const rapidjson::Value*>(nullptr), &null, &list}) {
-      const UserAnswer answer = submit(with(name, value));
+      const UserAnswer answer = submit(body_with_field(name, value));
       EXPECT_EQ(answer.status, 400) << name;
       EXPECT_NE(answer.body.find("\"" + name + ":"), std::string::npos) << answer.body;
     }
@@ -142,11 +142,11 @@
   EXPECT_TRUE(cache_.records().jobs.empty());
   // What may be null may be absent as well.
   for (const char* name : {"builds", "district", "due_s"}) {
-    EXPECT_EQ(submit(with(name, &list)).status, 400) << name;
+    EXPECT_EQ(submit(body_with_field(name, &list)).status, 400) << name;
   }
-  EXPECT_EQ(submit(with("builds", nullptr)).status, 201);
-  EXPECT_EQ(submit(with("district", nullptr)).status, 200) << "the same job again";
-  EXPECT_EQ(submit(with("due_s", &null)).status, 200);
+  EXPECT_EQ(submit(body_with_field("builds", nullptr)).status, 201);
+  EXPECT_EQ(submit(body_with_field("district", nullptr)).status, 200) << "the same job again";
+  EXPECT_EQ(submit(body_with_field("due_s", &null)).status, 200);
 }
 
 // A record that is larger than the state service will take could never be changed again: its job
@@ -178,11 +178,11 @@
 
 TEST_F(JobApiSubmitTest, AGangThatMustBeSpreadNeedsASecondZone) {
   EXPECT_EQ(submit(job_body_with("\"spread\":false", "\"spread\":true")).status, 422);
-  std::string apart = job_body_with("\"spread\":false", "\"spread\":true");
-  apart.replace(apart.find("\"together\":true"), 15, "\"together\":false");
-  EXPECT_EQ(submit(apart).status, 422) << "there is one zone";
-  apart.replace(apart.find("ensemble"), 8, "batch");
-  EXPECT_EQ(submit(apart).status, 201) << "one half after the other";
+  std::string spread_job = job_body_with("\"spread\":false", "\"spread\":true");
+  spread_job.replace(spread_job.find("\"together\":true"), 15, "\"together\":false");
+  EXPECT_EQ(submit(spread_job).status, 422) << "there is one zone";
+  spread_job.replace(spread_job.find("ensemble"), 8, "batch");
+  EXPECT_EQ(submit(spread_job).status, 201) << "one half after the other";
 }
 
 /// The body of a service job, with a change as `job_body_with` makes it.
