--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -45,12 +45,13 @@
     term_ = ModRevision{};
     return;
   }
-  // Compared by the term: another controller may have led between two reconciliations.
+  // The term is compared because another controller may have led between two reconciliations.
   if (term_ != election_.term()) begin_term();
   const auto timed = metrics_.time(Duty::autoscaler);
   deletion_.send_committed();
   if (!election_.holds_fresh_lease()) {
-    machine_writer_.forget_all();  // decided on records that may have changed since
+    // The pending edits were decided on records that may have changed since.
+    machine_writer_.forget_all();
     return;
   }
   catalog_.refresh_if_due();
@@ -72,7 +73,8 @@
 }
 
 void Autoscaler::delete_vanished(const MachineId& machine_id) {
-  // Its tasks are freed by the deletion, without waiting for its silence.
+  // The deletion proves that the machine's tasks have ended, without waiting for the silence
+  // timeout.
   if (cache_.records().machines.contains(machine_id)) {
     deletion_.request(machine_id, DeletionReason::no_longer_listed);
   }
--- a/src/autoscaler/autoscaler.hpp
+++ b/src/autoscaler/autoscaler.hpp
@@ -1,5 +1,7 @@
-/// The leader's duties towards the cloud: machine types, the machine list, scale out, scale in, and
-/// the deletion of unhealthy machines.
+/// Matches the cloud's machines to the demand: reads the machine types and the machine list, scales
+/// out and in, and deletes unhealthy machines. Only the leader does this. The exception is a
+/// machine with an overdue cancelled task: any controller may delete it while the state service is
+/// unavailable.
 #pragma once
 
 #include <functional>
@@ -22,8 +24,9 @@
 
 namespace marblevale {
 
-/// Connects the modules of this layer and runs them once per reconcile interval, in a fixed order,
-/// while this controller leads. Every commit is guarded by the term.
+/// Owns the modules of this layer and runs them in a fixed order once per reconcile interval while
+/// this controller leads. Every commit is guarded by the leader's term, so that it fails once
+/// another controller leads.
 class Autoscaler {
  public:
   Autoscaler(Loop& loop, const Clock& clock, const Settings& settings, WatchCache& cache,
@@ -31,20 +34,23 @@
 
   /// Starts the reconcile timer.
   void begin();
-  /// Gives the machines held here on which a cancelled task has been for too long; they are deleted
-  /// without a record while the state service is unavailable, whether or not this controller leads.
+  /// `overdue_machines` returns the machines in this controller's shards on which a cancelled task
+  /// has not ended within the allowed time. They are deleted without a record while the state
+  /// service is unavailable, whether or not this controller leads.
   void set_overdue_machines(MachineDeletion::OverdueMachines overdue_machines) {
     deletion_.set_overdue_machines(std::move(overdue_machines));
   }
-  /// Machines that are provisioned and not yet in a record.
+  /// Machines that are provisioned but have no record yet.
   [[nodiscard]] std::vector<BootingMachine> booting() const { return provisioner_.booting(); }
 
-  /// The demand that the last round left unmet, what each team may still use, and the machines that
-  /// the plan has a use for.
+  /// Called after each planning round. `unmet_demands`: demand that the round could not place.
+  /// `team_resources`: resources that each team may still use. `planned_machines`: machines that
+  /// the plan uses, which therefore do not count as idle.
   void update_demand(std::vector<UnmetDemand> unmet_demands,
                      std::map<TeamId, Resources> team_resources,
                      std::set<MachineId> planned_machines);
-  /// Deletes the machine as soon as its record and the cloud allow.
+  /// Starts the deletion of the machine: the state `deleting` is committed first, and then the
+  /// cloud is asked until it confirms.
   void request_deletion(const MachineId& machine_id, DeletionReason reason) {
     deletion_.request(machine_id, reason);
   }
@@ -58,7 +64,7 @@
   Metrics& metrics_;
   WatchCache& cache_;
   Election& election_;
-  ModRevision term_;  // of the last reconciliation; none: this controller did not lead
+  ModRevision term_;  // of the last reconciliation; 0 if this controller did not lead then
   MachineWriter machine_writer_;
   MachineTypeCatalog catalog_;
   MachineInventory inventory_;
--- a/src/autoscaler/cloud_client.hpp
+++ b/src/autoscaler/cloud_client.hpp
@@ -16,8 +16,9 @@
 
 namespace marblevale {
 
-/// `no_capacity`: the cloud has refused the request. `unknown`: it may have been executed; the same
-/// request can be repeated, since requests are idempotent by name.
+/// `provisioned`: the cloud has created machines. `no_capacity`: the cloud has refused the request.
+/// `unknown`: the request may have been executed. It can be sent again, because requests are
+/// idempotent by name.
 enum class ProvisioningOutcome { provisioned, no_capacity, unknown };
 
 struct ProvisioningResult {
@@ -25,30 +26,32 @@
   std::vector<MachineId> machine_ids;  // fewer than requested when the capacity is short
 };
 
-/// `deleted`: the machines do not exist any more, which is evidence that their tasks have ended.
-/// `unknown`: nothing is known; the deletion has to be repeated.
+/// `deleted`: the machines no longer exist, which is evidence that their tasks have ended.
+/// `unknown`: the machines may still exist, so the deletion has to be sent again.
 enum class DeletionOutcome { deleted, unknown };
 
-/// The cloud provider as the autoscaler uses it, so that tests can script it. Each call invokes
-/// `then` once; an empty optional means that there was no usable answer.
+/// The cloud provider's operations that the autoscaler uses; an interface so that tests can script
+/// the answers. Each call invokes `then` once, with an empty optional if the cloud sent no usable
+/// answer.
 class Cloud {
  public:
   virtual ~Cloud() = default;
   virtual void list_machine_types(
       std::function<void(std::optional<std::vector<MachineType>>)> then) = 0;
-  /// One page of the machine list, in the order of machine ids; `after` is the last machine of the
-  /// page before it.
+  /// Reads one page of the machine list, which is ordered by machine id. `after`: the last machine
+  /// of the previous page; empty for the first page.
   virtual void list_machines(const std::optional<MachineId>& after,
                              std::function<void(std::optional<MachineList>)> then) = 0;
   virtual void provision(const ProvisioningRequest& request,
                          std::function<void(ProvisioningResult)> then) = 0;
-  /// Machines that the cloud does not know are ignored by it, so a deletion can be repeated.
+  /// Idempotent: the cloud ignores machines that it does not know.
   virtual void delete_machines(const std::vector<MachineId>& machine_ids,
                                std::function<void(DeletionOutcome)> then) = 0;
 };
 
-/// HTTP client of the cloud. It queues requests within its share of the published rate and gives
-/// each a deadline; a request that can't be queued is answered as unknown at once.
+/// HTTP client of the cloud. It sends requests at no more than its share of the published rate,
+/// queues the others, and gives each a deadline. A request that finds the queue full is answered at
+/// once as if the cloud had sent no usable answer.
 class CloudClient : public Cloud {
  public:
   CloudClient(Loop& loop, const Clock& clock, const Address& address, double requests_per_second);
@@ -74,7 +77,7 @@
   HttpClient http_;
   TokenBucket request_budget_;
   std::deque<QueuedCall> queue_;
-  Timer budget_timer_;  // pending while the queue waits for the budget
+  Timer budget_timer_;  // pending while queued requests wait for the request budget
 };
 
 }  // namespace marblevale
--- a/src/autoscaler/deletion_reason.hpp
+++ b/src/autoscaler/deletion_reason.hpp
@@ -1,23 +1,23 @@
-/// Why a machine is deleted.
+/// The reasons for deleting a machine, so that the log says why each machine was deleted.
 #pragma once
 
 namespace marblevale {
 
-/// Recorded in the log line of each deletion.
+/// Written in the log line of each deletion.
 enum class DeletionReason {
-  idle,                    // no task, and no use for it in the plan
+  idle,                    // has no tasks, and the plan does not use it
   silent,                  // no heartbeat for longer than the silence timeout
-  drained,                 // quarantined or draining, and without tasks
-  no_longer_listed,        // the cloud's list has dropped it
-  up_but_unlisted,         // only its record is left
-  boot_timeout,            // provisioned, but has sent no heartbeat and is in no record
+  drained,                 // quarantined or draining, and has no tasks
+  no_longer_listed,        // was on the cloud's machine list and is no longer
+  up_but_unlisted,         // its record says `up`, but the cloud does not list it
+  boot_timeout,            // no heartbeat and no record within the boot timeout
   provisioning_failed,     // the cloud lists it as failed
-  listed_but_unrecorded,   // nobody expects it, and it sends no heartbeat
-  holds_cancelled_task,    // it does not confirm that a cancelled task has ended
-  has_tasks_but_no_record  // only its deletion can be evidence that its tasks have ended
+  listed_but_unrecorded,   // no heartbeat and no record, and older than any boot
+  holds_cancelled_task,    // has not confirmed in time that a cancelled task ended
+  has_tasks_but_no_record  // only its deletion can prove that its tasks have ended
 };
 
-/// The reason as log lines have it.
+/// The reason as written in log lines.
 const char* name_of(DeletionReason reason);
 
 }  // namespace marblevale
--- a/src/autoscaler/failure_attribution.cpp
+++ b/src/autoscaler/failure_attribution.cpp
@@ -4,8 +4,10 @@
 
 namespace {
 
-constexpr Duration kHealthyRunTime{4'000};       // a task that ran this long elsewhere is no cause
-constexpr Duration kAttributionTimeout{45'000};  // decided by what is known after it
+/// A task that has run for longer than this on another machine did not cause its own failure.
+constexpr Duration kHealthyRunTime{4'000};
+/// After this time the cause is decided from what is known, even if it is unknown for some jobs.
+constexpr Duration kAttributionTimeout{45'000};
 
 enum class FailureCause { unknown, machine, job };
 
@@ -19,7 +21,7 @@
       const bool ran_long = task.running > machine.since && now - task.running > kHealthyRunTime;
       const bool runs_elsewhere = task.machine_id != machine.machine_id && ran_long;
       if (runs_elsewhere || task.state == TaskState::done) return FailureCause::machine;
-      // A further failure on this machine does not clear it.
+      // A repeated failure on the suspect machine does not show that the job is the cause.
       failed_elsewhere = failed_elsewhere || task.failed_on != machine.machine_id;
     }
   }
@@ -55,7 +57,8 @@
     caused_by_machine = caused_by_machine || cause == FailureCause::machine;
     unattributed += cause == FailureCause::unknown ? 1 : 0;
   }
-  // Where two jobs failed that have run on no other machine, the machine is the likelier cause.
+  // If two or more of the failed jobs have run on no other machine, the machine is the likelier
+  // cause.
   const bool timed_out = now - machine.since > kAttributionTimeout;
   if (caused_by_machine || (timed_out && unattributed > 1)) return MachineState::quarantined;
   if (unattributed == 0 || timed_out) return MachineState::up;
--- a/src/autoscaler/machine_deletion.cpp
+++ b/src/autoscaler/machine_deletion.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr std::size_t kMaxMachinesPerDeletion = 100;  // the protocol's maximum
-/// Longer than any list lags, and than copies of a machine's heartbeats arrive late.
+/// Longer than the lag of any machine list and than the delay of any duplicated heartbeat.
 constexpr Duration kTombstoneRetention{180'000};
-/// Without an answer for this long, the state service counts as unavailable.
+/// The state service counts as unavailable once the records are this old.
 constexpr Duration kStateServiceTimeout{2'500};
 
 }  // namespace
--- a/src/autoscaler/machine_deletion.hpp
+++ b/src/autoscaler/machine_deletion.hpp
@@ -1,4 +1,4 @@
-/// Deletion of machines through the cloud. A deletion that the cloud confirms is evidence that all
+/// Deletes machines through the cloud. A deletion that the cloud has confirmed is evidence that all
 /// tasks of the machine have ended.
 #pragma once
 
@@ -15,39 +15,46 @@
 
 namespace marblevale {
 
-/// A deletion has three steps: the state `deleting` is committed, the cloud is asked until it
-/// confirms, and the state `gone` is committed. Any leader carries on from the committed state.
+/// A deletion has three steps: commit the state `deleting`, send the deletion to the cloud until
+/// the cloud confirms it, commit the state `gone`. After a change of leader the new leader
+/// continues from the committed state.
 class MachineDeletion {
  public:
-  /// The machines of which the deletion can't wait for the state service.
+  /// Returns the machines whose deletion must not wait for the state service.
   using OverdueMachines = std::function<std::vector<MachineId>()>;
 
   MachineDeletion(const Clock& clock, WatchCache& cache, Election& election, Cloud& cloud,
                   const MachineInventory& inventory, MachineWriter& machine_writer);
 
-  /// Has the state `deleting` written, unless it is, or a change of the machine is pending.
+  /// Writes the state `deleting`, unless the machine is already `deleting` or `gone`, or an edit of
+  /// its record is pending.
   void request(const MachineId& machine_id, DeletionReason reason);
   /// Sends the committed deletions to the cloud, one batch at a time. They were decided under a
-  /// valid lease, so any established leader may send them, however old its records are.
+  /// valid lease, so an established leader may send them even if its records are stale.
   void send_committed();
-  /// Removes the records of deleted machines once no late copy of their heartbeats can arrive.
+  /// Erases the records of deleted machines once no delayed heartbeat of theirs can arrive, no
+  /// task is placed on them and the cloud's last list lacks them.
   void remove_tombstones();
 
   void set_overdue_machines(OverdueMachines overdue_machines) {
     overdue_machines_ = std::move(overdue_machines);
   }
-  /// Deletes overdue machines without a record while the state service does not answer.
+  /// Deletes overdue machines without recording the deletion, while the state service does not
+  /// answer.
   ///
-  /// `deleting` can't be committed then, and a cancelled task on a machine that hangs would be
-  /// there for longer than allowed. The deletion may lose work, but breaks no rule, and it is no
-  /// evidence: once the state service is back, the leader records `deleting`, asks the cloud again
-  /// (which ignores machines that it does not know) and records `gone`.
+  /// `deleting` can't be committed during the outage, and a cancelled task on a hung machine would
+  /// run for longer than allowed. The deletion may lose work, but it breaks no rule. It does not
+  /// count as evidence that the tasks have ended: once the state service is back, the leader
+  /// records `deleting`, sends the deletion again (the cloud ignores machines that it does not
+  /// know) and records `gone`.
   void delete_overdue_without_record();
 
  private:
-  /// A record for a machine that has none, from its entry in the inventory.
+  /// Builds a record for a machine that has none, from its entry in the inventory. If the inventory
+  /// has no entry either, the record is built from tasks and provisioning requests.
   [[nodiscard]] MachineRecord record_from_inventory(const MachineId& machine_id) const;
-  /// The same for a machine that is not listed either: from its tasks and its request.
+  /// Builds a record from the zone of the machine's tasks and from the provisioning request that
+  /// created the machine, as far as these are known.
   [[nodiscard]] MachineRecord record_from_tasks_and_requests(const MachineId& machine_id) const;
   [[nodiscard]] std::vector<MachineId> committed_batch() const;
   void handle_confirmed(const std::vector<MachineId>& machine_ids);
@@ -61,7 +68,7 @@
   bool request_in_flight_ = false;
   OverdueMachines overdue_machines_;
   bool unrecorded_request_in_flight_ = false;
-  std::set<MachineId> deleted_without_record_;  // in this outage of the state service
+  std::set<MachineId> deleted_without_record_;  // during the current outage of the state service
 };
 
 }  // namespace marblevale
--- a/src/autoscaler/machine_health.cpp
+++ b/src/autoscaler/machine_health.cpp
@@ -10,15 +10,17 @@
 
 namespace {
 
-/// How long a silent machine is waited for, in leases of its worker. Many that fall silent together
-/// are more often hung or partitioned than dead (which the cloud's list would show), and as many
-/// would have to be provisioned and booted again: they are waited for longer.
+/// Silence timeouts, as multiples of the worker's lease. When many machines are silent at the same
+/// time, they are more likely hung or partitioned than dead (the cloud's list would show dead
+/// machines), and replacing them would mean provisioning and booting as many new machines. The
+/// timeout is therefore longer from `kMassSilenceMachines` silent machines on.
 constexpr double kSilenceTimeoutLeases = 0.8;
 constexpr double kMassSilenceTimeoutLeases = 1.2;
 constexpr std::size_t kMassSilenceMachines = 10;
-constexpr Duration kLeaseExpiryMargin{1'000};     // clock error, and the latency of the last answer
-constexpr Duration kUnlistedGracePeriod{5'000};   // more than clocks differ
-constexpr double kUnrecordedTimeoutFactor = 1.5;  // boot timeouts
+/// Covers clock error and the latency of the last answer to the worker.
+constexpr Duration kLeaseExpiryMargin{1'000};
+constexpr Duration kUnlistedGracePeriod{5'000};   // longer than the clocks' difference
+constexpr double kUnrecordedTimeoutFactor = 1.5;  // multiple of the boot timeout
 
 }  // namespace
 
@@ -70,7 +72,7 @@
 
 bool MachineHealth::silence_timed_out(const MachineRecord& machine,
                                       const ClusterSnapshot& snapshot) const {
-  // At once when the cloud has failed it, or has stopped listing it.
+  // The timeout is skipped if the cloud reports the machine as failed or does not list it any more.
   const MachineInventory::Entry* entry = inventory_.find(machine.machine_id);
   const bool failed = entry != nullptr && entry->machine.status == ProvisioningStatus::failed;
   if (failed || inventory_.missing_since_reset(machine.machine_id)) return true;
@@ -85,8 +87,8 @@
   const Duration timeout =
       scaled(lease, mass_silence ? kMassSilenceTimeoutLeases : kSilenceTimeoutLeases);
   if (!holds_replica(machine_id)) return timeout;
-  // Its replicas are down from the expiry of the worker's lease on, whatever became of the machine:
-  // a longer timeout only keeps them from running elsewhere.
+  // The machine's replicas stop when the worker's lease expires, even if the machine is alive. A
+  // longer timeout would only delay their restart on other machines.
   const Duration silent_before = scaled(settings_.workers.heartbeat, kSilentHeartbeats);
   const Duration lease_remaining = std::max(Duration{0}, lease - silent_before);
   return std::min(timeout, lease_remaining + kLeaseExpiryMargin);
@@ -105,8 +107,9 @@
 bool MachineHealth::up_but_unlisted(const MachineRecord& machine,
                                     const ClusterSnapshot& snapshot) const {
   if (!inventory_.missing_since_reset(machine.machine_id)) return false;
-  // Only its record is left, which a late commit may have restored: its holder knows no such worker
-  // and can't find it silent. The record has to be older than what the list describes.
+  // A late commit may have restored the record of a deleted machine. The shard's holder knows no
+  // worker for such a record, so it never reports the machine as silent. The record must be older
+  // than the state that the list describes, because a new machine may be missing from a stale list.
   const Duration list_age = snapshot.steady_now - inventory_.last_list_requested_at();
   const Duration up_before_list_state =
       snapshot.wall_now - machine.since - list_age - inventory_.max_list_age();
--- a/src/autoscaler/machine_health.hpp
+++ b/src/autoscaler/machine_health.hpp
@@ -1,5 +1,5 @@
-/// Machines that need attention: silent, suspect, quarantined, draining, or gone from the cloud's
-/// list.
+/// Handles unhealthy machines: silent, suspect, quarantined, draining, or missing from the cloud's
+/// machine list. A silent machine's tasks count as ended only once the machine is deleted.
 #pragma once
 
 #include <map>
@@ -14,14 +14,14 @@
 
 namespace marblevale {
 
-/// `in_service`: up, and nothing speaks against it; it may be used, or be idle.
+/// `in_service`: the machine is up and healthy, whether it has tasks or is idle.
 enum class Availability { in_service, out_of_service };
 
-/// Decides which unhealthy machines are deleted, and resolves suspect ones. Silence is no evidence
-/// that a machine's tasks have ended; only the deletion is.
+/// Requests the deletion of unhealthy machines and resolves suspect machines. A machine's silence
+/// is no evidence that its tasks have ended; only its deletion is.
 class MachineHealth {
  public:
-  /// What a check of one machine needs to know about all of them.
+  /// Cluster-wide facts that the checks of all machines share; computed once per reconciliation.
   struct ClusterSnapshot {
     SteadyTime steady_now;
     WallTime wall_now;
@@ -34,9 +34,11 @@
                 MachineDeletion& deletion, MachineWriter& machine_writer);
 
   [[nodiscard]] ClusterSnapshot snapshot() const;
-  /// Checks one machine that has a record.
+  /// Checks one machine that has a record, and requests its deletion or resolves its suspect state
+  /// when due.
   Availability check(const MachineRecord& machine, const ClusterSnapshot& snapshot);
-  /// Deletes listed machines without a record that have failed, or that nobody expects.
+  /// Deletes listed machines without a record whose provisioning failed, or which are older than a
+  /// multiple of their boot timeout.
   void check_unrecorded();
 
  private:
--- a/src/autoscaler/machine_inventory.cpp
+++ b/src/autoscaler/machine_inventory.cpp
@@ -8,10 +8,12 @@
 namespace {
 
 constexpr Duration kMinRefreshInterval{2000};
-constexpr double kRefreshIntervalLags = 0.5;  // in lags of the list
-/// Of the cloud's request rate: provisioning and deletions must not wait for lists.
+constexpr double kRefreshIntervalLags = 0.5;  // multiple of the list's lag
+/// Share of the cloud's request rate for list reads, so that provisioning and deletions do not wait
+/// for lists.
 constexpr double kListRateShare = 0.3;
-constexpr int kMaxListAgeLags = 2;  // a list may be older than the one before it
+/// Multiple of the list's lag. A list may describe an older state than the previous list.
+constexpr int kMaxListAgeLags = 2;
 
 }  // namespace
 
@@ -33,7 +35,7 @@
 Duration MachineInventory::max_list_age() const { return settings_.list_lag * kMaxListAgeLags; }
 
 Duration MachineInventory::refresh_interval() const {
-  // The list of a large cluster takes several calls: the more pages, the rarer it is read.
+  // Each page costs one request, so a list of many pages is read less often.
   const Duration by_rate = from_seconds(last_list_pages_ / (settings_.cloud_rps * kListRateShare));
   return std::max({kMinRefreshInterval, scaled(settings_.list_lag, kRefreshIntervalLags), by_rate});
 }
--- a/src/autoscaler/machine_inventory.hpp
+++ b/src/autoscaler/machine_inventory.hpp
@@ -1,4 +1,6 @@
-/// The cloud's machine list, and what it proves.
+/// Keeps a copy of the cloud's machine list and decides from it which machines have vanished. The
+/// cloud's lists may be stale, so a machine's absence from a single list does not prove that the
+/// machine is gone.
 #pragma once
 
 #include <functional>
@@ -11,9 +13,10 @@
 
 namespace marblevale {
 
-/// Reads the machine list page by page at a rate that leaves calls for provisioning and deletions.
-/// A list may be stale by `Settings::list_lag`, so a machine that is missing from one list may
-/// exist: it is reported as vanished only by a list that must be newer than its last listing.
+/// Reads the machine list page by page, at a rate that leaves requests for provisioning and
+/// deletions. A list may be stale by `Settings::list_lag`, so a machine that is missing from a list
+/// may still exist. A machine is reported as vanished only when a complete list lacks it and that
+/// list must describe a later state than the machine's last listing.
 class MachineInventory {
  public:
   struct Entry {
@@ -25,26 +28,27 @@
   MachineInventory(const Clock& clock, const Settings& settings, Cloud& cloud,
                    VanishedHandler on_vanished);
 
-  /// Forgets what was listed: a new term relies on lists that it has requested itself.
+  /// Discards all listed machines, because a new term relies only on lists requested during the
+  /// term.
   void reset();
-  /// Starts to read the list when it is due, unless a read is in progress.
+  /// Starts a read of the list if one is due and none is in progress.
   void refresh_if_due();
 
-  /// The machines that are listed, or may be listed yet.
+  /// All machines that have been listed since the reset and have not vanished.
   [[nodiscard]] const std::map<MachineId, Entry>& entries() const { return entries_; }
-  /// Nullptr for a machine that has not been listed, or has vanished.
+  /// Null for a machine that has not been listed since the reset, or has vanished.
   [[nodiscard]] const Entry* find(const MachineId& machine_id) const;
-  /// True when the last complete list has the machine.
+  /// True if the last complete list contains the machine.
   [[nodiscard]] bool in_last_list(const MachineId& machine_id) const {
     return last_list_.contains(machine_id);
   }
-  /// True when a complete list was requested after the reset and lacks the machine.
+  /// True if the last complete list was requested after the reset and lacks the machine.
   [[nodiscard]] bool missing_since_reset(const MachineId& machine_id) const {
     return !in_last_list(machine_id) && last_list_requested_at_ > reset_at_;
   }
-  /// When the last complete list was requested.
+  /// The time at which the last complete list was requested.
   [[nodiscard]] SteadyTime last_list_requested_at() const { return last_list_requested_at_; }
-  /// How much older than its request the state that a list describes may be.
+  /// The maximum age, at the time of a list's request, of the state that the list describes.
   [[nodiscard]] Duration max_list_age() const;
 
  private:
--- a/src/autoscaler/machine_type_catalog.cpp
+++ b/src/autoscaler/machine_type_catalog.cpp
@@ -6,7 +6,7 @@
 
 constexpr Duration kRefreshInterval{60'000};
 constexpr Duration kDefaultBootTime{60'000};
-constexpr double kBootTimeoutFactor = 3.0;  // boot times
+constexpr double kBootTimeoutFactor = 3.0;  // multiple of the boot time
 
 }  // namespace
 
@@ -42,7 +42,7 @@
   if (stored && encode(stored->record) == value) return;
   Transaction txn;
   election_.guard(txn);
-  // Guarded by the record's own revision as well: a late commit must not restore earlier prices.
+  // The record's revision is guarded as well, so that a late commit does not restore old prices.
   txn.guard(keys::kTypes, stored ? stored->mod_revision : ModRevision{}).put(keys::kTypes, value);
   cache_.commit(RequestPriority::leader_commit, std::move(txn), [](const CommitResult&) {});
 }
--- a/src/autoscaler/machine_type_catalog.hpp
+++ b/src/autoscaler/machine_type_catalog.hpp
@@ -1,4 +1,5 @@
-/// The machine types that the cloud offers, kept in the record `types`.
+/// Keeps the record `types` up to date with the machine types that the cloud offers. All
+/// controllers read the types from that record.
 #pragma once
 
 #include <string>
@@ -14,12 +15,13 @@
  public:
   MachineTypeCatalog(const Clock& clock, WatchCache& cache, Election& election, Cloud& cloud);
 
-  /// Requests the types when the stored ones are absent or due, unless a request is in flight.
+  /// Requests the machine types if the stored ones are absent or due for a refresh, unless a
+  /// request is in flight.
   void refresh_if_due();
-  /// How long a machine of this type takes from its request to its first heartbeat; a default for
-  /// a type that the catalog lacks.
+  /// The expected time from the provisioning request to the machine's first heartbeat; a default
+  /// for an unknown type.
   [[nodiscard]] Duration boot_time(const std::string& machine_type) const;
-  /// How long after its request a machine without a heartbeat is given up.
+  /// How long after its provisioning request a machine without a record is given up.
   [[nodiscard]] Duration boot_timeout(const std::string& machine_type) const;
 
  private:
--- a/src/autoscaler/provisioner.cpp
+++ b/src/autoscaler/provisioner.cpp
@@ -11,9 +11,9 @@
 constexpr Duration kInitialCapacityBackoff{8'000};
 constexpr Duration kMaxCapacityBackoff{40'000};
 constexpr std::uint32_t kMaxMachinesPerRequest = 50;  // the protocol's maximum
-constexpr double kExpectedBootFactor = 1.1;           // boot times
-constexpr Duration kMinExpectedBoot{5'000};           // of a boot that is late
-constexpr int kRequestRetentionTimeouts = 4;          // boot timeouts
+constexpr double kExpectedBootFactor = 1.1;           // multiple of the boot time
+constexpr Duration kMinExpectedBoot{5'000};           // remaining time assumed for a late boot
+constexpr int kRequestRetentionTimeouts = 4;          // multiple of the boot timeout
 
 }  // namespace
 
@@ -50,7 +50,7 @@
     for (const MachineId& machine_id : request.machine_ids) {
       if (records.machines.contains(machine_id)) continue;
       const Duration boot = catalog_.boot_time(request.machine_type);
-      // A boot that is late is expected soon, until it has timed out.
+      // A machine whose boot is late is still expected soon, until its boot times out.
       const WallTime expected =
           std::max(request.asked + scaled(boot, kExpectedBootFactor), now + kMinExpectedBoot);
       booting.push_back({machine_id, request.machine_type, request.zone, request.spot, expected});
@@ -101,7 +101,8 @@
 }
 
 void Provisioner::scale_out() {
-  // One set of requests at a time: the next is planned with their answers.
+  // Requests are planned only when all earlier ones are answered, because the answers show which
+  // machines are coming and which offerings lack capacity.
   if (unmet_demands_.empty() || !cache_.records().types || any_unanswered()) return;
   const std::vector<ProvisioningRequest> requests = plan_requests();
   unmet_demands_.clear();
@@ -116,8 +117,8 @@
   const std::string name_prefix = "h-" + std::to_string(election_.term().get()) + "-";
   std::vector<ProvisioningRequest> requests;
   for (const auto& [offering, machine_count] : machines_by_offering) {
-    // After a shortage one request probes the capacity: each costs two commits, which add up in a
-    // cluster at its capacity.
+    // After a shortage a single request probes the capacity. Each request costs two commits, which
+    // add up when the cloud is out of capacity.
     const bool is_probe = capacity_backoffs_.contains(offering);
     std::uint32_t remaining =
         is_probe ? std::min(machine_count, kMaxMachinesPerRequest) : machine_count;
@@ -145,8 +146,8 @@
   cache_.commit(RequestPriority::leader_commit, std::move(txn),
                 [this, request](const CommitResult& result) {
                   in_flight_.erase(request.name);
-                  // After an unknown outcome, a request that was committed appears in the cache and
-                  // is retried from there.
+                  // If the outcome is unknown but the request was committed, the request appears in
+                  // the cache and `retry_unanswered` sends it.
                   if (result.outcome == Outcome::done) {
                     send(request, ModRevision(result.revision.get()));
                   }
@@ -163,7 +164,7 @@
 void Provisioner::handle_result(const ProvisioningRequest& request, ModRevision mod_revision,
                                 ProvisioningResult result) {
   if (result.outcome == ProvisioningOutcome::unknown) {
-    in_flight_.erase(request.name);  // repeated under the same name by a later tick
+    in_flight_.erase(request.name);  // `retry_unanswered` sends it again under the same name
     return;
   }
   spdlog::info(
@@ -217,7 +218,8 @@
   for (const auto& [name, stored] : records.provisioning_requests) {
     const ProvisioningRequest& request = stored.record;
     if (txn.deletes.size() >= max_operations || !request.answered) continue;
-    // While it is the only record of a machine that has sent no heartbeat, it is kept for longer.
+    // While a machine has no record of its own, the request is the only record of that machine and
+    // is kept for longer.
     const bool needed = std::any_of(
         request.machine_ids.begin(), request.machine_ids.end(),
         [&](const MachineId& machine_id) { return !records.machines.contains(machine_id); });
--- a/src/autoscaler/provisioner.hpp
+++ b/src/autoscaler/provisioner.hpp
@@ -1,4 +1,5 @@
-/// Scale out: provisioning requests for unmet demand.
+/// Scales out: plans provisioning requests for unmet demand and sends them to the cloud. Requests
+/// survive a change of the leader, because each is recorded before it is sent.
 #pragma once
 
 #include <map>
@@ -16,34 +17,39 @@
 
 namespace marblevale {
 
-/// Commits each provisioning request before it is sent to the cloud, and its answer afterwards. The
-/// request's name makes it idempotent, so any later leader can repeat one without an answer.
+/// Commits each provisioning request before sending it to the cloud, and commits the cloud's answer
+/// afterwards. The request's name makes the request idempotent, so a later leader can repeat an
+/// unanswered request.
 class Provisioner {
  public:
   Provisioner(const Clock& clock, WatchCache& cache, Election& election, Cloud& cloud,
               const MachineTypeCatalog& catalog);
 
-  /// Forgets demand and requests in flight of an earlier term.
+  /// Discards the demand and the requests in flight of an earlier term.
   void reset();
-  /// The demand that the next `scale_out` is planned for; the jobs are copied, since the records
-  /// may change before it.
+  /// Sets the demand that the next `scale_out` plans for. The jobs are copied, because the records
+  /// may change before that call.
   void set_demand(std::vector<UnmetDemand> unmet_demands,
                   std::map<TeamId, Resources> team_resources);
 
-  /// Machines that are provisioned and not yet in a record, with their expected boot.
+  /// Machines that are provisioned but have no record yet, with the time at which each is expected
+  /// to be up.
   [[nodiscard]] std::vector<BootingMachine> booting() const;
-  /// Machines that are in no record within the boot timeout.
+  /// Provisioned machines that still have no record after the boot timeout.
   [[nodiscard]] std::vector<MachineId> overdue_boots() const;
 
-  /// Sends committed requests that have no answer and are not in flight.
+  /// Sends the committed requests that are unanswered and not in flight.
   void retry_unanswered();
-  /// Plans and commits requests for the demand, which is consumed, unless some have no answer yet.
+  /// Plans and commits requests for the demand, then clears the demand. Does nothing while an
+  /// earlier request is unanswered or the machine types are unknown.
   void scale_out();
-  /// Deletes the records of answered requests that are not needed any more.
+  /// Deletes the records of answered requests once all their machines have records, or after the
+  /// retention period.
   void remove_completed_requests();
 
  private:
-  /// Delays planning with an offering after the cloud had too few machines of it.
+  /// Excludes an offering from planning until `retry_at`, after the cloud provisioned fewer
+  /// machines of it than requested.
   struct CapacityBackoff {
     SteadyTime retry_at;
     Backoff backoff;
@@ -67,10 +73,10 @@
   Cloud& cloud_;
   const MachineTypeCatalog& catalog_;
   std::mt19937_64 random_;
-  std::uint64_t last_serial_ = 0;    // in the names of this process's requests
-  std::set<std::string> in_flight_;  // requests whose commit or answer is awaited
+  std::uint64_t last_serial_ = 0;    // number in the name of the latest request
+  std::set<std::string> in_flight_;  // names of requests that wait for a commit or an answer
   std::map<MachineOffering, CapacityBackoff> capacity_backoffs_;
-  std::vector<UnmetDemand> unmet_demands_;  // their jobs are in `unmet_jobs_`
+  std::vector<UnmetDemand> unmet_demands_;  // with pointers into `unmet_jobs_`
   std::map<JobId, JobSpec> unmet_jobs_;
   std::map<TeamId, Resources> team_resources_;
 };
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-constexpr double kSpareShare = 0.2;               // of the machines that are up
-constexpr double kSurplusIdleTimeoutShare = 0.4;  // of the idle timeout, beyond the spare ones
+constexpr double kSpareShare = 0.2;  // of the machines that are up
+/// Share of the idle timeout after which idle machines beyond the spares are deleted.
+constexpr double kSurplusIdleTimeoutShare = 0.4;
 
 struct IdleMachine {
   SteadyTime since;
--- a/src/autoscaler/scale_in.hpp
+++ b/src/autoscaler/scale_in.hpp
@@ -1,4 +1,5 @@
-/// Scale in: deletion of machines that have been idle for long enough.
+/// Scales in: deletes machines that have been idle for longer than a timeout. Some idle machines
+/// are kept for longer, so that the next jobs need not wait for a boot.
 #pragma once
 
 #include <map>
@@ -10,20 +11,20 @@
 
 namespace marblevale {
 
-/// Keeps a share of the machines idle, so that the next jobs start without a boot; idle machines
-/// beyond that share are deleted after a shorter time.
+/// Keeps a share of the machines as spares for the whole idle timeout, so that the next jobs start
+/// without waiting for a boot. Idle machines beyond that share are deleted after a shorter timeout.
 class ScaleIn {
  public:
   ScaleIn(const Clock& clock, const Settings& settings, WatchCache& cache,
           MachineDeletion& deletion);
 
-  /// Forgets how long machines have been idle.
+  /// Restarts the idle timers of all machines.
   void reset() { idle_since_.clear(); }
-  /// Machines that the plan has a use for; they do not count as idle.
+  /// Sets the machines that the plan uses. They do not count as idle.
   void set_planned_machines(std::set<MachineId> planned_machines) {
     planned_machines_ = std::move(planned_machines);
   }
-  /// Notes whether a machine that is in service is idle now.
+  /// Updates the idle time of a machine that is in service.
   void observe(const MachineId& machine_id, SteadyTime now);
   void delete_idle();
 
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -1,5 +1,5 @@
-// Scale out and in, and machines that are lost: requests of unknown outcome, unanswered deletions
-// and stale lists of the cloud.
+// Scale out, scale in and lost machines. The cloud's answers are missing, late or stale:
+// provisioning requests and deletions without an answer, and outdated machine lists.
 #include "support/leader_loop_fixture.hpp"
 
 namespace marblevale {
@@ -65,14 +65,15 @@
   submit(testing::gang("req-1", 1, 1, 60));
   run(Duration{60'000});
   ASSERT_GE(cloud_.provisioning_requests.size(),
-            2U);  // refused for want of capacity, asked again under a new name
+            2U);  // refused for lack of capacity, then requested under a new name
   const std::set<std::string> names(cloud_.provisioning_requests.begin(),
                                     cloud_.provisioning_requests.end());
   EXPECT_EQ(names.size(), cloud_.provisioning_requests.size());
 }
 
-// A task on a machine that no record knows could be proven gone by nobody, and its job would wait
-// forever: the cloud's answer to the deletion is the evidence of termination.
+// Guards against a job that waits forever: its task is placed on a machine without a record, so no
+// controller can prove that the task has ended. The leader deletes the machine, and the cloud's
+// answer is the evidence of termination.
 TEST_F(AutoscalerTest, AMachineWithoutARecordIsDeletedToFreeItsTask) {
   submit(testing::gang("req-1", 1, 1, 60));
   set_task("req-1", bound("vm-lost"));
@@ -85,8 +86,9 @@
   EXPECT_EQ(machine_state("vm-lost"), MachineState::gone);
 }
 
-// A request went without an answer, its repeat was refused for want of capacity and its record is
-// gone; then the first one is carried out. The machine is in the cloud's list and in no record.
+// Guards against a machine that stays in the cloud without a record. A provisioning request gets no
+// answer, its retry is refused for lack of capacity, and its record is removed; then the cloud
+// executes the first request. The machine is on the cloud's list but has no record.
 TEST_F(AutoscalerTest, AMachineProvisionedAfterItsRequestWasRefusedIsDeleted) {
   begin();
   submit(testing::gang("req-1", 1, 2, 60));
@@ -103,12 +105,13 @@
   EXPECT_EQ(cloud_.removed, std::vector<MachineId>{MachineId("vm-late")});
 }
 
-// A late commit can bring back the page of a machine that is long gone; nothing else would ever
-// take it out of the plan, and jobs would be released there again and again.
+// Guards against jobs that are released again and again to a machine that no longer exists. A late
+// commit can restore the page with the record of a deleted machine, and only the machine list shows
+// that the machine is gone.
 TEST_F(AutoscalerTest, AnUpMachineMissingFromTheMachineListIsDeleted) {
   settings_.list_lag = Duration{4'000};
   store_.put_machine(testing::machine_record("vm-1", time_.wall() - Duration{600'000}));
-  machine("vm-2", "a");  // not listed yet
+  machine("vm-2", "a");  // too new to be on the list
   cloud_.listing.emplace();
   begin();
   run(Duration{10'000});
@@ -123,7 +126,7 @@
   JobSpec required_zone = testing::gang("req-1", 4, 4, 60);
   required_zone.required_zone = ZoneId("b");
   submit(required_zone);
-  // An array whose other task still stands in zone b, as far as is known.
+  // An array that must stay in one zone, with a task that is recorded as bound in zone b.
   JobSpec array_in_one_zone = testing::batch("req-2", 2, 8, 60);
   array_in_one_zone.together = true;
   submit(array_in_one_zone);
