--- a/src/api/feasibility.cpp
+++ b/src/api/feasibility.cpp
@@ -24,10 +24,10 @@
   return zones;
 }
 
-/// True for a gang and for a service job, whose tasks all run at the same time.
+/// True for gangs and service jobs: all their tasks run at the same time.
 bool runs_all_tasks_at_once(const JobSpec& job) { return job.gang() || job.endless(); }
 
-/// The size of the job's record once the job is cancelled: its largest form.
+/// The size of the job's record after a cancellation, when the record is largest.
 std::size_t largest_record_bytes(const JobSpec& job) {
   constexpr WallTime kAnyTime = from_unix_milliseconds(1'800'000'000'000);
   return encode(JobRecord{job, kAnyTime, kAnyTime}).size();
@@ -44,8 +44,9 @@
   if (!fits(job.need * concurrent_tasks, team->limit())) return "needs more than the team's limit";
   const std::set<ZoneId> zones = feasible_zones(job, types);
   if (zones.empty()) return "a task fits no allowed machine type";
-  // Tasks that run at the same time, at most half of them in one zone, need a second one. Those of
-  // an array may run one half after the other.
+  // At most half of a spread job's concurrent tasks may run in one zone, so a job whose tasks all
+  // run at the same time needs a second zone. The tasks of an array may run one half after the
+  // other in a single zone.
   const bool needs_second_zone = job.spread && job.task_count > 1 && runs_all_tasks_at_once(job);
   if (needs_second_zone && (job.together || zones.size() < 2)) {
     return "tasks that must be spread can be in one zone only";
--- a/src/api/feasibility.hpp
+++ b/src/api/feasibility.hpp
@@ -1,4 +1,5 @@
-// Whether a job could ever run, asked when it is submitted.
+// Checks at submission whether a job can ever run, so that a job that would wait forever is
+// rejected with a reason.
 #pragma once
 
 #include <optional>
@@ -11,9 +12,9 @@
 
 namespace marblevale {
 
-/// Why the job can never run, in the words that its user is told; absent when it may run.
-/// `max_record_bytes`: the largest value that the state service takes for as long as the job may
-/// exist.
+/// The reason why the job can never run, as text for its user; empty if the job may run.
+/// `max_record_bytes`: the largest value that the state service accepts, under its current and its
+/// announced limits, for as long as the job may exist.
 [[nodiscard]] std::optional<std::string> infeasibility_reason(const JobSpec& job,
                                                               const Settings& settings,
                                                               const std::vector<MachineType>& types,
--- a/src/api/final_job_cache.hpp
+++ b/src/api/final_job_cache.hpp
@@ -1,4 +1,5 @@
-// The final records of jobs that users asked about lately.
+// Caches the final records of ended jobs that users have recently asked about, to save reads from
+// the state service.
 #pragma once
 
 #include <cstddef>
@@ -9,14 +10,14 @@
 
 namespace marblevale {
 
-/// Holds final records, which never change once they are written, so that repeated requests about
-/// ended jobs read nothing from the state service. Bounded: the oldest entry is evicted first.
+/// A final record never changes, so repeated requests about an ended job are answered from this
+/// cache without reading the state service. When the cache is full, the oldest entry is evicted.
 class FinalJobCache {
  public:
   static constexpr std::size_t kMaxJobs = 2000;
 
   void insert(const FinalRecord& job);
-  /// Null when the record isn't cached, which says nothing about the job.
+  /// Null if the record is not cached; the job may have ended nevertheless.
   [[nodiscard]] const FinalRecord* find(const JobId& job_id) const;
 
  private:
--- a/src/api/job_api.hpp
+++ b/src/api/job_api.hpp
@@ -1,5 +1,5 @@
-// The requests of users about jobs: submit, query the status, cancel, explain. Any controller
-// serves them, from committed records only.
+// Serves the users' requests about jobs: submit, query the status, cancel, explain. Any controller
+// serves them, and answers only from committed records.
 #pragma once
 
 #include <string>
@@ -12,9 +12,10 @@
 
 namespace marblevale {
 
-/// Gives each request its deadline and directs it to the class that serves it. Users wait 2 s for
-/// the answer to a query and 5 s for the other answers: what isn't known by then is answered with
-/// 503 while they still listen.
+/// Gives each request a deadline and passes it to the class that serves it. Clients time out after
+/// 2 s for status queries and explanations, and after 5 s for submissions and cancellations. The
+/// deadlines are shorter, so that a client still receives a 503 when the answer is not known in
+/// time.
 class JobApi {
  public:
   JobApi(Loop& loop, const Clock& clock, const Settings& settings, Store& store, WatchCache& cache,
@@ -22,10 +23,10 @@
 
   /// `body`: the job as JSON.
   void submit(const std::string& body, AnswerHandler handler);
-  /// Refused at once when too many status queries wait.
+  /// Answered with 503 at once if too many status queries are open.
   void status(const std::string& job_id, AnswerHandler handler);
   void cancel(const std::string& job_id, AnswerHandler handler);
-  /// Why the job waits, waited or was moved.
+  /// Explains why the job waits, has waited or was moved.
   void explain(const std::string& job_id, AnswerHandler handler);
 
  private:
--- a/src/api/job_cancellation.cpp
+++ b/src/api/job_cancellation.cpp
@@ -55,8 +55,8 @@
                   } else if (result.outcome == Outcome::refused) {
                     answer(store_unavailable_answer());
                   } else {
-                    look_up_and_cancel(job_id, attempts_left - 1,
-                                       answer);  // reads back what became of it
+                    // The lookup reads back the outcome of this commit.
+                    look_up_and_cancel(job_id, attempts_left - 1, answer);
                   }
                 });
 }
@@ -69,8 +69,9 @@
 
 JobRecord JobCancellation::cancelled_record(JobRecord record) const {
   record.cancelled = clock_.wall();
-  // Accepted when the state service took larger values, it may be too large to be written again.
-  // Nothing of a cancelled job starts any more: on which types it could no longer matters.
+  // If the state service has lowered its value limit since the job was accepted, the record may be
+  // too large to be written again. No task of a cancelled job starts any more, so the allowed
+  // machine types can be dropped.
   if (encode(record).size() > cache_.lasting_value_bytes()) record.spec.machine_types.clear();
   return record;
 }
--- a/src/api/job_cancellation.hpp
+++ b/src/api/job_cancellation.hpp
@@ -1,4 +1,4 @@
-// Cancellation of jobs at their users' request.
+// Cancels jobs at their users' request. A confirmed cancellation is committed and final.
 #pragma once
 
 #include "api/job_lookup.hpp"
@@ -6,9 +6,9 @@
 
 namespace marblevale {
 
-/// Cancels jobs. The job's record decides between its cancellation and its end: the cancellation is
-/// committed under the revision that was looked up, and whatever became of the commit is read back
-/// before the user is told anything.
+/// Commits cancellations by compare-and-swap on the job's record, so that a job that
+/// ends at the same time becomes either done or cancelled, never both. After a conflict or an
+/// unknown outcome the job is looked up again before the user is answered.
 class JobCancellation {
  public:
   JobCancellation(const Clock& clock, WatchCache& cache, Cancellations& cancellations,
@@ -17,14 +17,15 @@
   void cancel(const JobId& job_id, const AnswerHandler& answer);
 
  private:
-  /// Looks the job up and commits its cancellation if it is neither cancelled nor ended.
+  /// Looks up the job and commits its cancellation unless the job is already cancelled or ended.
   void look_up_and_cancel(const JobId& job_id, int attempts_left, const AnswerHandler& answer);
   void commit_cancellation(const JobId& job_id, const Versioned<JobRecord>& job, int attempts_left,
                            const AnswerHandler& answer);
-  /// Tells the user that the cancellation is committed. The other controllers are told first: each
-  /// vouches for its list of confirmed cancellations, and one of them may be asked about the job as
-  /// soon as its user knows. (A cancellation that a lookup finds in the job's record is published
-  /// by `JobLookup`, by the same rule.)
+  /// Adds the committed cancellation to the list for the other controllers and then answers the
+  /// user. This order is required because each controller guarantees that its list contains every
+  /// cancellation that it has confirmed, and another controller may be asked about the job as soon
+  /// as the user has the answer. `JobLookup` does the same for a cancellation that it finds in a
+  /// job's record.
   void confirm_cancellation(const JobId& job_id, WallTime cancelled_at,
                             const AnswerHandler& answer);
   [[nodiscard]] JobRecord cancelled_record(JobRecord record) const;
--- a/src/api/job_explanation.cpp
+++ b/src/api/job_explanation.cpp
@@ -13,17 +13,17 @@
 
 namespace {
 
-// Failures from which a fault in the job is likelier than faulty machines: as many machines are
-// seldom faulty at a time.
+// From this many failures, or failures on this many machines, a fault in the job is likelier than
+// faulty machines, because several machines are seldom faulty at the same time.
 constexpr std::uint64_t kFaultyJobFailures = 3;
 constexpr std::size_t kFaultyJobMachines = 2;
 
 /// How the tasks of an unfinished job failed.
 struct TaskFailures {
   std::uint64_t count = 0;
-  std::set<MachineId> machines;      // of each task's last failure
-  bool any_task_progressed = false;  // a task was done, or saved a checkpoint
-  std::optional<Duration> backoff;   // until the next retry; absent while no task waits
+  std::set<MachineId> machines;      // machines of the tasks' last failures
+  bool any_task_progressed = false;  // a task is done or has saved a checkpoint
+  std::optional<Duration> backoff;   // until the next retry; empty if no task waits
 
   [[nodiscard]] bool suggest_faulty_job() const {
     return !any_task_progressed &&
@@ -31,7 +31,7 @@
   }
 };
 
-/// How long until the planner considers the job again; absent while none of its tasks waits.
+/// The time until the planner considers the job again; empty if none of its tasks waits.
 std::optional<Duration> remaining_backoff(const Records& records, const Settings& settings,
                                           const JobRecord& job, WallTime now) {
   Records records_of_job;
@@ -60,7 +60,7 @@
   return failures;
 }
 
-/// The failures in a sentence, for a job that probably has a fault of its own.
+/// Describes the failures in a sentence, for the user of a job that is probably faulty itself.
 std::string faulty_job_reason(const TaskFailures& failures) {
   std::ostringstream out;
   out << std::fixed << std::setprecision(1) << "its tasks failed " << failures.count
@@ -84,7 +84,7 @@
       .put("planned_end_s", to_seconds(guarantee.end - accepted));
 }
 
-/// Notes with their time as seconds after acceptance.
+/// Writes the notes, each with its time in seconds after the job's acceptance.
 void write_history(json::Writer& out, const std::vector<Note>& notes, WallTime accepted) {
   out.key("history").open_list();
   for (const Note& note : notes) {
--- a/src/api/job_explanation.hpp
+++ b/src/api/job_explanation.hpp
@@ -1,4 +1,4 @@
-// The answer to "why was my plan late?".
+// Explains to a user why a job waits or why its plan was late, from the committed records.
 #pragma once
 
 #include <string>
@@ -8,11 +8,11 @@
 
 namespace marblevale {
 
-/// Of an unfinished job: its tasks by state, their failures, its guarantee and what happened to its
-/// plan. JSON.
+/// The explanation of an unfinished job as JSON: its tasks by state, their failures, the job's
+/// guarantee and the history of its plan.
 [[nodiscard]] std::string explain_job(const Records& records, const Settings& settings,
                                       const JobRecord& job, WallTime now);
-/// Of an ended job. JSON.
+/// The explanation of an ended job as JSON.
 [[nodiscard]] std::string explain_job(const FinalRecord& job);
 /// Formats an explanation's JSON as text for a terminal.
 [[nodiscard]] std::string format_explanation(const std::string& explanation);
--- a/src/api/job_lookup.cpp
+++ b/src/api/job_lookup.cpp
@@ -27,7 +27,7 @@
 }
 
 void JobLookup::publish_cancellation(const LookupResult& result) {
-  // Nothing is left of an ended job: the other controllers need no notice of its cancellation.
+  // An ended job has no tasks left, so the other controllers need not know of its cancellation.
   const auto* job = std::get_if<Versioned<JobRecord>>(&result);
   if (job == nullptr || !job->record.cancelled) return;
   cancellations_.add_confirmed(job->record.spec.job_id, *job->record.cancelled);
@@ -54,7 +54,8 @@
 }
 
 void JobLookup::look_up_unfinished(const JobId& job_id, LookupHandler handler) {
-  // All such requests share the watch, whose next progress notification is newer than they are.
+  // All waiting requests share the watch and are answered by one progress notification that is
+  // newer than they are.
   cache_.when_fresh([this, job_id, handler = std::move(handler)](bool fresh) {
     const auto& jobs = cache_.records().jobs;
     const auto job = jobs.find(job_id);
@@ -69,8 +70,8 @@
 }
 
 void JobLookup::read_from_store(const JobId& job_id, LookupHandler handler) {
-  // Never shares a read that was sent before the request came: its result may be older than what
-  // another controller has told the user meanwhile.
+  // A request never shares a read that was sent before the request came, because the read's result
+  // may be older than the state that another controller has meanwhile reported to the user.
   const auto it = reads_.find(job_id);
   if (it != reads_.end()) {
     it->second.next_handlers.push_back(std::move(handler));
@@ -91,8 +92,8 @@
       return;
     }
     if (!reply.entry) {
-      // Jobs move to their final record in one commit, never back: what is in neither was not
-      // accepted before the first read.
+      // One commit replaces the job's record by its final record, and a job never moves back. A job
+      // that has neither record was therefore not accepted before the first read.
       read_final_record(job_id);
       return;
     }
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -1,4 +1,5 @@
-// Finds what the committed records say of a job, for all requests of users.
+// Looks up the committed state of a job for all users' requests, so that no answer contradicts one
+// that another controller has given before.
 #pragma once
 
 #include <functional>
@@ -13,42 +14,43 @@
 
 namespace marblevale {
 
-/// The state service did not answer, or a record can't be read: nothing is known of the job.
+/// The state service did not answer, or the record can't be decoded. The job may or may not exist.
 struct LookupFailed {};
 /// The job was not accepted before the lookup began.
 struct JobUnknown {};
-/// Of an unfinished job its record, of an ended one its final record.
+/// Holds the job's record if the job is unfinished, and its final record if the job has ended.
 using LookupResult = std::variant<LookupFailed, JobUnknown, Versioned<JobRecord>, FinalRecord>;
 using LookupHandler = std::function<void(const LookupResult&)>;
 
-/// Looks up jobs so that a result is never older than the request it is for: another controller may
-/// have told the user a newer state. It reads the state service only for jobs that this controller
-/// does not know as unfinished or ended, and shares those reads between requests.
+/// A result is never older than the request that it answers, because another controller may already
+/// have reported a newer state to the user. The state service is read only for jobs that are
+/// neither in the watch cache nor in the cache of final records; concurrent requests share these
+/// reads.
 class JobLookup {
  public:
   JobLookup(const Clock& clock, Store& store, WatchCache& cache, Cancellations& cancellations);
 
-  /// All that users are told of a job passes here. A cancellation that a result shows is published
-  /// to the other controllers before `handler` is called.
+  /// Calls `handler` once with the job's state. If the result shows a cancellation, the
+  /// cancellation is published to the other controllers before `handler` is called.
   void look_up(const JobId& job_id, LookupHandler handler);
 
-  /// True when the job is known to have been accepted, without a read.
+  /// True if a cache shows that the job was accepted; does not read the state service.
   [[nodiscard]] bool is_known(const JobId& job_id) const;
 
  private:
-  /// Requests about one job: those that the read in flight answers, and those that came after it
-  /// was sent, which need another.
+  /// Requests about one job. The read in flight answers `current_handlers`. The requests of
+  /// `next_handlers` came after that read was sent and need another read.
   struct SharedRead {
     std::vector<LookupHandler> current_handlers;
     std::vector<LookupHandler> next_handlers;
   };
 
-  /// Waits until the watched copy holds all that was committed before the request.
+  /// Waits until the watch cache contains all commits made before the request.
   void look_up_unfinished(const JobId& job_id, LookupHandler handler);
   void read_from_store(const JobId& job_id, LookupHandler handler);
   void read_job_record(const JobId& job_id);
   void read_final_record(const JobId& job_id);
-  /// Answers the requests of the read that ended, and starts the next read if others wait.
+  /// Answers the requests that the completed read serves, and starts the next read if others wait.
   void complete_read(const JobId& job_id, const LookupResult& result);
   void publish_cancellation(const LookupResult& result);
 
--- a/src/api/job_status.hpp
+++ b/src/api/job_status.hpp
@@ -1,4 +1,4 @@
-// A job's status as users see it, and counts of its tasks.
+// Derives a job's status as users see it from the committed records, and formats it as an answer.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +14,12 @@
 
 [[nodiscard]] const char* name_of(JobStatus status);
 
-/// Of an unfinished job; `running_tasks` decides between queued and running.
+/// The status of an unfinished job: `cancelled` if the job is cancelled, else `running` if
+/// `running_tasks` is above 0, else `queued`.
 [[nodiscard]] JobStatus status_of(const JobRecord& job, std::uint64_t running_tasks);
 [[nodiscard]] JobStatus status_of(const FinalRecord& job);
 
-/// Tasks of an unfinished job by state, for display: the watched copy that they are counted in may
-/// lag.
+/// Tasks of an unfinished job by state. For display only, because the watch cache may lag.
 struct TaskCounts {
   std::uint64_t done = 0;
   std::uint64_t bound = 0;
@@ -38,12 +38,13 @@
 
 [[nodiscard]] TaskCounts count_tasks(const Records& records, const JobId& job_id);
 
-/// The status alone, as submissions and cancellations are answered.
+/// The answer to a submission or cancellation: the status alone.
 [[nodiscard]] UserAnswer status_answer(const JobId& job_id, JobStatus status);
-/// The status with counts of tasks, as status queries are answered.
+/// The answer to a status query: the status with counts of tasks.
 [[nodiscard]] UserAnswer status_answer(const Records& records, const JobRecord& job);
 [[nodiscard]] UserAnswer status_answer(const FinalRecord& job);
-/// The status that a lookup found, or `if_unknown` for a job that was never accepted.
+/// The answer to a status query from the result of a lookup; `if_unknown` if the job was never
+/// accepted.
 [[nodiscard]] UserAnswer status_answer(const Records& records, const LookupResult& result,
                                        const UserAnswer& if_unknown);
 
--- a/src/api/job_submission.cpp
+++ b/src/api/job_submission.cpp
@@ -65,7 +65,7 @@
   if (records.jobs.size() >= settings_.tuning.max_open_jobs) {
     return error_answer(503, "too many unfinished jobs", kOpenJobLimitRetryAfter);
   }
-  // A commit would only conflict with the record that is there.
+  // A commit would conflict with the job's existing record.
   if (lookup_.is_known(job.job_id)) return store_unavailable_answer();
   return std::move(job);
 }
@@ -98,7 +98,8 @@
       answer_with_status(job->job_id, store_unavailable_answer(), answer);
       return;
     case Outcome::unknown:
-      // The same commit again decides it: it succeeds, or conflicts with the first one's record.
+      // Repeating the commit resolves the outcome: the repeat either succeeds or conflicts with the
+      // record that the first commit wrote.
       if (attempts_left > 1) {
         create_job(job, attempts_left - 1, answer);
         return;
--- a/src/api/job_submission.hpp
+++ b/src/api/job_submission.hpp
@@ -1,4 +1,4 @@
-// Submission of jobs: parsing, validation and idempotent creation.
+// Accepts submitted jobs: parses and validates them, and creates each job at most once.
 #pragma once
 
 #include <memory>
@@ -12,17 +12,17 @@
 
 namespace marblevale {
 
-/// A submission's body, of which only the job's id is checked.
+/// A parsed submission. Only the job's id has been validated.
 struct ParsedSubmission {
   JobId job_id;
   json::Document document;
 };
 
-/// Reads the body as far as needed to know which job it submits; otherwise the error for its user.
+/// Parses the body and its job id; returns the error answer if either is invalid.
 [[nodiscard]] std::variant<ParsedSubmission, UserAnswer> parse_submission(const std::string& body);
 
-/// Accepts jobs. A submission is idempotent by the job's id: a job that was accepted is answered
-/// with its status, whatever the repeated body holds and whatever keeps new jobs out.
+/// Submissions are idempotent by the job's id. A repeated submission of an accepted job is answered
+/// with the job's status, even if the new body is invalid or new jobs are being rejected.
 class JobSubmission {
  public:
   JobSubmission(const Clock& clock, const Settings& settings, WatchCache& cache, JobLookup& lookup);
@@ -30,14 +30,14 @@
   void submit(const std::string& body, const AnswerHandler& answer);
 
  private:
-  /// The job, or what its user is told if the job's id is not known.
+  /// Returns the validated job, or the answer to send if no job with this id has been accepted.
   [[nodiscard]] std::variant<JobSpec, UserAnswer> validate(const json::Document& document) const;
-  /// Commits the job's record unless the id has one already. Safe to repeat.
+  /// Commits the job's record unless the id already has a record. Idempotent.
   void create_job(const std::shared_ptr<const JobSpec>& job, int attempts_left,
                   const AnswerHandler& answer);
   void handle_commit(const std::shared_ptr<const JobSpec>& job, int attempts_left,
                      const AnswerHandler& answer, Outcome outcome);
-  /// Answers with the job's status, or with `if_unknown` if it was never accepted.
+  /// Answers with the job's status, or with `if_unknown` if the job was never accepted.
   void answer_with_status(const JobId& job_id, const UserAnswer& if_unknown,
                           const AnswerHandler& answer);
 
--- a/src/api/open_requests.cpp
+++ b/src/api/open_requests.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Passes on the first answer; the deadline's timer gives one when nobody else has.
+/// Delivers only the first answer. If none has come by the deadline, a timer delivers one.
 class FirstAnswerHandler {
  public:
   FirstAnswerHandler(Loop& loop, Duration deadline, AnswerHandler handler)
@@ -26,7 +26,7 @@
   Timer timer_;
 };
 
-/// Counts as one open query for as long as it exists.
+/// Counts as one open query during its lifetime.
 class OpenQuerySlot {
  public:
   explicit OpenQuerySlot(std::shared_ptr<std::size_t> open_count)
--- a/src/api/open_requests.hpp
+++ b/src/api/open_requests.hpp
@@ -1,5 +1,5 @@
-// Bounds on requests that wait for their answer: a deadline for each, and a limit on the number of
-// status queries.
+// Bounds the requests that wait for an answer: each has a deadline, and the number of open status
+// queries is limited.
 #pragma once
 
 #include <cstddef>
@@ -10,19 +10,19 @@
 
 namespace marblevale {
 
-/// A handler that passes on the first answer it receives and drops the others. When none has come
-/// within `deadline`, the first answer is `store_unavailable_answer()`.
+/// Wraps `handler` so that it receives only the first answer. If no answer comes within `deadline`,
+/// `handler` receives `store_unavailable_answer()`.
 [[nodiscard]] AnswerHandler with_deadline(Loop& loop, Duration deadline, AnswerHandler handler);
 
-/// Limits how many status queries wait at a time. All of them are answered when the watch reports
-/// progress: their number bounds how long that delays leases and heartbeats, and leaves room for
-/// cancellations and submissions, which wait for the same progress.
+/// Limits the number of open status queries. All open queries are answered together when the watch
+/// reports progress. The limit bounds how long these answers delay leases and heartbeats, and
+/// leaves room for cancellations and submissions, which wait for the same progress.
 class OpenQueryLimit {
  public:
   static constexpr std::size_t kMaxOpenQueries = 400;
 
   [[nodiscard]] bool reached() const { return *open_count_ >= kMaxOpenQueries; }
-  /// A handler that counts as an open query until it is destroyed.
+  /// Wraps `handler`; the returned handler counts as an open query until it is destroyed.
   [[nodiscard]] AnswerHandler track(AnswerHandler handler) const;
 
  private:
--- a/src/api/unanswered_jobs.hpp
+++ b/src/api/unanswered_jobs.hpp
@@ -1,4 +1,5 @@
-// Since when requests about a job have gone unanswered, for a warning in the log.
+// Tracks for how long requests about a job have failed, so that the log warns before users take the
+// job for lost.
 #pragma once
 
 #include <cstddef>
@@ -9,12 +10,13 @@
 
 namespace marblevale {
 
-/// Warns when no request about a job could be answered for `kWarningInterval`, and again after each
-/// further interval: a user who gets no answer for longer takes the job for lost.
+/// Logs a warning if all requests about a job have failed for `kWarningInterval`, and again after
+/// each further interval, because a user who gets no answer for longer takes the job for lost.
 class UnansweredJobs {
  public:
   static constexpr Duration kWarningInterval{45'000};
-  /// At this many jobs all are dropped: an outage, which other log lines report.
+  /// When this many jobs are tracked, all are dropped. So many unanswered jobs mean an outage,
+  /// which other log lines report.
   static constexpr std::size_t kMaxJobs = 2000;
 
   explicit UnansweredJobs(const Clock& clock) : clock_(clock) {}
@@ -23,7 +25,7 @@
 
  private:
   const Clock& clock_;
-  /// The first unanswered request, or the last warning.
+  /// The time of the first unanswered request or, if later, of the last warning.
   std::unordered_map<JobId, SteadyTime> unanswered_since_;
 };
 
--- a/src/api/user_answer.hpp
+++ b/src/api/user_answer.hpp
@@ -1,4 +1,5 @@
-// The answer to one request of the users' HTTP interface.
+// The answer to a request of the users' HTTP interface, and the answers that several requests
+// share. Every request gets exactly one answer.
 #pragma once
 
 #include <chrono>
@@ -11,23 +12,24 @@
 struct UserAnswer {
   int status = 503;
   std::string body = R"({"error":"not decided"})";
-  /// Sent as the Retry-After header; absent when a retry would not help.
+  /// Sent as the Retry-After header; empty if a retry would not help.
   std::optional<std::chrono::seconds> retry_after;
 };
 
-/// Receives the answer to a request, once, possibly after the call that made the request returned.
+/// Receives the answer to a request, once; possibly only after the call that made the request has
+/// returned.
 using AnswerHandler = std::function<void(const UserAnswer&)>;
 
-/// How long a client waits before it retries a request that the state service kept from being
-/// answered.
+/// How long a client should wait before it retries a request that failed because the state service
+/// did not answer.
 inline constexpr std::chrono::seconds kStoreUnavailableRetryAfter{2};
 
 [[nodiscard]] UserAnswer error_answer(
     int status, const std::string& message,
     std::optional<std::chrono::seconds> retry_after = std::nullopt);
 
-/// The state service did not tell what the answer depends on, or not in time. Nothing may be
-/// concluded from it: the request may have been carried out.
+/// The answer if the state service did not provide the needed data in time. The client must not
+/// conclude that the request failed, because it may have been executed.
 [[nodiscard]] UserAnswer store_unavailable_answer();
 
 [[nodiscard]] UserAnswer no_such_job_answer();
--- a/tests/job_api_cancel_test.cpp
+++ b/tests/job_api_cancel_test.cpp
@@ -1,5 +1,5 @@
-// Cancellations through the users' interface: what is reported and listed while commits conflict,
-// are lost or are delayed.
+// Cancellations through the users' interface: which answers users get, and which cancellations are
+// listed for other controllers, while commits conflict, are lost or are delayed.
 #include "support/job_api_fixture.hpp"
 
 namespace marblevale {
@@ -18,7 +18,7 @@
   store_.scripts = {Script::refuse};
   EXPECT_EQ(cancel("req-000412").status, 503);
   store_.scripts = {Script::drop_answer};
-  const auto answer = cancel("req-000412");  // unknown, then read back
+  const auto answer = cancel("req-000412");  // outcome unknown, then read back
   EXPECT_EQ(answer.status, 200);
   EXPECT_NE(answer.body.find("cancelled"), std::string::npos);
   EXPECT_NE(status_of("req-000412").body.find("cancelled"), std::string::npos);
@@ -30,7 +30,8 @@
   EXPECT_NE(cancel("req-000412").body.find("done"), std::string::npos);
 }
 
-// Accepted under the larger limit, by either version: it must still be possible to cancel it.
+// Guards against a job that can't be cancelled: the state service lowers its value limit after the
+// job was accepted by this or an earlier version, and the record is too large to be written again.
 TEST_F(JobApiCancelTest, AJobWhoseRecordExceedsALoweredLimitCanBeCancelled) {
   std::string text = kJobBody;
   std::string types = "[\"g8\"";
@@ -48,7 +49,8 @@
 TEST_F(JobApiCancelTest, ACancellationThatConflictsWithTheJobsEndReturnsDone) {
   const ModRevision mod_revision = accept_on_peer("req-000412");
   update_cache();
-  // The job ends between the watch response that the cancellation waits for and its commit.
+  // The job ends after the watch response that the cancellation waits for and before the commit of
+  // the cancellation.
   bool ended = false;
   cache_.listen([&](RecordKind kind, const std::string&) {
     if (kind == RecordKind::guarantee_record && !ended) end_job("req-000412", mod_revision);
@@ -57,7 +59,7 @@
   const std::size_t commits = store_.commits.size();
   UserAnswer out = unanswered();
   api_->cancel("req-000412", [&out](const UserAnswer& a) { out = a; });
-  step();  // the watch that was open when it came, which it can't go by
+  step();  // answers the watch opened before the request, which does not prove the cache fresh
   GuaranteeRecord guarantee_record;
   guarantee_record.job_id = JobId("req-000412");
   store_.put(keys::guarantee_record(guarantee_record.job_id),
@@ -70,8 +72,9 @@
   EXPECT_EQ(final_state("req-000412"), "done");
 }
 
-// What became of a cancellation's commit is read back before anything is reported, whatever
-// happened to the commit, and whether this controller had the job in its copy.
+// Guards against reporting a cancellation that was not committed. The commit is executed, lost,
+// delayed or refused, and its answer may be missing, for jobs in this controller's cache and for
+// jobs accepted by a peer. The outcome must be read back before the user is answered.
 TEST_F(JobApiCancelTest, ACancellationIsReportedOnlyAfterReadBack) {
   struct Case {
     std::deque<Script> scripts;
@@ -112,7 +115,7 @@
       EXPECT_EQ(out.status, c.status);
       EXPECT_EQ(status_in(out), c.status == 200 ? "cancelled" : "");
       EXPECT_TRUE(store_.scripts.empty());
-      // What was reported stays, also after delayed commits are executed.
+      // The reported state holds even after delayed commits are executed.
       while (!store_.delayed.empty()) {
         const Outcome expected = is_cancelled() ? Outcome::conflict : Outcome::done;
         EXPECT_EQ(store_.apply_delayed().outcome, expected);
@@ -123,7 +126,9 @@
   }
 }
 
-// Peers rely on each other's lists: whatever reports "cancelled" to a user lists it first.
+// Guards against a peer that misses a cancellation which a user knows of. Peers rely on each
+// other's lists, so any request that reports "cancelled" to a user must list the cancellation
+// first.
 TEST_F(JobApiCancelTest, EveryRequestListsACancellationBeforeReportingIt) {
   const auto is_listed = [&](const std::string& job_id) {
     const auto list = cancellations_.list();
@@ -135,7 +140,7 @@
     for (const bool cached : {true, false}) {
       const std::string job_id = "req-" + std::to_string(++number);
       SCOPED_TRACE(job_id + ": request " + std::to_string(static_cast<int>(request)));
-      accept_on_peer(job_id, clock_.wall());  // cancelled there, too
+      accept_on_peer(job_id, clock_.wall());  // cancelled on the peer as well
       if (cached) {
         update_cache();
       }
@@ -152,7 +157,8 @@
   }
 }
 
-// A cancellation whose commit got no answer is neither reported nor listed until it is read back.
+// A cancellation whose commit got no answer must be neither reported nor listed until a read shows
+// that it was committed.
 TEST_F(JobApiCancelTest, ACancellationOfUnknownOutcomeIsNeitherReportedNorListed) {
   accept_on_peer("req-000412");
   update_cache();
--- a/tests/job_api_consistency_test.cpp
+++ b/tests/job_api_consistency_test.cpp
@@ -1,5 +1,5 @@
-// Answers about a job while it ends, or while delayed commits are executed: all answers agree with
-// the record that decides.
+// Answers about a job while the job ends or while delayed commits are executed: all answers agree
+// with the job's committed final record.
 #include "support/job_api_fixture.hpp"
 
 namespace marblevale {
@@ -9,10 +9,10 @@
 using testing::Script;
 using testing::UserRequest;
 
-/// A request during which the job ends: `end_after` steps after it was sent.
+/// A request during which the job ends, `end_after` steps after the request was sent.
 struct EndRace {
   UserRequest request;
-  bool cached;  // this controller has the job in its copy of the records
+  bool cached;  // the job is in this controller's watch cache
   int end_after;
 };
 
@@ -36,7 +36,8 @@
 
 class JobApiConsistencyTest : public testing::JobApiTest {
  protected:
-  /// Sends the request, lets the job end during it, and returns the only answer.
+  /// Sends the request, ends the job meanwhile, checks that there is exactly one answer and returns
+  /// it.
   UserAnswer send_while_job_ends(const EndRace& race, const std::string& job_id) {
     const ModRevision mod_revision = accept_on_peer(job_id);
     if (race.cached) update_cache();
@@ -69,10 +70,11 @@
   }
 };
 
-// One record decides, and every answer follows it, wherever between a request's reads and commits
-// the job's last task ends, and whether this controller knew the job or another had accepted it.
+// Guards against answers that contradict the final record. The job's last task ends at each point
+// between a request's reads and commits, for jobs in this controller's cache and for jobs accepted
+// by a peer.
 TEST_F(JobApiConsistencyTest, EveryAnswerAgreesWithTheFinalRecordWheneverTheJobEnds) {
-  // Another controller, which must read all that it reports.
+  // Another controller, whose cache is not started, so it must read every job that it reports.
   WatchCache peer_cache(loop_, clock_, store_, 2);
   Cancellations peer_cancellations(clock_, peer_cache);
   JobApi peer(loop_, clock_, settings_, store_, peer_cache, peer_cancellations);
@@ -93,9 +95,10 @@
   }
 }
 
-// A late commit of this controller comes after newer ones. A job's record is deleted when it ends,
-// so that a revision of 0 holds for it again: the record of its end, which is never deleted, stands
-// in the way of a submission; a cancellation names the revision of what it changes.
+// Guards against a delayed commit that changes an already reported state. When a job ends, its
+// record is deleted, so a guard on revision 0 of that record would succeed again. A delayed
+// submission must conflict with the final record, which is never deleted. A delayed cancellation
+// must conflict because it is guarded by the revision of the job's record.
 TEST_F(JobApiConsistencyTest, DelayedCommitsDoNotChangeReportedStates) {
   for (const bool cancelled : {false, true}) {
     const std::string job_id = cancelled ? "req-1" : "req-2";
@@ -107,7 +110,8 @@
     if (cancelled) {
       EXPECT_EQ(status_in(send(UserRequest::cancel, job_id)), "cancelled");
     }
-    // The submission comes late once while the job is there, and the rest when it has ended.
+    // The delayed submission is executed once while the job exists. The other delayed commits, and
+    // the submission a second time, are executed after the job has ended.
     ASSERT_EQ(store_.delayed.size(), 4U);
     const Transaction submission = store_.delayed.front();
     EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
--- a/tests/job_api_deadline_test.cpp
+++ b/tests/job_api_deadline_test.cpp
@@ -12,9 +12,9 @@
 
 class JobApiDeadlineTest : public testing::JobApiTest {};
 
-// A state service that answers slowly costs the user a 503 while he still listens, 2 s for a
-// question and 5 s for the others; what comes later is not reported any more, but serves the next
-// request.
+// Guards against clients that time out without an answer. Clients wait 2 s for a status query or an
+// explanation and 5 s for other requests. When the state service is slower, the user must get a 503
+// within that time; an answer that comes later is not sent, and the next request succeeds.
 TEST_F(JobApiDeadlineTest, ASlowStateServiceGives503BeforeTheClientTimesOut) {
   int number = 0;
   for (const UserRequest request : kUserRequests) {
@@ -43,8 +43,9 @@
   }
 }
 
-// Every answer takes longer than a question's time: the read goes on when its user has gone, and
-// what it finds of a job that has ended is reported at once to the next query.
+// Guards against queries that can never succeed because each read takes longer than a query's
+// deadline. The read continues after its query has timed out, and its final record answers the next
+// query at once.
 TEST_F(JobApiDeadlineTest, TheReadOfATimedOutQueryServesTheNextOne) {
   end_job("req-000412", accept_on_peer("req-000412"));
   store_.hold_answers = true;
@@ -57,8 +58,8 @@
   EXPECT_EQ(status, 200);
 }
 
-// Whatever happened before: once the state service is back, every accepted job is answered for, and
-// no bound on questions leaves one of them out when it is asked again.
+// Guards against jobs that can't be queried after an outage of the state service: the limits on
+// open queries and reads must not starve any accepted job whose query is repeated.
 TEST_F(JobApiDeadlineTest, AfterAnOutageEveryAcceptedJobCanBeQueried) {
   constexpr int kJobs = 500;
   json::Document doc;
@@ -102,17 +103,17 @@
   EXPECT_EQ(std::count(status.begin(), status.end(), 200), 2 * kJobs);
 }
 
-// On each path that an answer takes: once an outage is over, the first request is answered, though
-// all were asked about again and again in vain.
+// Guards against state that an outage leaves behind: requests about jobs of every kind fail
+// repeatedly during the outage, and the first request of each kind after it must be answered.
 TEST_F(JobApiDeadlineTest, AfterAnOutageTheFirstRequestOnEachPathIsAnswered) {
   const std::map<std::string, std::string> expected{
-      {"req-1", "queued"},     // in the copy
-      {"req-2", "done"},       // in the copy, and has ended since
-      {"req-3", "queued"},     // accepted elsewhere, not yet in the copy
-      {"req-4", "done"},       // ended, and nobody has asked
-      {"req-5", "done"},       // ended, and remembered
-      {"req-6", "cancelled"},  // cancelled, and not yet ended
-      {"req-7", "cancelled"},  // the same, not yet in the copy
+      {"req-1", "queued"},     // in the cache
+      {"req-2", "done"},       // in the cache, and has ended since
+      {"req-3", "queued"},     // accepted by a peer, not yet in the cache
+      {"req-4", "done"},       // ended, and not queried yet
+      {"req-5", "done"},       // ended, and in the cache of final records
+      {"req-6", "cancelled"},  // cancelled, but not yet ended
+      {"req-7", "cancelled"},  // cancelled, but not yet ended or in the cache
   };
   accept_on_peer("req-1");
   const ModRevision req_2_revision = accept_on_peer("req-2");
--- a/tests/job_api_overload_test.cpp
+++ b/tests/job_api_overload_test.cpp
@@ -1,4 +1,5 @@
-// More status queries than can be answered: bounded answers, immediate 503s, nothing left pending.
+// More status queries than the limit: a bounded number is answered, the others get a 503 at once,
+// and no query stays pending.
 #include "support/job_api_fixture.hpp"
 
 namespace marblevale {
@@ -7,12 +8,12 @@
 using testing::job_body_with;
 using testing::kJobBody;
 
-/// Users query their jobs many times as often as usual, within one interval of the watch.
+/// Users query their jobs far more often than usual, within one interval of the watch.
 class JobApiOverloadTest : public testing::JobApiTest {
  protected:
   struct AnswerCount {
     int answered = 0;  // 200
-    int refused = 0;   // 503 with a time to come back
+    int refused = 0;   // 503 with Retry-After
     [[nodiscard]] int all() const { return answered + refused; }
   };
   static constexpr int kJobs = 50;
@@ -41,7 +42,7 @@
     count_ = {};
     send_queries(5'000);
     EXPECT_GE(count_.refused, 4'500) << "rejected at once, not when the watch returns";
-    answer_watch();  // was opened before the questions came
+    answer_watch();  // was opened before the queries came, so it answers none
     answer_watch();
     EXPECT_EQ(count_.all(), 5'000);
     EXPECT_GE(count_.answered, 300) << "in each interval some users learn something";
@@ -73,11 +74,11 @@
   EXPECT_LE(store_.reads, 2) << "the job, then its end";
 }
 
-// A query that is not answered must not be counted forever.
+// Guards against unanswered queries that count as open forever and use up the limit.
 TEST_F(JobApiOverloadTest, NoQueryStaysPendingAfterAnOutage) {
   accept_jobs();
   send_queries(1'000);
-  clock_.advance(Duration{5'000});  // the watch says nothing
+  clock_.advance(Duration{5'000});  // the watch does not answer
   EXPECT_EQ(count_.refused, 1'000);
   store_.deliver_watch_events();
   count_ = {};
--- a/tests/job_api_status_test.cpp
+++ b/tests/job_api_status_test.cpp
@@ -1,4 +1,4 @@
-// Status queries: which reads and watch responses may answer them, also while the job ends.
+// Status queries: which reads and watch responses may answer a query, also while the job ends.
 #include "support/job_api_fixture.hpp"
 
 namespace marblevale {
@@ -16,12 +16,12 @@
   EXPECT_EQ(status_of("nonsense").status, 404);
 }
 
-// A query that joined a read sent before it was answered
-// with a state older than the one that another controller had reported to its user meanwhile.
+// Guards against a query that is answered by a read sent before the query: the answer could be
+// older than a state that another controller has already reported to the user.
 TEST_F(JobApiStatusTest, AQueryIsNotAnsweredByAReadSentBeforeIt) {
   json::Document doc;
   ASSERT_TRUE(json::parse(doc, kJobBody));
-  // Accepted by another controller a moment ago: this one's copy does not have it yet.
+  // The job was just accepted by another controller and is not yet in this controller's cache.
   store_.put(keys::job(JobId("req-000412")),
              encode(JobRecord{std::get<JobSpec>(parse_job(doc)), clock_.wall(), std::nullopt}));
   store_.hold_answers = true;
@@ -42,13 +42,13 @@
   clock_.advance(Duration{10});
   UserAnswer out = unanswered();
   api_->status("req-000412", [&](const UserAnswer& a) { out = a; });
-  store_.deliver_watch_events();  // opened before the query: what it does not deliver may have
-                                  // happened since
+  // This watch was opened before the query, so newer commits may be missing from its response.
+  store_.deliver_watch_events();
   EXPECT_EQ(out.status, 0);
   finish(FinalState::done);
   wait_for_answer(out);
   EXPECT_NE(out.body.find("done"), std::string::npos);
-  // No query waits forever: a watch that does not answer costs a 503.
+  // No query waits forever: if the watch does not answer, the query gets a 503.
   UserAnswer late = unanswered();
   EXPECT_EQ(submit(job_body_with("req-000412", "req-000413")).status, 201);
   api_->status("req-000413", [&](const UserAnswer& a) { late = a; });
@@ -57,8 +57,8 @@
   EXPECT_GT(late.retry_after, std::chrono::seconds{0});
 }
 
-// A question about a job whose record has moved between its two reads, in the order in which they
-// are sent: first the job, then its end. The other way round would make it unknown.
+// Guards against a 404 for a job that ends between the two reads of a query. The job's record is
+// read first and the final record second; in the opposite order both reads would find nothing.
 TEST_F(JobApiStatusTest, AJobThatEndsBetweenTheTwoReadsOfAQueryIsNeverUnknown) {
   const ModRevision mod_revision = accept_on_peer("req-000412");
   store_.hold_answers = true;
@@ -68,7 +68,7 @@
   store_.hold_answers = false;
   store_.deliver_held_answers();
   EXPECT_EQ(out.status, 200);
-  // And one that is accepted and ends between them.
+  // The same for a job that is accepted and ends between the two reads.
   store_.hold_answers = true;
   out.status = 0;
   api_->status("req-000413", [&out](const UserAnswer& a) { out = a; });
@@ -79,8 +79,8 @@
   EXPECT_EQ(status_in(out), "done");
 }
 
-// The answer to a commit can be held up while the watch tells the commit and what became of its
-// record afterwards: it must not bring back into the copy what has been deleted.
+// Guards against a deleted job that reappears in the cache: the answer to a commit is delayed until
+// after the watch has delivered both the commit and the later deletion of its record.
 TEST_F(JobApiStatusTest, ADelayedCommitAnswerDoesNotRestoreADeletedJobInTheCache) {
   store_.hold_answers = true;
   api_->submit(kJobBody, [](const UserAnswer&) {});
--- a/tests/job_api_submit_test.cpp
+++ b/tests/job_api_submit_test.cpp
@@ -35,16 +35,16 @@
 
 TEST_F(JobApiSubmitTest, ACommitOfUnknownOutcomeIsResolvedByARetry) {
   store_.scripts = {Script::drop_answer};
-  EXPECT_EQ(submit(kJobBody).status, 200);  // the repetition finds what the first one did
+  EXPECT_EQ(submit(kJobBody).status, 200);  // the retry finds the record of the first commit
   store_.scripts = {};
   finish(FinalState::done);
   store_.scripts = {Script::drop_request};
-  EXPECT_EQ(submit(kJobBody).status, 200);  // long over, still known
+  EXPECT_EQ(submit(kJobBody).status, 200);  // ended long ago, still known
 }
 
 TEST_F(JobApiSubmitTest, ADelayedSubmissionDoesNotRecreateAFinishedJob) {
   store_.scripts = {Script::delay};
-  EXPECT_EQ(submit(kJobBody).status, 201);  // the repetition was accepted
+  EXPECT_EQ(submit(kJobBody).status, 201);  // the retry was accepted
   finish(FinalState::done);
   EXPECT_EQ(store_.apply_delayed().outcome, Outcome::conflict);
   EXPECT_FALSE(store_.get(keys::job(JobId("req-000412"))));
@@ -60,10 +60,11 @@
   EXPECT_NE(answer.body.find("cancelled"), std::string::npos);
 }
 
-// Nothing that keeps a new job out keeps the user of a known one from its state.
+// Guards against a repeated submission that is rejected for a reason that applies only to new jobs:
+// it must always be answered with the job's status.
 TEST_F(JobApiSubmitTest, ARepeatedSubmissionIsAnsweredWhileNewJobsAreRejected) {
   EXPECT_EQ(submit(kJobBody).status, 201);
-  store_.scripts = {Script::refuse};  // no writes now
+  store_.scripts = {Script::refuse};  // the state service refuses the next commit
   EXPECT_EQ(submit(kJobBody).status, 200);
   EXPECT_EQ(submit(job_body_with("req-000412", "req-000413")).status, 503);
   settings_.tuning.max_open_jobs = 1;
@@ -75,8 +76,8 @@
   EXPECT_EQ(status_in(answer), "done");
 }
 
-// The submission's commit finds by itself that the job is known, when this controller's copy does
-// not have it: accepted elsewhere a moment ago, or over for long.
+// The job is known but not in this controller's cache, because a peer has just accepted it or it
+// ended long ago. The submission's commit conflicts, and the job's status must be returned.
 TEST_F(JobApiSubmitTest, ASubmissionThatConflictsWithAKnownJobReturnsItsState) {
   for (const Script script : {Script::normal, Script::drop_request}) {
     const std::string job_id = "req-" + std::to_string(static_cast<int>(script));
@@ -140,7 +141,7 @@
     }
   }
   EXPECT_TRUE(cache_.records().jobs.empty());
-  // What may be null may be absent as well.
+  // Fields that may be null may also be absent.
   for (const char* name : {"builds", "district", "due_s"}) {
     EXPECT_EQ(submit(body_with_field(name, &list)).status, 400) << name;
   }
@@ -149,8 +150,8 @@
   EXPECT_EQ(submit(body_with_field("due_s", &null)).status, 200);
 }
 
-// A record that is larger than the state service will take could never be changed again: its job
-// could not be cancelled.
+// Guards against a job that can't be cancelled: a record larger than the announced value limit
+// could never be written again.
 TEST_F(JobApiSubmitTest, ASpecTooLargeForAStoredValueIs422) {
   const std::string image = std::string(120, 'i');
   std::string text = job_body_with("img-07", image);
@@ -170,7 +171,8 @@
   EXPECT_EQ(submit(job_body_with("\"cpus\":8.0", "\"cpus\":97.0")).status, 422);
   EXPECT_EQ(submit(job_body_with("[\"g8\"]", "[\"g9\"]")).status, 422);
   EXPECT_EQ(submit(job_body_with("\"district\":null", "\"district\":\"b\"")).status, 422);
-  // An array needs room in the limit for one task only.
+  // An array needs room for only one task in the team's limit, because its tasks need not run at
+  // the same time.
   std::string array = job_body_with("ensemble", "batch");
   array.replace(array.find("\"accelerators\":1.0"), 18, "\"accelerators\":3.0");
   EXPECT_EQ(submit(array).status, 201);
@@ -185,7 +187,7 @@
   EXPECT_EQ(submit(spread_job).status, 201) << "one half after the other";
 }
 
-/// The body of a service job, with a change as `job_body_with` makes it.
+/// The body of a service job, with `from` replaced by `to` unless `from` is empty.
 std::string service_job_body(const std::string& from = "", const std::string& to = "") {
   std::string text = job_body_with("ensemble", "standing");
   text.replace(text.find("\"expect_s\":240.0"), 16, "\"expect_s\":0");
--- a/tests/job_explanation_test.cpp
+++ b/tests/job_explanation_test.cpp
@@ -35,7 +35,7 @@
                       "worked: probably a mistake in the job; tried again in"),
             std::string::npos)
       << format_explanation(failing.body);
-  // One failure, or one among tasks that work, is no repeated failure.
+  // If any task has made progress, the failures do not suggest a mistake in the job.
   slice.tasks[0].progress = Duration{10'000};
   store_.put(keys::slice(slice.job_id, 0), encode(slice));
   step();
