--- a/src/api/job_cancellation.hpp
+++ b/src/api/job_cancellation.hpp
@@ -6,9 +6,9 @@
 
 namespace marblevale {
 
-/// Commits cancellations by compare-and-swap on the job's record, so that a job that
-/// ends at the same time becomes either done or cancelled, never both. After a conflict or an
-/// unknown outcome the job is looked up again before the user is answered.
+/// Commits cancellations by compare-and-swap on the job's record, so that a job that ends at the
+/// same time becomes either done or cancelled, never both. After a conflict or an unknown outcome
+/// the job is looked up again before the user is answered.
 class JobCancellation {
  public:
   JobCancellation(const Clock& clock, WatchCache& cache, Cancellations& cancellations,
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -14,7 +14,8 @@
 
 namespace marblevale {
 
-/// The state service did not answer, or the record can't be decoded. The job may or may not exist.
+/// The state service did not answer, too many reads were in flight, or the record can't be decoded.
+/// The job may or may not exist.
 struct LookupFailed {};
 /// The job was not accepted before the lookup began.
 struct JobUnknown {};
@@ -30,8 +31,9 @@
  public:
   JobLookup(const Clock& clock, Store& store, WatchCache& cache, Cancellations& cancellations);
 
-  /// Calls `handler` once with the job's state. If the result shows a cancellation, the
-  /// cancellation is published to the other controllers before `handler` is called.
+  /// Calls `handler` once with the job's state. Every stored job state that users are told is
+  /// looked up here, so this method publishes a cancellation that the result shows to the other
+  /// controllers before it calls `handler`.
   void look_up(const JobId& job_id, LookupHandler handler);
 
   /// True if a cache shows that the job was accepted; does not read the state service.
--- a/tests/job_api_deadline_test.cpp
+++ b/tests/job_api_deadline_test.cpp
@@ -1,5 +1,5 @@
 // A state service that is slow or unavailable: every request is answered before its client times
-// out, and normally again once the outage is over.
+// out, and requests succeed again once the outage is over.
 #include "support/job_api_fixture.hpp"
 
 namespace marblevale {
