--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -12,14 +12,14 @@
 
 constexpr int kStatusBadRequest = 400;
 
-/// The kind of record: what its key has before the last part, without the common prefix.
+/// The kind of a record: the first component of its key after the common prefix `mv/`.
 std::string kind_of(const std::string& key) {
   const auto first = key.find('/') + 1;
   const auto second = key.find('/', first);
   return key.substr(0, 3) == "mv/" ? key.substr(first, second - first) : key.substr(0, first - 1);
 }
 
-/// The names under which the transaction's operations are counted.
+/// The names of the metrics that count the transaction's operations.
 std::vector<std::string> operation_names(const Transaction& txn) {
   std::vector<std::string> names;
   for (const Put& put : txn.puts) names.push_back("put " + kind_of(put.key));
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -1,4 +1,4 @@
-// The client of the state service, within this node's share of the published rates.
+// The client of the state service. It keeps within this node's share of the published rates.
 #pragma once
 
 #include "core/address.hpp"
@@ -9,8 +9,9 @@
 
 namespace marblevale {
 
-/// Reads and commits wait in a queue by priority. Leases and watches have connections of their own
-/// and are never queued: a lease that is not renewed in time costs more than a request too many.
+/// Reads and commits wait in a priority queue for the request budget. Requests for leases and
+/// watches use separate connections and are never queued, because an expired lease costs more than
+/// one request beyond the budget.
 class StoreClient : public Store {
  public:
   StoreClient(Loop& loop, const Clock& clock, const Address& at, StoreLimits limits);
--- a/src/store/machine_writer.cpp
+++ b/src/store/machine_writer.cpp
@@ -111,7 +111,7 @@
     if (outcome == Outcome::done) {
       if (edit.then) edit.then();
     } else if (edit.generation == generations_[edit.zone]) {
-      // Decided anew from the records at the next flush, unless something newer is wanted by then.
+      // The next flush applies the edit to the current record, unless a newer edit is pending.
       pending_.try_emplace(machine_id, edit);
     }
   }
--- a/src/store/record_key.hpp
+++ b/src/store/record_key.hpp
@@ -1,4 +1,4 @@
-// Parses the keys of live records.
+// Parses the keys of live records into a kind and a name.
 #pragma once
 
 #include <optional>
@@ -26,10 +26,10 @@
   std::string name;  // the key without the prefix of its kind
 };
 
-/// None for a key of no known kind.
+/// Returns no value for a key of an unknown kind.
 [[nodiscard]] std::optional<RecordKey> parse_record_key(const std::string& key);
 
-/// The slice that the name of a slice's key stands for.
+/// The slice with this name of its key; no value for a malformed name.
 [[nodiscard]] std::optional<SliceKey> parse_slice_name(const std::string& name);
 
 }  // namespace marblevale
--- a/src/store/record_table.cpp
+++ b/src/store/record_table.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Decodes into the map, or erases; false when the value can't be read: the entry is erased.
+/// Decodes the value into the map, or erases the entry if `value` is null. When the value can't be
+/// read, erases the entry and returns false.
 template <typename Map, typename Key>
 bool decode_or_erase(Map& map, const Key& key, const json::Value* value, ModRevision mod_revision) {
   if (value == nullptr) {
@@ -22,8 +23,8 @@
   return true;
 }
 
-/// Decodes into the slot, or clears it; false when the value can't be read: the slot keeps the
-/// earlier record.
+/// Decodes the value into the slot, or clears the slot if `value` is null. When the value can't be
+/// read, keeps the earlier record and returns false.
 template <typename Record>
 bool decode_or_clear(std::optional<Versioned<Record>>& slot, const json::Value* value,
                      ModRevision mod_revision) {
@@ -103,7 +104,7 @@
     case RecordKind::slice:
       return apply_slice(name, value, mod_revision);
     case RecordKind::machine:
-      break;  // a page is applied by its whole key
+      break;  // `apply` handles machine pages
   }
   return readable ? ApplyResult::applied : ApplyResult::unreadable;
 }
--- a/src/store/record_table.hpp
+++ b/src/store/record_table.hpp
@@ -1,4 +1,4 @@
-// The live records in memory, built up from changes of stored values.
+// An in-memory table of the live records, built from the changes of stored values.
 #pragma once
 
 #include <set>
@@ -11,15 +11,17 @@
 
 namespace marblevale {
 
-/// Decodes each changed value into the set of records. A value that this version can't read is
-/// left out of the set, and its key is listed as unreadable, so that nobody overwrites it.
+/// Decodes each changed value into the set of records. If this version can't read a value, its key
+/// is listed as unreadable, so that the stored record is neither overwritten nor taken for deleted.
+/// The set then has no such record, except that the leader's record and the machine types keep
+/// their last readable version.
 class RecordTable {
  public:
   [[nodiscard]] const Records& records() const { return records_; }
 
-  /// Applies one change; `value` is null for a deletion. Returns the names of the records that
-  /// changed: for a machine page the machines that differ from what was known, else the key's own
-  /// name; none for a key that names no record.
+  /// Applies one change; `value` is null for a deletion. Returns the names of the changed records:
+  /// for a machine page the ids of the machines whose records differ from before, for any other key
+  /// its name. Returns no names for a malformed key.
   std::vector<std::string> apply(const std::string& key, const RecordKey& parsed,
                                  const json::Value* value, ModRevision mod_revision);
 
@@ -32,8 +34,8 @@
                           ModRevision mod_revision);
   ApplyResult apply_page(const std::string& key, const json::Value* value, ModRevision mod_revision,
                          std::vector<std::string>& changed);
-  /// Takes over the machines of a page; returns their ids. Those that are not in `missing` any more
-  /// were found.
+  /// Stores the records of a page's machines and returns the machines' ids. Removes these ids from
+  /// `missing` and adds the ids of changed records to `changed`.
   std::vector<MachineId> update_machines(std::vector<MachineRecord> machines,
                                          ModRevision mod_revision, std::set<MachineId>& missing,
                                          std::vector<std::string>& changed);
--- a/src/store/request_budget.cpp
+++ b/src/store/request_budget.cpp
@@ -8,11 +8,12 @@
 
 constexpr double kMaxShare = 0.75;       // of the published rate
 constexpr double kMinEqualShare = 0.5;   // of the equal share
-constexpr double kIncreaseStep = 0.025;  // of the published rate, each time
+constexpr double kIncreaseStep = 0.025;  // of the published rate, per interval
 constexpr double kDecreaseFactor = 0.75;
-constexpr double kSubmissionShare = 0.6;  // of the published writes: bindings must not starve
-// A user waits for a submission, so it may be sent ahead of the share, as far as an equal share of
-// a second: the others seldom use all of theirs, and 429 costs nothing but a repetition.
+// Of the published write rate; the rest prevents the starvation of bindings.
+constexpr double kSubmissionShare = 0.6;
+// A user waits for a submission, so it may overdraw the write budget by the equal share of one
+// second. The other nodes seldom use all of their shares, and a reply of 429 only costs a retry.
 constexpr double kSubmissionCreditSeconds = 1.0;
 constexpr Duration kNoSlackAfterReduction{3'000};
 
@@ -72,7 +73,7 @@
 }
 
 double RequestBudget::write_slack(SteadyTime now) {
-  // After an answer of 429 the others use what this node's bucket says is there.
+  // A recent 429 means that other nodes use the rate that this node's bucket counts as unused.
   return now - last_reduced_ < kNoSlackAfterReduction ? 0 : writes_.fill_ratio(now);
 }
 
--- a/src/store/request_priority.hpp
+++ b/src/store/request_priority.hpp
@@ -1,4 +1,4 @@
-// The classes of requests to the state service, by which they share this node's part of its rates.
+// The priorities by which requests to the state service use this node's share of its rates.
 #pragma once
 
 #include <cstddef>
@@ -9,10 +9,12 @@
 
 struct Records;
 
-/// Classes of requests, the most important first. `service_binding`: releases, bindings and ends
-/// of service jobs, which are few, and down until they are written. Submissions go before the
-/// other bindings, within a share. `best_effort`: what only quality depends on, dropped under
-/// pressure.
+/// Classes of requests, the highest priority first.
+/// `service_binding`: releases, bindings and ends of tasks of service jobs. These writes are few,
+/// and the service is down until they are made.
+/// `submission`: precedes the other bindings, but may use only a part of the write rate.
+/// `best_effort`: writes on which only quality depends, such as guarantee records and the removal
+/// of an ended job's records; dropped under load.
 enum class RequestPriority {
   lease,
   service_binding,
--- a/src/store/request_queue.cpp
+++ b/src/store/request_queue.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kMaxQueuedRequests = 400;  // of each priority
 constexpr Duration kMaxQueueTime{2500};
-/// The same where a user waits, who is better told to come back.
+/// For requests for which a user waits; a user is served better by an early refusal and a retry.
 constexpr Duration kMaxUserQueueTime{200};
 constexpr int kMaxSubmissionRetries = 3;
 constexpr Duration kSubmissionRetryDelay{40};
@@ -56,7 +56,7 @@
   }
   const bool is_submission = priority == RequestPriority::submission;
   if (is_submission && writes > 0 && !admit_submission(writes)) {
-    // The user is told to come back at once rather than after having waited in vain.
+    // Refused at once, so that the user can retry instead of waiting until the request expires.
     budget_.mark_short_of_writes();
     metrics_.count("submissions over the budget");
     then(HttpReply::never_sent());
@@ -138,7 +138,8 @@
       in_flight->then(reply);
       return;
     }
-    // It was not executed, and a user waits: once more, when the others have spent their bursts.
+    // The submission was not executed and its user waits. It is sent again after a delay in which
+    // the other nodes use up their bursts.
     --in_flight->retries_left;
     queue_of(RequestPriority::submission).push_front(std::move(*in_flight));
     if (!pump_timer_.pending()) pump_timer_.start(kSubmissionRetryDelay);
--- a/src/store/request_queue.hpp
+++ b/src/store/request_queue.hpp
@@ -1,4 +1,4 @@
-// The requests to the state service that wait for this node's budget, by priority.
+// A priority queue of the requests to the state service that wait for this node's budget.
 #pragma once
 
 #include <array>
@@ -13,16 +13,16 @@
 
 namespace marblevale {
 
-/// Sends requests in the order of their priorities, as fast as the budget allows. Requests of lower
-/// priority never overtake waiting writes of a higher one, unless they only read. A request that
-/// waits too long is answered as never sent.
+/// Sends requests in order of priority, as fast as the budget allows. While a write waits, the only
+/// requests of lower priority that may be sent are reads. A request that waits too long is
+/// completed as never sent.
 class RequestQueue {
  public:
   RequestQueue(Loop& loop, const Clock& clock, HttpClient& http, RequestBudget& budget);
 
   /// `writes`: the puts and deletes of the request, which count against the write rate.
   void enqueue(RequestPriority priority, HttpCall call, double writes, HttpHandler then);
-  /// True while a request that is at least as important as the leader's commits waits.
+  /// True while a request of priority `leader_commit` or higher waits.
   [[nodiscard]] bool holds_important_requests() const;
 
  private:
@@ -31,14 +31,15 @@
     double writes = 0;
     SteadyTime expires;
     HttpHandler then;
-    int retries_left = 0;  // after answers of 429
+    int retries_left = 0;  // after replies of 429
   };
   using Queue = std::deque<Request>;
   /// What the budget lacks for a request.
   enum class Shortage { none, requests, writes };
 
   [[nodiscard]] Queue& queue_of(RequestPriority priority);
-  /// Takes a submission's writes, or finds that its user is better told to come back.
+  /// Takes a submission's writes from their part of the budget. Returns false when that part is
+  /// used up, or when the wait would be so long that the user should retry later instead.
   [[nodiscard]] bool admit_submission(double writes);
   void pump();
   [[nodiscard]] Shortage send_ready(RequestPriority priority, SteadyTime now, bool writes_blocked);
--- a/src/store/store_protocol.cpp
+++ b/src/store/store_protocol.cpp
@@ -89,8 +89,8 @@
   return out.str();
 }
 
-/// Appends the change that a watch tells of; false when it can't be read. An item that is neither a
-/// put nor a delete is skipped.
+/// Appends the change that an item of a watch reply describes; returns false when the item is
+/// malformed. An item that is neither a put nor a delete is skipped.
 bool append_change(const json::Value& item, std::vector<Change>& out) {
   const auto mod_revision = json::count(item, "stamp");
   if (!mod_revision) return false;
@@ -173,7 +173,8 @@
   CommitResult result;
   result.outcome = outcome_of(reply);
   if (result.outcome != Outcome::done && result.outcome != Outcome::conflict) return result;
-  // Without its revision an answer can't be waited for in the records: it settles nothing.
+  // Callers wait until the records reach the reply's revision. They can't do so after a reply
+  // without a revision, so its outcome counts as unknown.
   json::Document doc;
   const auto revision =
       json::parse(doc, reply.body) ? json::count(doc, "ledger_rev") : std::nullopt;
--- a/src/store/store_protocol.hpp
+++ b/src/store/store_protocol.hpp
@@ -1,4 +1,4 @@
-// The state service's published protocol: the requests of `Store`, and what its replies say.
+// The state service's published protocol: encodes the requests of `Store` and parses the replies.
 #pragma once
 
 #include <optional>
@@ -16,8 +16,8 @@
 [[nodiscard]] HttpCall create_lease_call(Duration ttl);
 [[nodiscard]] HttpCall renew_lease_call(LeaseId lease_id);
 
-// A reply that can't be read gives a failed result, or the outcome `unknown`: the request may have
-// been executed.
+// A reply that can't be read gives a failed result, or the outcome `unknown` because the request
+// may have been executed.
 [[nodiscard]] ReadResult parse_read_reply(const HttpReply& reply);
 [[nodiscard]] std::optional<RangePage> parse_range_reply(const HttpReply& reply);
 [[nodiscard]] CommitResult parse_commit_reply(const HttpReply& reply);
--- a/src/store/watch_cache.cpp
+++ b/src/store/watch_cache.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// Short enough that a caller of `when_fresh` during an open watch waits little for the next one.
+// Short, so that a caller of `when_fresh` during an open watch soon gets the result of the next.
 constexpr Duration kWatchHold{400};
-constexpr Duration kFreshWaitTimeout{1500};  // a user who waits for the answer gives up after 2 s
+constexpr Duration kFreshWaitTimeout{1500};  // users give up on a reply after 2 s
 constexpr std::size_t kMaxFreshWaiters = 4000;
-/// Of the published rate of requests, for the watches of all controllers together.
+/// The share of the published request rate for the watches of all controllers together.
 constexpr double kWatchRequestShare = 0.4;
 constexpr Duration kMinBackoff{100};
 constexpr Duration kMaxBackoff{1000};
@@ -47,7 +47,8 @@
 
 RecordSize WatchCache::record_size() const {
   const StoreLimits& limits = store_.limits();
-  // While a limit is only announced, versions that read no compact form may be running.
+  // While limits are announced but not in force, controllers of a version that can't read compact
+  // encodings may be running.
   const auto& nodes = records().nodes;
   const bool all_read = std::all_of(nodes.begin(), nodes.end(), [](const auto& entry) {
     return entry.second.record.reads_forms >= kReadsForms;
@@ -71,7 +72,7 @@
 }
 
 void WatchCache::notify_fresh_waiters() {
-  // A watch that was opened after the caller came has returned all that was committed before.
+  // A watch opened after a call of `when_fresh` returns every change committed before the call.
   const SteadyTime now = clock_.steady();
   while (!fresh_waiters_.empty()) {
     const SteadyTime since = fresh_waiters_.front().since;
@@ -106,8 +107,8 @@
 }
 
 void WatchCache::resume_load() {
-  // A page that could not be had is asked for again by itself: to begin anew each time would never
-  // end while the budget for requests is short.
+  // Only the failed page is read again. A load that starts over after each failure would not finish
+  // while the request budget is short.
   load_.last_key.empty() ? begin_load() : load_page();
 }
 
@@ -123,7 +124,8 @@
 
 void WatchCache::apply_page(RangePage page) {
   backoff_.reset();
-  // The watch goes on from the first page's revision, so nothing between the pages is missed.
+  // The watch continues from the first page's revision, so that it returns the changes made while
+  // the other pages were read.
   if (!load_.revision) load_.revision = page.revision;
   for (Entry& entry : page.entries) {
     load_.seen_keys.insert(entry.key);
@@ -161,7 +163,7 @@
 void WatchCache::open_watch() {
   const Moment opened = current_moment();
   last_watch_opened_ = opened.steady;
-  // Where a caller waits, the changes so far are returned at once.
+  // If a caller of `when_fresh` waits, the watch returns the changes so far at once.
   const Duration hold = fresh_waiters_.empty() ? kWatchHold : Duration{0};
   store_.watch(keys::kLive, revision_, hold,
                [this, opened](const WatchResult& result) { handle_watch_result(result, opened); });
@@ -191,8 +193,8 @@
   fresh_until_ = opened;
   backoff_.reset();
   notify_fresh_waiters();
-  // Under many changes each watch would return at once: what comes within the interval is returned
-  // together, or the watches of five controllers would use up the rate of requests.
+  // Under frequent changes each watch would return at once, and the watches of five controllers
+  // would use up the request rate. The interval between watches batches the changes.
   const Duration since_opened = clock_.steady() - last_watch_opened_;
   watch_timer_.start(std::max(Duration{0}, watch_interval_ - since_opened));
 }
@@ -233,8 +235,8 @@
   auto sent_txn = std::make_shared<Transaction>(txn);
   store_.commit(priority, std::move(txn),
                 [this, sent_txn, then = std::move(then)](const CommitResult& result) {
-                  // A change that the watch has returned already is not applied again: a record
-                  // that was deleted before the answer came would be back for good.
+                  // A change that the watch has already returned is not applied again. Otherwise a
+                  // record deleted before the reply arrived would reappear and never be removed.
                   if (result.outcome == Outcome::done && result.revision > revision_) {
                     apply_own_commit(*sent_txn, ModRevision(result.revision.get()));
                   }
--- a/src/store/watch_cache.hpp
+++ b/src/store/watch_cache.hpp
@@ -1,5 +1,5 @@
-// A copy of the live records in memory, kept up to date by one watch. It may lag: whatever is
-// decided from it is committed under guards, so that a decision from an old copy fails.
+// An in-memory copy of the live records, kept up to date by one watch. The copy may lag, so every
+// decision made from it is committed with guards: a commit decided from outdated records fails.
 #pragma once
 
 #include <deque>
@@ -30,56 +30,58 @@
 
   void begin();
   [[nodiscard]] State state() const { return state_; }
-  /// All records have been read once. They stay usable, though old, while they are loaded again.
+  /// True once all records have been loaded. The old records remain readable while they are loaded
+  /// again.
   [[nodiscard]] bool ready() const { return ever_loaded_; }
-  /// Every change up to this revision has been returned by the watch.
+  /// Every change up to this revision has been returned by the load or the watch.
   [[nodiscard]] Revision revision() const { return revision_; }
   [[nodiscard]] const Records& records() const { return table_.records(); }
-  /// All that was committed before this moment is in the records.
+  /// Every change committed before this time is in the records.
   [[nodiscard]] SteadyTime fresh_until() const { return fresh_until_.steady; }
   [[nodiscard]] WallTime fresh_until_wall() const { return fresh_until_.wall; }
 
-  /// False when the copy has an own commit of the key that the watch has not returned yet: what
-  /// others committed before it may be missing.
+  /// False while the copy has an own commit of the key that the watch has not returned yet. Commits
+  /// that other controllers made before it may be missing from the copy.
   [[nodiscard]] bool observed_by_watch(const std::string& key) const;
 
-  /// Calls back with true once all that was committed before this call is in the records, or with
-  /// false when that does not happen in time.
+  /// Calls back with true once every change committed before this call is in the records, or with
+  /// false after a timeout. Calls back with false at once before the first load has finished or
+  /// when too many callers wait.
   void when_fresh(std::function<void(bool fresh)> then);
 
-  /// The size that a record may have now. Compact forms are allowed once no lower limits are only
-  /// announced, and while every live controller reads them.
+  /// The size that a record may have now. Compact encodings are allowed while no limits are
+  /// announced that are not yet in force and every live controller can read compact encodings.
   [[nodiscard]] RecordSize record_size() const;
-  /// The size up to which a value can be rewritten under the announced limits as well.
+  /// Bytes of one value that fit now and under the announced limits.
   [[nodiscard]] std::size_t lasting_value_bytes() const {
     return store_.limits().lasting_value_bytes();
   }
-  /// Operations of one transaction that fit now and under the announced limits.
+  /// Puts and deletes of one transaction that fit now and under the announced limits.
   [[nodiscard]] std::size_t max_operations() const { return store_.limits().max_operations(); }
   /// The share of the write budget that is unused, from 0 to 1.
   [[nodiscard]] double write_slack() { return store_.write_slack(); }
 
-  /// Calls `listener` after each change with the name of the record.
+  /// Registers a listener that is called with a record's kind and name after each of its changes.
   void listen(std::function<void(RecordKind, const std::string& name)> listener);
 
-  /// Commits, and on success applies the change to the copy at once.
+  /// Commits the transaction. On success the copy has the change before `then` is called.
   void commit(RequestPriority priority, Transaction txn,
               std::function<void(const CommitResult&)> then);
 
-  /// Applies one change; an older one than is known is ignored. Public for tests.
+  /// Applies one change, unless the copy has this or a newer revision of the key. Public for tests.
   void apply(const Change& change);
 
  private:
-  /// One moment by both clocks.
+  /// A point in time by both clocks.
   struct Moment {
     SteadyTime steady{};
     WallTime wall{};
   };
-  /// A read of all records that is under way.
+  /// The state of a load of all records.
   struct Load {
-    Moment started_at;                 // when the first page was asked for
+    Moment started_at;                 // when the first page was requested
     std::optional<Revision> revision;  // of the first page
-    std::string last_key;              // before the page that is being read
+    std::string last_key;              // of the previous page
     std::unordered_set<std::string> seen_keys;
   };
   struct FreshWaiter {
@@ -100,7 +102,7 @@
   void handle_watch_result(const WatchResult& result, const Moment& opened);
   void apply_watched(const WatchResult& result, const Moment& opened);
   void apply_own_commit(const Transaction& txn, ModRevision mod_revision);
-  /// True when the change is older than what is known of its key.
+  /// True when the copy has the change's revision of its key or a newer one.
   [[nodiscard]] bool is_outdated(const Change& change) const;
   void notify_fresh_waiters();
 
@@ -119,7 +121,7 @@
   Moment fresh_until_;
   std::deque<FreshWaiter> fresh_waiters_;
   SteadyTime last_watch_opened_{};
-  Duration watch_interval_{};  // between two openings of the watch, at least
+  Duration watch_interval_{};  // minimum time between two openings of the watch
   Backoff backoff_;
   Timer retry_timer_;
   Timer watch_timer_;
