--- a/src/cancellations/cancellations.cpp
+++ b/src/cancellations/cancellations.cpp
@@ -24,8 +24,8 @@
 }
 
 void Cancellations::prune_unrecorded() {
-  // The present copy of the records was requested after the cancellation was added: either it
-  // contains the cancellation, or the job has ended.
+  // If the current copy of the records was requested after a cancellation was added, the copy
+  // contains the cancellation or the job has ended.
   const SteadyTime fresh_until = cache_.fresh_until();
   std::erase_if(unrecorded_,
                 [&](const auto& entry) { return entry.second.added_at < fresh_until; });
@@ -88,7 +88,8 @@
       list.complete = false;
     }
   };
-  // Unrecorded ones first: a peer can read the others from the state service as well.
+  // Unrecorded cancellations come first, because a peer can also read the others from the state
+  // service.
   for (const auto& [job_id, unrecorded] : unrecorded_) add(job_id, unrecorded.cancelled_at);
   for (const JobId& job_id : recorded_) {
     if (!unrecorded_.contains(job_id)) add(job_id, *cache_.records().job(job_id)->cancelled);
@@ -99,7 +100,7 @@
 std::optional<SteadyTime> CancellationFreshness::fresh_until(
     SteadyTime now, WallTime now_wall, WallTime records_fresh_until,
     const std::vector<std::optional<PeerCancellationList>>& peer_lists) {
-  const Duration max_clock_difference = clock_error_ * 2;  // two clocks, each off by the bound
+  const Duration max_clock_difference = clock_error_ * 2;  // of two clocks, each off by the maximum
   all_known_until_ = std::max(all_known_until_, records_fresh_until);
   for (const auto& peer : peer_lists) {
     if (!peer || !peer->list.complete) continue;
@@ -110,7 +111,8 @@
   WallTime earliest_request_wall = now_wall;
   for (const auto& peer : peer_lists) {
     if (!peer || !peer->list.complete) return std::nullopt;
-    // A peer that started since does not know what its previous incarnation confirmed.
+    // A peer that started after `all_known_until_` may not know which cancellations its previous
+    // incarnation confirmed.
     const WallTime peer_started_at = from_unix_milliseconds(peer->list.started_ms);
     if (peer_started_at + max_clock_difference >= all_known_until_) return std::nullopt;
     earliest_request = std::min(earliest_request, peer->requested_at);
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -12,14 +12,14 @@
 
 constexpr Duration kMinBackoff{150};
 constexpr Duration kMaxBackoff{1500};
-constexpr Duration kCampaignRetryDelay{150};  // and the backoff
+constexpr Duration kCampaignRetryDelay{150};  // plus the backoff
 constexpr Duration kCandidacyDeferral{500};
 constexpr Duration kReadinessPollInterval{100};
-/// The next renewal after a failed one, as a part of the TTL. The shards hang on their lease: it is
-/// retried soon.
+/// The delay from a failed renewal to the next one, as a fraction of the TTL. The shard lease is
+/// retried sooner, because this controller loses its shards when the lease expires.
 constexpr double kSessionRetryFraction = 0.25;
 constexpr double kShardRetryFraction = 0.05;
-/// A guard by this revision always fails.
+/// A guard on this revision always fails.
 constexpr std::uint64_t kImpossibleRevision = std::numeric_limits<std::uint64_t>::max();
 
 }  // namespace
@@ -39,7 +39,7 @@
                         backoff_.reset();
                         check_leadership();
                       },
-                      // The keys that hung on it are deleted: another may lead by now.
+                      // The keys attached to the lease are deleted, so another may lead by now.
                       [this] { transition(State::joining, TransitionReason::session_expired); }}),
       shard_lease_(loop, store,
                    {settings.tuning.shard_lease, kShardRetryFraction,
@@ -118,7 +118,8 @@
 }
 
 void Election::guard(Transaction& txn) const {
-  // Without a term the guard must fail: that the key does not exist would hold while nobody leads.
+  // Without a term the guard must fail. A guard on revision 0, the absence of the key, would hold
+  // while there is no leader.
   const bool leads = term_ != ModRevision{};
   txn.guard(keys::kLeader, leads ? term_ : ModRevision(kImpossibleRevision));
 }
@@ -132,7 +133,8 @@
   if (registered) return;
   registration_in_flight_ = true;
   Transaction txn;
-  // Guarded by what is there, so that a late commit of an earlier incarnation can't replace it.
+  // The guard on the current record prevents a delayed commit of an earlier incarnation from
+  // replacing a newer registration.
   txn.guard(keys::node(settings_.node),
             own == nodes.end() ? ModRevision{} : own->second.mod_revision);
   txn.put(keys::node(settings_.node),
@@ -162,7 +164,7 @@
   transition(State::follower,
              leader ? TransitionReason::another_leads : TransitionReason::nobody_leads);
   if (leader && leader->record.node == settings_.node) {
-    // An earlier incarnation of this controller led: this one succeeds it.
+    // The leader is an earlier incarnation of this controller, which this one succeeds.
     campaign(leader->mod_revision);
   } else if (!leader) {
     if (defers_candidacy() && !deferral_over_) {
@@ -174,8 +176,9 @@
 }
 
 bool Election::defers_candidacy() const {
-  // Its zone has no other controller to hold the zone's shard, and another zone has one to spare:
-  // leading and holding together are too much for one controller in a large deployment.
+  // The zone has no other controller that could hold its shard, while another zone has several
+  // controllers. Leading and holding a shard together is too much for one controller in a
+  // large deployment.
   std::map<ZoneId, int> controllers;
   ++controllers[settings_.zone];
   for (const Peer& peer : settings_.peers) ++controllers[peer.zone];
@@ -196,7 +199,7 @@
       return;
     }
     transition(State::follower, TransitionReason::not_elected);
-    // Whoever won shows in the cache soon; an unknown outcome does, too.
+    // The cache soon shows which controller won, also when the outcome is unknown.
     leadership_timer_.start(kCampaignRetryDelay + backoff_.next(random_));
   });
 }
--- a/src/election/election.hpp
+++ b/src/election/election.hpp
@@ -1,5 +1,6 @@
-// Leader election among the controllers, and this controller's registration as a live one. Both
-// are records of the state service that hang on this controller's session lease.
+// Leader election among the controllers, and this controller's registration as a live controller.
+// Both are records in the state service that are deleted when this controller's session lease
+// expires.
 #pragma once
 
 #include <random>
@@ -13,7 +14,8 @@
 
 class Election {
  public:
-  /// `joining`: without a session; `candidate`: its commit of the leader record is in flight.
+  /// `joining`: waits for its leases or the first load of the records; `candidate`: its commit of
+  /// the leader record is in flight.
   enum class State { joining, follower, candidate, leader };
 
   Election(Loop& loop, const Clock& clock, const Settings& settings, Store& store,
@@ -23,18 +25,19 @@
   [[nodiscard]] State state() const { return state_; }
   /// The term: the revision of the leader record that names this controller. 0 unless leader.
   [[nodiscard]] ModRevision term() const { return term_; }
-  /// Leader, and every commit of earlier leaders is in the cache.
+  /// True when this controller leads and every commit of earlier leaders is in the cache.
   [[nodiscard]] bool is_established_leader() const;
-  /// Established leader, and the copy of the records is younger than the session's lease. After a
-  /// pause of its process a leader has the records and the term of before, though its session may
-  /// have expired since: it plans, rents, moves shards and decides on deletions only once it has
-  /// read the records again. Logs the first refusal of each pause.
+  /// True for an established leader whose copy of the records is younger than the TTL of the
+  /// session lease. After a pause of its process a leader still has the earlier records and term,
+  /// although its session may have expired. It therefore plans, provisions machines, moves shards
+  /// and decides on deletions only after it has read the records again. Logs the first refusal of
+  /// each pause.
   [[nodiscard]] bool leads_with_fresh_records();
   [[nodiscard]] ProcessIncarnation incarnation() const { return incarnation_; }
-  /// The lease on which this controller's shards hang.
+  /// The lease that the records of this controller's shards are attached to.
   [[nodiscard]] LeaseId shard_lease_id() const { return shard_lease_.id(); }
 
-  /// Guards a transaction by the leader's term, so that it fails under any other.
+  /// Adds a guard on the leader's term, so that the transaction fails in any other term.
   void guard(Transaction& txn) const;
 
  private:
@@ -50,12 +53,12 @@
   [[nodiscard]] static const char* name_of(TransitionReason reason);
 
   void transition(State next, TransitionReason reason);
-  /// Registers as a live controller, commits a candidacy, or takes note of the leader: whatever the
-  /// records call for.
+  /// Compares this controller's state with the records: registers it as a live controller,
+  /// campaigns for leadership, or follows the leader.
   void check_leadership();
   void register_node();
   void campaign(ModRevision predecessor);
-  /// True when others should have the chance to lead first.
+  /// True when this controller should let the others campaign first.
   [[nodiscard]] bool defers_candidacy() const;
 
   const Clock& clock_;
@@ -66,8 +69,8 @@
   State state_ = State::joining;
   ModRevision term_;
   bool registration_in_flight_ = false;
-  bool stale_logged_ = false;   // in this pause
-  bool deferral_over_ = false;  // the others have had their time since the last leader
+  bool stale_logged_ = false;   // the current pause has been logged
+  bool deferral_over_ = false;  // the deferral has ended; reset when there is a leader
   Backoff backoff_;
   LeaseKeeper session_lease_;
   LeaseKeeper shard_lease_;
--- a/src/election/lease_keeper.hpp
+++ b/src/election/lease_keeper.hpp
@@ -8,26 +8,26 @@
 
 namespace marblevale {
 
-/// Opens a lease and renews it; when it has expired, opens another.
+/// Opens a lease and renews it. When the lease has expired, opens another one.
 class LeaseKeeper {
  public:
   struct Timing {
-    const Duration& ttl;  // the setting
-    /// When the next renewal is due after one that failed, as a part of the TTL.
+    const Duration& ttl;  // refers to the setting
+    /// The delay from a failed renewal to the next one, as a fraction of the TTL.
     double retry_fraction;
-    /// The delay before another try to open the lease.
+    /// Returns the delay before the next attempt to open a lease.
     std::function<Duration()> open_backoff;
   };
   struct Callbacks {
     std::function<void()> opened;
-    std::function<void()> expired;  // before another lease is opened
+    std::function<void()> expired;  // called before another lease is opened
   };
 
   LeaseKeeper(Loop& loop, Store& store, Timing timing, Callbacks callbacks);
 
   void open();
   [[nodiscard]] bool is_open() const { return id_ != LeaseId{}; }
-  /// The lease's id; that of none while it is not open.
+  /// The id of the open lease; 0 while no lease is open.
   [[nodiscard]] LeaseId id() const { return id_; }
 
  private:
--- a/src/peers/archive.hpp
+++ b/src/peers/archive.hpp
@@ -8,7 +8,7 @@
 
 namespace marblevale {
 
-/// A longer message is not parsed, which bounds the memory that one peer request can cost.
+/// A longer message is not parsed, which bounds the memory that one request of a peer can use.
 inline constexpr std::size_t kMaxMessageBytes = std::size_t{32} * 1024;
 
 template <typename Message>
@@ -19,7 +19,7 @@
   return out.str();
 }
 
-/// Returns nothing for bytes that are no valid `Message`.
+/// Returns no value for bytes that are not a valid `Message`.
 template <typename Message>
 std::optional<Message> from_bytes(const std::string& bytes) {
   if (bytes.size() > kMaxMessageBytes) return std::nullopt;
--- a/src/peers/offers.cpp
+++ b/src/peers/offers.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kMaxQueuedRequests = 64;
 
 constexpr int kStatusOk = 200;          // accepted
-constexpr int kStatusBadRequest = 400;  // no valid offer
+constexpr int kStatusBadRequest = 400;  // malformed offer
 constexpr int kStatusConflict = 409;    // declined
 
 OfferOutcome outcome_of(OfferAnswer answer) {
--- a/src/peers/offers.hpp
+++ b/src/peers/offers.hpp
@@ -3,14 +3,14 @@
 /// binding).
 ///
 /// An offer is an optimization only. The holder's commit is a compare-and-swap on the leader's
-/// term, the shard's fencing token, the job and the slice as the leader knew it: it succeeds only
-/// while the release is still valid, and once. Without an answer the leader commits the release
-/// itself; the same revisions keep both commits from succeeding.
+/// term, the shard's fencing token, and the job and the slice as the leader knew them. It succeeds
+/// only while the release is still valid, and at most once. If no answer arrives, the leader
+/// commits the release itself; guards on the same revisions keep both commits from succeeding.
 ///
-/// A message can be delivered twice. After an answer "declined" the leader allocates the capacity
-/// to another job, so a later copy must not be bound: an offer names the incarnation of the holder
-/// that it is addressed to and carries a sequence number, and a copy gets the answer that the first
-/// delivery got.
+/// An offer can be delivered twice. After the answer `declined` the leader allocates the capacity
+/// to another job, so a later copy must not be bound. An offer therefore names the incarnation of
+/// the holder that it is addressed to and carries a sequence number, and a copy gets the same
+/// answer as the first delivery.
 #pragma once
 
 #include <functional>
@@ -38,15 +38,15 @@
       archive(index, attempt, zone, machine_id);
     }
   };
-  std::uint64_t term = 0;  // revision of the leader's record
+  std::uint64_t term = 0;  // revision of the leader record
   std::string job_id;
   std::uint32_t slice_number = 0;
-  std::uint64_t slice_revision = 0;  // of the slice that the leader knew; 0: no record yet
-  std::uint64_t cache_revision = 0;  // of the leader's cache: a holder that lags waits for it
+  std::uint64_t slice_revision = 0;  // of the slice in the leader's cache; 0: no record yet
+  std::uint64_t cache_revision = 0;  // of the leader's cache; a lagging holder waits for it
   std::vector<Task> tasks;
-  std::uint64_t sequence = 0;            // increases; never used twice in a term
-  std::uint64_t holder_incarnation = 0;  // of the holder that is addressed
-  std::uint64_t job_revision = 0;        // of the job that the leader knew
+  std::uint64_t sequence = 0;            // increasing, unique in a term
+  std::uint64_t holder_incarnation = 0;  // of the addressed holder
+  std::uint64_t job_revision = 0;        // of the job in the leader's cache
 
   template <typename Archive>
   void serialize(Archive& archive) {
@@ -56,11 +56,12 @@
 };
 
 std::string encode(const ReleaseOffer& offer);
-/// Returns nothing for bytes that are no valid offer.
+/// Returns no value for bytes that are not a valid offer.
 std::optional<ReleaseOffer> decode_offer(const std::string& bytes);
 
-/// A holder's answer. `accepted`: the holder tries to bind the tasks; whether it did shows in the
-/// records. `declined`: nothing was committed and nothing will be, not for a copy either.
+/// A holder's answer. `accepted`: the holder tries to bind the tasks, and the records show whether
+/// it succeeded. `declined`: the holder has not committed the offer or a copy of it, and never
+/// will.
 enum class OfferAnswer { accepted, declined };
 
 /// The leader's view of an offer: the answer, or `unknown` when none arrived.
@@ -74,7 +75,7 @@
                      std::function<void(OfferOutcome)> then) = 0;
 };
 
-/// Delivers offers by HTTP to the peers, and by a call to this controller itself.
+/// Delivers offers to peers by HTTP, and to this controller itself by a function call.
 class PeerOfferChannel : public OfferChannel {
  public:
   using AnswerOffer = std::function<OfferAnswer(const ReleaseOffer&)>;
--- a/src/peers/peer_heartbeat.cpp
+++ b/src/peers/peer_heartbeat.cpp
@@ -13,7 +13,7 @@
 namespace {
 constexpr Duration kFirstHeartbeatDelay{200};
 constexpr Duration kHeartbeatInterval{1000};
-constexpr Duration kMinHeartbeatSpacing{100};  // however many cancellations are confirmed
+constexpr Duration kMinHeartbeatSpacing{100};  // also when many cancellations are confirmed
 constexpr Duration kRequestTimeout{900};
 constexpr Duration kMaxReplyAge{2500};
 
@@ -37,7 +37,7 @@
   if (latest.incarnation == received.incarnation && received.sequence <= latest.sequence) {
     return PeerHeartbeatDelivery::duplicate_or_late;
   }
-  // Sequence numbers of two incarnations cannot be compared; the records tell which one is alive.
+  // Sequence numbers of two incarnations can't be compared; the records show which one is alive.
   latest = received;
   return PeerHeartbeatDelivery::latest;
 }
@@ -118,8 +118,8 @@
   }
   if (reply.status != kStatusOk) return;
   auto heartbeat = decode_peer_heartbeat(reply.body);
-  // The age of a reply counts from its request, so a reply to another request, or from another
-  // controller, has no known age.
+  // The age of a reply is measured from its request. A reply to another request, or from another
+  // controller, is dropped because its age is unknown.
   if (!heartbeat || heartbeat->in_reply_to != peer.request_sequence ||
       heartbeat->node != node.get()) {
     log_first_drop("malformed_or_unexpected_reply");
--- a/src/peers/peer_heartbeat.hpp
+++ b/src/peers/peer_heartbeat.hpp
@@ -27,9 +27,9 @@
   std::uint64_t incarnation = 0;
   std::uint64_t sequence = 0;                  // increases with every heartbeat of this incarnation
   std::uint64_t in_reply_to = 0;               // in a reply: the sequence number of the request
-  bool store_reachable = false;                // the state service answers this node
+  bool store_reachable = false;                // this node can reach the state service
   std::vector<std::string> misrouted_zones;    // zones whose workers cannot reach their holder
-  std::vector<std::string> unreachable_zones;  // zones that this node holds and cannot reach
+  std::vector<std::string> unreachable_zones;  // held zones whose machines this node can't reach
   CancellationList cancellations;
 
   template <typename Archive>
@@ -40,22 +40,24 @@
 };
 
 std::string encode(const PeerHeartbeat& heartbeat);
-/// Returns nothing for bytes that are no valid heartbeat of this format.
+/// Returns no value for bytes that are not a valid heartbeat of this format.
 std::optional<PeerHeartbeat> decode_peer_heartbeat(const std::string& bytes);
 
-/// What the peers' recent heartbeats show about the state service. In increasing order of weight:
-/// one peer that reaches it outweighs all that do not.
+/// What the peers' recent heartbeats show about the state service. The values are in increasing
+/// order of weight, because one peer that reaches the state service outweighs all peers that do
+/// not.
 enum class PeerStoreEvidence {
   no_peers,             // this controller has none
   no_recent_heartbeat,  // from any peer
-  store_unreachable,    // to every peer that was heard from
-  store_reachable       // to at least one peer
+  store_unreachable,    // for every peer with a recent heartbeat
+  store_reachable       // for at least one peer
 };
 
-/// Whether this controller passes the load balancer's health check. One that alone lacks the state
-/// service fails it, and so does one that receives no peer heartbeats either: it is probably
-/// partitioned from the others. When no controller reaches the state service all of them pass:
-/// leaving the load balancer's pool would only delay the recovery.
+/// Whether this controller passes the load balancer's health check. A controller fails the check
+/// until it has loaded the records. A controller that cannot reach the state service fails it if a
+/// peer can reach it, or if no peer has sent a recent heartbeat, because this controller is then
+/// probably partitioned from the others. If no controller reaches the state service, all of them
+/// pass, because leaving the load balancer's pool would only delay the recovery.
 bool should_serve_users(bool cache_loaded, bool store_reachable, PeerStoreEvidence peers);
 
 /// Whether a heartbeat is the latest from its sender. A copy or a delayed message may arrive
@@ -76,7 +78,8 @@
   std::map<std::string, LatestHeartbeat> latest_by_node_;
 };
 
-/// Sends this controller's heartbeats to all peers, and evaluates theirs and their replies.
+/// Sends this controller's heartbeats to all peers, and evaluates the peers' heartbeats and
+/// replies.
 class PeerHeartbeatExchange {
  public:
   static constexpr const char* kPath = "/pulse";
@@ -86,8 +89,8 @@
   PeerHeartbeatExchange(Loop& loop, const Clock& clock, const Settings& settings, Compose compose,
                         OnReceived on_received);
   void begin();
-  /// Schedules a heartbeat outside the interval: at once, at the minimum spacing, or to a peer
-  /// whose last request is still in flight after its reply.
+  /// Schedules a heartbeat before the next regular one, as soon as the minimum spacing allows. A
+  /// peer whose last request is still in flight gets the heartbeat after its reply.
   void send_soon();
   /// Handles a peer's request on `kPath`.
   void serve(const HttpRequest& request, const ResponderPtr& responder);
