--- a/tests/cancellation_outage_test.cpp
+++ b/tests/cancellation_outage_test.cpp
@@ -1,5 +1,5 @@
-// Cancellations while the state service is out: controllers report them to each other, and a
-// cancelled task ends in time, by an order or by the expiry of its machine's lease.
+// Cancellations during an outage of the state service: controllers report them to each other, and a
+// cancelled task ends in time by a `kill` order or by the expiry of its machine's lease.
 #include "cancellations/cancellations.hpp"
 #include "support/shard_holder_fixture.hpp"
 
@@ -9,8 +9,8 @@
 using testing::Script;
 using testing::ShardHolderTest;
 
-/// A worker by the protocol: its lease, its epoch, its tasks; what it does with a `kill` is up to
-/// the test. It is asked to heartbeat once a second of the fake time.
+/// A worker that implements the protocol: its lease, epoch and tasks. The test decides whether it
+/// executes a `kill`, and makes it heartbeat once per second of the fake time.
 class Worker {
  public:
   explicit Worker(std::string machine_id, std::string task) : machine_id_(std::move(machine_id)) {
@@ -62,8 +62,9 @@
   SteadyTime last_reply_at_{Duration{10'000'000}};
 };
 
-/// The holder of a shard is refused by the state service; a peer confirms the cancellation of
-/// req-1; a second later nobody has the state service, for longer than `cancel_s`.
+/// The state service refuses the requests of a shard holder, and a peer confirms the cancellation
+/// of req-1. One second later no controller can reach the state service, for longer than
+/// `cancel_s`.
 class CancellationOutageTest : public ShardHolderTest {
  protected:
   CancellationOutageTest() {
@@ -71,7 +72,8 @@
         [this](const JobId& job_id) { holder_.on_job_cancelled(job_id); });
   }
 
-  /// req-1 runs on vm-1, req-2 on vm-2, both seen; then the state service is lost here.
+  /// Runs req-1 on vm-1 and req-2 on vm-2. Then this controller loses the state service, and 1 s
+  /// later a peer confirms the cancellation of req-1.
   void run_both_jobs() {
     for (const char* machine_id : {"vm-1", "vm-2"})
       put_job_on("req-" + std::string(machine_id + 3), machine_id);
@@ -91,8 +93,8 @@
     put_slice(store_, testing::slice_record(job.job_id, {testing::bound_task(machine_id)}));
   }
 
-  /// Workers heartbeat; the state service refuses this controller; the peer answers heartbeats, if
-  /// it does.
+  /// Makes the workers heartbeat. The state service refuses this controller during the outage, and
+  /// the peer replies to heartbeats if `peer_reply_` is set.
   void run_workers(Duration duration) {
     for (std::int64_t at = 0; at < duration.count(); at += 1'000) {
       if (!watch_answers_) store_.scripts.assign(50, Script::refuse);
@@ -112,7 +114,7 @@
     if (fresh_until) holder_.extend_cancellation_freshness(*fresh_until);
   }
 
-  /// A peer that began long ago, whose records are fresh until now, and that lists req-1.
+  /// The list of a peer that started long ago and has fresh records; it contains req-1.
   [[nodiscard]] CancellationList peer_list() const {
     CancellationList list;
     list.started_ms = unix_milliseconds(time_.wall()) - 1'000'000;
@@ -122,7 +124,7 @@
     return list;
   }
 
-  /// Whether req-1's task is gone when `cancel_s` has passed since the confirmation.
+  /// Whether req-1's task ends within `cancel_s` of the confirmation.
   [[nodiscard]] bool task_ends_in_time() {
     while (first_worker_.has_tasks() &&
            time_.steady() - confirmed_at_ <= settings_.workers.cancel) {
@@ -175,7 +177,7 @@
   EXPECT_TRUE(second_worker_.has_tasks());
 }
 
-// A machine that renews its lease and does not execute its orders, for whatever reason.
+// The machine renews its lease but does not execute its orders.
 TEST_F(CancellationOutageTest, AMachineThatKeepsACancelledTaskLosesItsLeaseInTime) {
   first_worker_.executes_orders = false;
   run_both_jobs();
@@ -184,7 +186,7 @@
   EXPECT_TRUE(second_worker_.has_tasks());
 }
 
-// What hangs does not even notice that its lease has lapsed.
+// A worker that hangs does not end its tasks when its lease expires.
 TEST_F(CancellationOutageTest, AMachineIsOverdueOnlyWhileItsCancelledTaskMayRun) {
   run_both_jobs();
   first_worker_.hangs = true;
@@ -215,7 +217,7 @@
   first_worker_.executes_orders = false;
   run_both_jobs();
   peer_reply_ = peer_list();
-  run_workers(Duration{20'000});  // the last answer but few
+  run_workers(Duration{20'000});  // shortly before its lease is no longer renewed
   first_worker_.hangs = true;
   run_workers(settings_.workers.lease - Duration{2'000});
   first_worker_.hangs = false;
@@ -231,7 +233,7 @@
   run_workers(Duration{22'000});
   give_shard("other", 9);
   run_workers(Duration{2'000});
-  give_shard("me", 7);  // without memory
+  give_shard("me", 7);  // it has lost its state in memory
   watch_answers_ = false;
   EXPECT_TRUE(task_ends_in_time());
 }
@@ -241,7 +243,7 @@
   put_job_on("req-1", "vm-1");
   run(Duration{20});
   ASSERT_TRUE(cache_.records().placed.contains(MachineId("vm-1")));
-  watch_answers_ = false;  // its binding is the last that this controller observes
+  watch_answers_ = false;  // the binding is the last change that this controller sees
   run(Duration{3'000});
   workers_.sent.clear();
   const auto answer = handle_heartbeat(1, token(), "", "vm-1");
@@ -254,7 +256,7 @@
 
 TEST_F(CancellationOutageTest, ACancellationReportedByAPeerIsKilledByADirectOrderAndNotStarted) {
   run_both_jobs();
-  // The introductions got no answer; nothing is on its way any more.
+  // The orders sent so far get no answer, so that no order is in flight.
   const auto unanswered_orders = std::move(workers_.sent);
   workers_.sent.clear();
   for (const auto& order : unanswered_orders) order.then({});
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -1,5 +1,5 @@
-// Which cancellations a controller lists, and for how long its peers' lists prove that it knows
-// all.
+// The cancellations that a controller lists, and the time up to which its peers' lists prove that
+// it knows every cancellation.
 #include "cancellations/cancellations.hpp"
 
 #include "peers/peer_heartbeat.hpp"
@@ -21,7 +21,8 @@
 
 class CancellationFreshnessTest : public ::testing::Test {
  protected:
-  // Two peers that began long ago; our records are fresh up to 10 s, theirs up to 12 s.
+  // Two peers that started long ago. This controller's records are fresh until 10 s, theirs until
+  // 12 s.
   std::vector<std::optional<PeerCancellationList>> peer_lists_{
       peer_list(SteadyTime{Duration{14'000}}, WallTime{Duration{14'000}}, WallTime{Duration{1'000}},
                 WallTime{Duration{12'000}}),
@@ -49,8 +50,8 @@
 TEST_F(CancellationFreshnessTest, ARestartedPeerDoesNotKnowWhatItsEarlierIncarnationConfirmed) {
   peer_lists_[1]->list.started_ms = 13'000;
   EXPECT_FALSE(fresh_until());
-  // Once anybody's records reach beyond its beginning, what its earlier incarnation confirmed is
-  // listed.
+  // Once the records of any controller are fresh beyond the peer's start, they contain what its
+  // earlier incarnation confirmed.
   peer_lists_[0]->list.fresh_until_ms = 13'200;
   EXPECT_FALSE(fresh_until()) << "each of the two clocks may be off against ours";
   peer_lists_[0]->list.fresh_until_ms = 13'201;
@@ -59,7 +60,8 @@
 
 TEST_F(CancellationFreshnessTest, FreshnessContinuesWhileAllPeersAnswer) {
   ASSERT_TRUE(fresh_until());
-  // The second peer restarts after what all had vouched for: not known any more from then on.
+  // The second peer restarts. The lists suffice only if it started before the time up to which all
+  // cancellations were known.
   peer_lists_[0]->requested_at = SteadyTime{Duration{15'000}};
   peer_lists_[1]->requested_at = SteadyTime{Duration{15'000}};
   peer_lists_[1]->list.started_ms = 13'800;
--- a/tests/commit_reply_test.cpp
+++ b/tests/commit_reply_test.cpp
@@ -1,4 +1,4 @@
-// What a reply to a commit says about its outcome, whole or malformed.
+// Parsing of replies to commits, both valid and malformed.
 #include <gtest/gtest.h>
 
 #include "store/store_protocol.hpp"
@@ -20,8 +20,8 @@
   EXPECT_EQ(conflict.failed, std::vector<std::string>{"a/b"});
 }
 
-// Whoever waits for the records to reach the answer's revision would take a revision of 0 for
-// reached.
+// A caller that waits until the records reach the reply's revision would not wait at all if a
+// missing revision were parsed as 0.
 TEST(CommitReply, AReplyWithoutARevisionHasAnUnknownOutcome) {
   for (const int status : {200, 409}) {
     for (const std::string body : {"", "nonsense", "{}", R"({"ledger_rev":null})"}) {
--- a/tests/leader_election_test.cpp
+++ b/tests/leader_election_test.cpp
@@ -41,14 +41,16 @@
   ASSERT_TRUE(election_.is_established_leader());
   store_.expire_lease(LeaseId(1));
   run(Duration{1500});
-  EXPECT_NE(election_.term(), ModRevision{});  // a new epoch, and the record is still its own
+  // The session lease is a new one, and the leader record still names this controller.
+  EXPECT_NE(election_.term(), ModRevision{});
   put_leader("other", 3);
   run(Duration{500});
   EXPECT_FALSE(election_.is_established_leader());
 }
 
-// A process that is back within a fraction of a second, in the middle of an election, with commits
-// of its earlier incarnation still in flight.
+// A process restarts within a fraction of a second during an election, while a commit of its
+// earlier incarnation is still in flight. Executed late, the commit must not replace the leader
+// record.
 TEST_F(LeaderElectionTest, ADelayedCommitOfAnEarlierIncarnationDoesNotEndTheTerm) {
   Transaction candidacy;
   candidacy.guard(keys::kLeader, ModRevision{});
@@ -66,7 +68,7 @@
 }
 
 TEST_F(LeaderElectionTest, AnEarlierIncarnationElectedLateIsReplacedByTheCurrentOne) {
-  // The earlier incarnation's commit is executed first, while this one is a candidate.
+  // The earlier incarnation's commit is executed while the current incarnation is a candidate.
   store_.scripts = {Script::refuse, Script::refuse, Script::refuse};
   begin();
   put_leader("me", 3);
--- a/tests/peer_heartbeat_test.cpp
+++ b/tests/peer_heartbeat_test.cpp
@@ -1,4 +1,4 @@
-// Heartbeats between controllers: their order, their encoding, and where users are sent.
+// Heartbeats between controllers: their order, their encoding, and the health check based on them.
 #include "peers/peer_heartbeat.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/store_limit_reduction_test.cpp
+++ b/tests/store_limit_reduction_test.cpp
@@ -1,5 +1,5 @@
-// Limits of the state service that are announced and lowered later without notice: records are
-// rewritten to fit, and production's version can read them until then.
+// The state service announces lower limits and enforces them later without notice. Records are then
+// rewritten to fit; until then the version in production must be able to read them.
 #include "config/settings.hpp"
 #include "leader/open_releases.hpp"
 #include "support/large_records.hpp"
@@ -43,7 +43,7 @@
 
 class StoreLimitReductionTest : public testing::ShardHolderTest {
  protected:
-  /// An array whose 64 tasks are released to vm-1: its slice is too large for the lowered limit.
+  /// A batch job whose 64 tasks are released to vm-1; its slice is too large for the lowered limit.
   void put_large_released_slice() {
     const JobSpec spec = testing::batch("req-1", kSliceTasks, 0, 100);
     store_.put(keys::job(spec.job_id), encode(JobRecord{spec, time_.wall(), std::nullopt}));
@@ -61,7 +61,7 @@
     store_.put(keys::slice(slice.job_id, 0), encode(slice));
   }
 
-  /// The machine reports the first task as ended, and what has to be written is written.
+  /// The machine reports the end of the first task; runs until the slice can have been written.
   void end_first_task() {
     handle_heartbeat(1, token(), task_status("ended", "done"));
     run(Duration{12'000});
@@ -124,8 +124,9 @@
 }
 
 TEST(OpenReleases, ARetryUsesAnEncodingThatFitsTheLoweredLimits) {
-  // The first commit goes without an answer; by the time of its repeat the limits are lower. Sent
-  // again as it was it would be refused forever, and would count against the limit forever.
+  // The first commit gets no answer, and the limits are lowered before the retry. If the retry had
+  // the same encoding, it would always be refused, and the release would always count against the
+  // team's quota.
   testing::FakeTime time;
   Loop loop(&time);
   testing::ScriptedStore store;
--- a/tests/watch_cache_test.cpp
+++ b/tests/watch_cache_test.cpp
@@ -1,4 +1,4 @@
-// Loading the copy of the records page by page while reads fail.
+// Loads of the watch cache that read the records page by page while reads fail.
 #include "store/watch_cache.hpp"
 
 #include "support/fake_time.hpp"
