--- a/src/peers/peer_heartbeat.hpp
+++ b/src/peers/peer_heartbeat.hpp
@@ -1,8 +1,9 @@
-/// Heartbeats between controllers: once a second, and at once when one of them has confirmed a
-/// cancellation to a user.
+/// Heartbeats between controllers. Each controller sends one per second, and one at once when it
+/// confirms a cancellation to a user.
 ///
-/// They speed up reactions and, by peer attestation of cancellations, keep workers' leases renewed
-/// during an outage of the state service. No safety rule depends on the arrival of a message.
+/// Heartbeats speed up reactions and, by peer attestation of cancellations, keep workers' leases
+/// renewed during an outage of the state service. No safety rule depends on the arrival of a
+/// message.
 #pragma once
 
 #include <functional>
--- a/src/store/record_key.hpp
+++ b/src/store/record_key.hpp
@@ -29,7 +29,7 @@
 /// Returns no value for a key of an unknown kind.
 [[nodiscard]] std::optional<RecordKey> parse_record_key(const std::string& key);
 
-/// The slice with this name of its key; no value for a malformed name.
+/// Parses the name of a slice's key; returns no value for a malformed name.
 [[nodiscard]] std::optional<SliceKey> parse_slice_name(const std::string& name);
 
 }  // namespace marblevale
--- a/src/store/record_table.hpp
+++ b/src/store/record_table.hpp
@@ -13,7 +13,7 @@
 
 /// Decodes each changed value into the set of records. If this version can't read a value, its key
 /// is listed as unreadable, so that the stored record is neither overwritten nor taken for deleted.
-/// The set then has no such record, except that the leader's record and the machine types keep
+/// Its record is removed from the set, except that the leader's record and the machine types keep
 /// their last readable version.
 class RecordTable {
  public:
--- a/src/store/request_queue.cpp
+++ b/src/store/request_queue.cpp
@@ -9,7 +9,8 @@
 
 constexpr std::size_t kMaxQueuedRequests = 400;  // of each priority
 constexpr Duration kMaxQueueTime{2500};
-/// For requests for which a user waits; a user is served better by an early refusal and a retry.
+/// A submission with a longer expected queue time is refused at once, so that its user can retry.
+/// Reads and submissions, for which a user waits, expire after twice this time.
 constexpr Duration kMaxUserQueueTime{200};
 constexpr int kMaxSubmissionRetries = 3;
 constexpr Duration kSubmissionRetryDelay{40};
@@ -56,7 +57,7 @@
   }
   const bool is_submission = priority == RequestPriority::submission;
   if (is_submission && writes > 0 && !admit_submission(writes)) {
-    // Refused at once, so that the user can retry instead of waiting until the request expires.
+    // The user can retry at once instead of waiting until the submission expires.
     budget_.mark_short_of_writes();
     metrics_.count("submissions over the budget");
     then(HttpReply::never_sent());
