--- a/src/leader/leader_loop.cpp
+++ b/src/leader/leader_loop.cpp
@@ -205,7 +205,7 @@
   const bool admitted = admit_arrivals(planner);
   // The queue of this round still contains the jobs that start now. The next round sees them as
   // placed.
-  const std::vector<Start> starts = compress(planner);
+  const std::vector<JobStart> starts = compress(planner);
   releaser_.release_all(starts, planner);
   const bool complete = admitted && compression_cursor_ == 0;
   // Preemption makes the best choices when nothing more can start. Under load every round starts
@@ -230,7 +230,7 @@
   return planner.admit_arrivals();
 }
 
-std::vector<Start> LeaderLoop::compress(Planner& planner) {
+std::vector<JobStart> LeaderLoop::compress(Planner& planner) {
   const auto timed = metrics_.time(Duty::compress);
   return planner.compress(compression_cursor_);
 }
--- a/src/leader/leader_loop.hpp
+++ b/src/leader/leader_loop.hpp
@@ -70,7 +70,7 @@
   /// The planner's steps, each with a time measurement of its own.
   void restore_reservations(Planner& planner, SteadyTime round_begin);
   bool admit_arrivals(Planner& planner);
-  std::vector<Start> compress(Planner& planner);
+  std::vector<JobStart> compress(Planner& planner);
   /// Runs the steps that have intervals of their own.
   void run_periodic_steps(const Planner& planner);
   void check_starvation(const Planner& planner);
--- a/src/leader/releaser.cpp
+++ b/src/leader/releaser.cpp
@@ -111,13 +111,13 @@
   return true;
 }
 
-void Releaser::release_all(const std::vector<Start>& starts, const Planner& planner) {
+void Releaser::release_all(const std::vector<JobStart>& starts, const Planner& planner) {
   // The starts are in priority order. Starts that a holder can't bind yet are left to a later
   // round, in which small pieces of an array may have grown.
-  for (const Start& start : starts) {
+  for (const JobStart& start : starts) {
     if (!worth_releasing(start)) continue;
-    const Start selected = short_of_writes() ? restrict_to_largest_zone(start, planner) : start;
-    for (const Start& piece : split_by_slice(selected)) {
+    const JobStart selected = short_of_writes() ? restrict_to_largest_zone(start, planner) : start;
+    for (const JobStart& piece : split_by_slice(selected)) {
       const auto holder = common_holder(piece, planner);
       if (holder && open_.open_offers_to(*holder) >= kMaxOffersToHolder) continue;
       release(piece, planner);
@@ -125,7 +125,7 @@
   }
 }
 
-bool Releaser::worth_releasing(const Start& start) {
+bool Releaser::worth_releasing(const JobStart& start) {
   // Each release of part of an array costs the same number of writes, however small it is. While
   // the write budget is low, small parts wait for more tasks. They keep their capacity until the
   // next round.
@@ -142,7 +142,7 @@
   return true;
 }
 
-Start Releaser::restrict_to_largest_zone(const Start& start, const Planner& planner) const {
+JobStart Releaser::restrict_to_largest_zone(const JobStart& start, const Planner& planner) const {
   // One holder can bind the part in one zone. The remaining tasks are released in a later round.
   const JobRecord* job = cache_.records().job(start.job_id);
   if (job == nullptr || job->spec.shape != JobShape::array) return start;
@@ -154,7 +154,7 @@
   const auto largest_zone =
       std::max_element(counts.begin(), counts.end(),
                        [](const auto& a, const auto& b) { return a.second < b.second; });
-  Start selected{start.job_id, {}, {}};
+  JobStart selected{start.job_id, {}, {}};
   for (std::size_t i = 0; i < start.task_indices.size(); ++i) {
     if (machines[start.plan.placements[i].machine].zone != largest_zone->first) continue;
     selected.plan.placements.push_back(start.plan.placements[i]);
@@ -163,21 +163,21 @@
   return selected;
 }
 
-std::vector<Start> Releaser::split_by_slice(const Start& start) const {
+std::vector<JobStart> Releaser::split_by_slice(const JobStart& start) const {
   // The tasks of an array start independently, so each slice is released separately. Each slice can
   // then be offered to its holder, and a slice that waits for its last commit does not delay the
   // others.
   const JobRecord* job = cache_.records().job(start.job_id);
   if (job == nullptr || job->spec.gang()) return {start};
-  std::map<std::uint32_t, Start> pieces;
+  std::map<std::uint32_t, JobStart> pieces;
   for (std::size_t i = 0; i < start.task_indices.size(); ++i) {
-    Start& piece =
-        pieces.try_emplace(start.task_indices[i] / kSliceTasks, Start{start.job_id, {}, {}})
+    JobStart& piece =
+        pieces.try_emplace(start.task_indices[i] / kSliceTasks, JobStart{start.job_id, {}, {}})
             .first->second;
     piece.plan.placements.push_back(start.plan.placements[i]);
     piece.task_indices.push_back(start.task_indices[i]);
   }
-  std::vector<Start> out;
+  std::vector<JobStart> out;
   out.reserve(pieces.size());
   for (auto& [number, piece] : pieces) out.push_back(std::move(piece));
   return out;
@@ -194,7 +194,7 @@
 }
 
 SliceRecord Releaser::make_released_slice(const JobSpec& job, std::uint32_t number,
-                                          const Start& start, const Planner& planner) const {
+                                          const JobStart& start, const Planner& planner) const {
   SliceRecord slice;
   if (const auto* stored = cache_.records().slice(job.job_id, number)) {
     slice = stored->record;
@@ -221,7 +221,7 @@
 }
 
 SliceChangeRequest Releaser::make_request(const JobSpec& job, ModRevision job_revision,
-                                          const Start& start, const Planner& planner) const {
+                                          const JobStart& start, const Planner& planner) const {
   std::set<std::uint32_t> numbers;
   for (const std::uint32_t index : start.task_indices) numbers.insert(index / kSliceTasks);
   SliceChangeRequest request;
@@ -260,7 +260,7 @@
   events_.quota_exceeded();
 }
 
-void Releaser::release(const Start& start, const Planner& planner) {
+void Releaser::release(const JobStart& start, const Planner& planner) {
   const auto& records = cache_.records();
   const auto job = records.jobs.find(start.job_id);
   if (job == records.jobs.end()) return;
@@ -281,7 +281,7 @@
   for (const auto& step : split_request(request, cache_.max_operations())) commit(step);
 }
 
-std::optional<NodeId> Releaser::common_holder(const Start& start, const Planner& planner) const {
+std::optional<NodeId> Releaser::common_holder(const JobStart& start, const Planner& planner) const {
   if (channel_ == nullptr) return std::nullopt;
   const auto& records = cache_.records();
   std::optional<NodeId> holder;
@@ -298,7 +298,8 @@
   return holder;
 }
 
-void Releaser::offer(const NodeId& holder, const SliceChangeRequest& request, const Start& start) {
+void Releaser::offer(const NodeId& holder, const SliceChangeRequest& request,
+                     const JobStart& start) {
   const SliceRecord& slice = request.slices.front();
   const auto* stored = cache_.records().slice(slice.job_id, slice.number);
   const ReleaseId id = open_.add_offer(request, cache_.records(), holder, clock_.steady());
--- a/src/leader/releaser.hpp
+++ b/src/leader/releaser.hpp
@@ -58,7 +58,7 @@
 
   /// Releases the starts by priority, as far as the write budget allows. A later round plans the
   /// remaining starts again.
-  void release_all(const std::vector<Start>& starts, const Planner& planner);
+  void release_all(const std::vector<JobStart>& starts, const Planner& planner);
   /// Sets the stop order on the slice's tasks at these indices, except tasks that are not placed or
   /// are already being stopped. Returns true when this stops any task. Does nothing while the slice
   /// has an open change.
@@ -79,14 +79,15 @@
  private:
   /// False while the write budget is low for a small part of an array's tasks, which costs fewer
   /// writes when released with other tasks later.
-  bool worth_releasing(const Start& start);
+  bool worth_releasing(const JobStart& start);
   /// The part of an array's start in the zone that has most of its tasks. Other starts are returned
   /// whole.
-  [[nodiscard]] Start restrict_to_largest_zone(const Start& start, const Planner& planner) const;
-  [[nodiscard]] std::vector<Start> split_by_slice(const Start& start) const;
+  [[nodiscard]] JobStart restrict_to_largest_zone(const JobStart& start,
+                                                  const Planner& planner) const;
+  [[nodiscard]] std::vector<JobStart> split_by_slice(const JobStart& start) const;
   /// The live controller that holds the shards of all the start's machines. Nothing when there is
   /// no single such controller or no offer channel.
-  [[nodiscard]] std::optional<NodeId> common_holder(const Start& start,
+  [[nodiscard]] std::optional<NodeId> common_holder(const JobStart& start,
                                                     const Planner& planner) const;
   /// Enforces the team's quota. Returns false when these tasks would exceed it together with the
   /// team's other tasks, counted from the records and the open releases, or when that usage is not
@@ -97,11 +98,13 @@
   [[nodiscard]] Attempt highest_attempt(const JobSpec& job) const;
   /// The slice with those of the start's tasks released that belong to it.
   [[nodiscard]] SliceRecord make_released_slice(const JobSpec& job, std::uint32_t number,
-                                                const Start& start, const Planner& planner) const;
+                                                const JobStart& start,
+                                                const Planner& planner) const;
   [[nodiscard]] SliceChangeRequest make_request(const JobSpec& job, ModRevision job_revision,
-                                                const Start& start, const Planner& planner) const;
-  void release(const Start& start, const Planner& planner);
-  void offer(const NodeId& holder, const SliceChangeRequest& request, const Start& start);
+                                                const JobStart& start,
+                                                const Planner& planner) const;
+  void release(const JobStart& start, const Planner& planner);
+  void offer(const NodeId& holder, const SliceChangeRequest& request, const JobStart& start);
   void commit(const SliceChangeRequest& request);
   void send(ReleaseId id);
   void mark_slices_dirty(const SliceChangeRequest& request);
--- a/src/leader/scale_out_planner.cpp
+++ b/src/leader/scale_out_planner.cpp
@@ -91,7 +91,7 @@
   const auto is_of_class = [&](const Objective& objective) {
     return objective.job_class == item.demand.job->job_class && !objective.job_class.empty();
   };
-  return item.of_guaranteed_team || item.overdue ||
+  return item.team_has_guarantee || item.overdue ||
          std::any_of(settings_.objectives.begin(), settings_.objectives.end(), is_of_class);
 }
 
--- a/src/scheduling/arrival_step.cpp
+++ b/src/scheduling/arrival_step.cpp
@@ -11,7 +11,7 @@
 // reservation can't start, however much room is idle.
 constexpr double kLastArrivalShare = 0.85;
 // In a long queue, trying all jobs before a new one would cost more than the round has.
-constexpr std::size_t kMaxMoved = 6;
+constexpr std::size_t kMaxMoveAttempts = 6;
 }  // namespace
 
 bool ArrivalStep::run() {
@@ -24,24 +24,24 @@
   });
   std::size_t admitted = 0;
   while (admitted < arrivals.size() && !round_.budget_spent(kLastArrivalShare)) {
-    admit(*arrivals[admitted], max_moved());
+    admit(*arrivals[admitted], max_move_attempts());
     ++admitted;
   }
   return admitted == arrivals.size();
 }
 
-std::size_t ArrivalStep::max_moved() const {
+std::size_t ArrivalStep::max_move_attempts() const {
   if (round_.budget_spent(kArrivalShare)) return 0;
-  return round_.queue.size() <= kShortQueue ? round_.queue.size() : kMaxMoved;
+  return round_.queue.size() <= kShortQueue ? round_.queue.size() : kMaxMoveAttempts;
 }
 
-void ArrivalStep::admit(const QueueItem& item, std::size_t max_moved) {
+void ArrivalStep::admit(const QueueItem& item, std::size_t max_move_attempts) {
   const auto tentative = round_.earliest_plan(item);
   if (!tentative) {
     round_.reserve_unplaced(item);
     return;
   }
-  if (move_earlier(item, tentative->end(), max_moved)) {
+  if (move_earlier(item, tentative->end(), max_move_attempts)) {
     round_.reserve_if_placed(item, round_.earliest_plan(item));
   } else {
     round_.reserve(item, *tentative);
@@ -49,17 +49,17 @@
 }
 
 bool ArrivalStep::move_earlier(const QueueItem& new_item, WallTime end_of_new_item,
-                               std::size_t max_moved) {
+                               std::size_t max_move_attempts) {
   bool any_moved = false;
-  std::size_t tried = 0;
+  std::size_t attempts = 0;
   for (const QueueItem& item : round_.queue) {
-    if (item.job_id == new_item.job_id || tried >= max_moved) break;
+    if (item.job_id == new_item.job_id || attempts >= max_move_attempts) break;
     const auto it = round_.reservations.find(item.job_id);
     if (it == round_.reservations.end() || it->second.start <= round_.now ||
         item.not_before > round_.now) {
       continue;
     }
-    ++tried;
+    ++attempts;
     any_moved = move_earlier(item, it->second, end_of_new_item) || any_moved;
   }
   return any_moved;
@@ -74,8 +74,8 @@
     round_.reapply_reservation(item);
     return false;
   }
-  for (const Placement& given_up : previous.placements) {
-    round_.profile.mark_capacity_freed(given_up.machine);
+  for (const Placement& old_placement : previous.placements) {
+    round_.profile.mark_capacity_freed(old_placement.machine);
   }
   round_.profile.mark_team_capacity_freed(item.demand.job->team);
   round_.reserve(item, *plan);
--- a/src/scheduling/arrival_step.hpp
+++ b/src/scheduling/arrival_step.hpp
@@ -15,11 +15,12 @@
 
  private:
   /// How many of the jobs before a new one may be tried at an earlier place.
-  [[nodiscard]] std::size_t max_moved() const;
-  void admit(const QueueItem& item, std::size_t max_moved);
+  [[nodiscard]] std::size_t max_move_attempts() const;
+  void admit(const QueueItem& item, std::size_t max_move_attempts);
   /// Moves jobs of higher priority that the new one could delay to an earlier start. False: none
   /// was moved.
-  bool move_earlier(const QueueItem& new_item, WallTime end_of_new_item, std::size_t max_moved);
+  bool move_earlier(const QueueItem& new_item, WallTime end_of_new_item,
+                    std::size_t max_move_attempts);
   /// False: no place before `latest_start` was found that is earlier than the job's own.
   bool move_earlier(const QueueItem& item, const Reservation& reservation, WallTime latest_start);
 
--- a/src/scheduling/compression.cpp
+++ b/src/scheduling/compression.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-std::vector<Start> Compression::run(std::size_t& cursor) {
+std::vector<JobStart> Compression::run(std::size_t& cursor) {
   std::size_t position = std::min(cursor, round_.queue.size());
   while (position < round_.queue.size()) {
     if (round_.budget_spent(1.0)) {
@@ -79,9 +79,9 @@
 }
 
 std::optional<Plan> Compression::plan_due_reservation(const QueueItem& item) const {
-  const auto kept = round_.reservations.find(item.job_id);
-  if (kept == round_.reservations.end()) return std::nullopt;
-  Plan reserved = round_.plan_of(kept->second);
+  const auto reservation = round_.reservations.find(item.job_id);
+  if (reservation == round_.reservations.end()) return std::nullopt;
+  Plan reserved = round_.plan_of(reservation->second);
   const bool is_due = reserved.placements.size() == item.demand.tasks &&
                       !reserved.placements.empty() && reserved.start() <= round_.now;
   if (!is_due) return std::nullopt;
@@ -127,10 +127,10 @@
     const auto reservation = round_.reservations.find(item.job_id);
     if (reservation == round_.reservations.end() || item.job_id == except) continue;
     const auto& places = reservation->second.places;
-    const bool is_there = std::any_of(
+    const bool uses_machine = std::any_of(
         places.begin(), places.end(),
         [&](const Reservation::Place& place) { return machine_ids.contains(place.machine_id); });
-    if (is_there) out.push_back(&item);
+    if (uses_machine) out.push_back(&item);
   }
   return out;
 }
@@ -202,9 +202,9 @@
     const auto surplus = static_cast<std::ptrdiff_t>(places.size() - item.demand.tasks);
     places.erase(places.begin(), places.begin() + surplus);
   }
-  const Plan rest = round_.plan_of(reservation);
-  if (!rest.placements.empty() && round_.still_fits(rest, item.demand)) {
-    round_.profile.allocate(rest, *item.demand.job, item.owner);
+  const Plan remaining = round_.plan_of(reservation);
+  if (!remaining.placements.empty() && round_.still_fits(remaining, item.demand)) {
+    round_.profile.allocate(remaining, *item.demand.job, item.owner);
   } else {
     round_.reserve_if_placed(item, round_.earliest_plan(item));
   }
--- a/src/scheduling/compression.hpp
+++ b/src/scheduling/compression.hpp
@@ -9,7 +9,7 @@
 namespace marblevale {
 
 /// Tasks of a job that start now.
-struct Start {
+struct JobStart {
   JobId job_id;
   Plan plan;  // placements for the first plan.placements.size() of the item's tasks
   std::vector<std::uint32_t> task_indices;  // as many as placements
@@ -23,7 +23,7 @@
       : round_(round), states_(round.queue.size(), JobState::pending) {}
   /// Begins at the queue's position `cursor`. Sets it to where the budget ended, or to 0 when the
   /// whole queue was tried.
-  std::vector<Start> run(std::size_t& cursor);
+  std::vector<JobStart> run(std::size_t& cursor);
   /// The owners under which what was started is allocated in the profile.
   [[nodiscard]] const std::vector<Owner>& started_owners() const { return started_owners_; }
 
@@ -63,7 +63,7 @@
 
   PlanningRound& round_;
   std::vector<JobState> states_;  // by position in the queue
-  std::vector<Start> starts_;
+  std::vector<JobStart> starts_;
   std::vector<Owner> started_owners_;
 };
 
--- a/src/scheduling/failed_starts.cpp
+++ b/src/scheduling/failed_starts.cpp
@@ -10,7 +10,7 @@
 // Beyond the estimated run, for image fetches: a team with room for so long is not at its limit.
 constexpr Duration kLongestFetch{120'000};
 
-bool asks_for_the_same(const FailedStart& failure, const Demand& demand) {
+bool has_same_demand(const FailedStart& failure, const Demand& demand) {
   return failure.tasks == demand.tasks && failure.run == demand.run &&
          failure.zone == demand.zone && demand.allowed_machines.empty() && !demand.job->spread;
 }
@@ -22,7 +22,7 @@
   if (known == failed_starts.end()) return false;
   const FailedStart& failure = known->second;
   const Demand& demand = item.demand;
-  if (!asks_for_the_same(failure, demand) || now - failure.at > kFailedStartMaxAge) return false;
+  if (!has_same_demand(failure, demand) || now - failure.at > kFailedStartMaxAge) return false;
   // Its own time has come: what kept the room for it until now was its own reservation.
   if (reservations.at(item.job_id).first_start() <= now) return false;
   if (failure.at_team_limit) {
--- a/src/scheduling/job_queue.cpp
+++ b/src/scheduling/job_queue.cpp
@@ -13,7 +13,7 @@
 /// A job that has never begun goes first of its rank from here on: the widest must begin within
 /// four minutes, and a wide one needs its time until it has room. Without this, jobs that have
 /// missed their objectives wait behind all newcomers whose reservations overrun into theirs.
-constexpr Duration kNeverBegunOverdue{150'000};
+constexpr Duration kOverdueWait{150'000};
 /// Of a long array, how many tasks wait in the queue at once: enough that it can start on much room
 /// at once, few enough that 100,000 tasks cost neither as many reservations nor as many writes.
 constexpr std::size_t kMaxQueuedTasks = std::size_t{4} * kSliceTasks;
@@ -63,7 +63,7 @@
   /// It failed again and again, and has worked nowhere.
   [[nodiscard]] bool is_failing() const {
     return !has_worked_ &&
-           (failed_on_.size() >= kFaultyJobMachines || most_faults_ >= kFaultyJobFaults);
+           (failed_on_.size() >= kFaultyJobMachines || max_faults_ >= kFaultyJobFaults);
   }
 
   /// The tasks to be placed, and when.
@@ -88,7 +88,7 @@
   std::vector<std::uint32_t> backing_off_;
   WallTime first_retry_ = WallTime::max();
   WallTime last_fault_;
-  std::uint32_t most_faults_ = 0;            // of one waiting task
+  std::uint32_t max_faults_ = 0;             // of one waiting task
   std::optional<std::uint32_t> worst_task_;  // the one that has failed most
   std::set<MachineId> failed_on_;
   std::map<ZoneId, std::uint32_t> placed_tasks_;
@@ -123,8 +123,8 @@
   first_retry_ = std::min(first_retry_, retry_at);
   if (task->faults > 0) {
     last_fault_ = std::max(last_fault_, task->since);
-    if (task->faults > most_faults_) worst_task_ = task_index;
-    most_faults_ = std::max(most_faults_, task->faults);
+    if (task->faults > max_faults_) worst_task_ = task_index;
+    max_faults_ = std::max(max_faults_, task->faults);
   }
   const bool backs_off = task->faults > 0 && retry_at > now_;
   (backs_off ? backing_off_ : ready_).push_back(task_index);
@@ -149,7 +149,7 @@
   // It waits as a whole. When one of its tasks fails, the others only end with it and have no
   // backoff of their own: counted by them, a gang with a mistake would begin again every few
   // seconds, and preempt others each time.
-  if (!backing_off_.empty()) all.not_before = last_fault_ + retry_backoff(most_faults_);
+  if (!backing_off_.empty()) all.not_before = last_fault_ + retry_backoff(max_faults_);
   return all;
 }
 
@@ -157,7 +157,7 @@
   // Submitted with a mistake, it seems: one task at a time is retried, until one works. With a
   // backoff for each task alone, 14 of them failed 68 times in 90 s and preempted others.
   if (has_placed()) return std::nullopt;
-  return Selection{{*worst_task_}, last_fault_ + retry_backoff(most_faults_)};
+  return Selection{{*worst_task_}, last_fault_ + retry_backoff(max_faults_)};
 }
 
 }  // namespace
@@ -215,7 +215,7 @@
   item.task_indices = std::move(selection->task_indices);
   item.not_before = selection->not_before;
   item.failing = scan.is_failing();
-  item.overdue = !scan.has_begun() && now - job.accepted > kNeverBegunOverdue;
+  item.overdue = !scan.has_begun() && now - job.accepted > kOverdueWait;
   item.demand.job = &spec;
   item.demand.tasks = static_cast<std::uint32_t>(item.task_indices.size());
   item.demand.run = std::max(kMinRun, spec.estimated_run - scan.progress());
@@ -279,7 +279,7 @@
     const JobSpec& spec = job.record.spec;
     item->guaranteed = guaranteed.contains(job_id);
     const Team* team = settings.team(spec.team);
-    item->of_guaranteed_team = team != nullptr && team->has_guarantee();
+    item->team_has_guarantee = team != nullptr && team->has_guarantee();
     set_target(*item, spec, settings, now);
     if (prefer_one_zone && spec.shape == JobShape::array) {
       item->demand.preferred_zone = preferred_zone(*item, settings);
--- a/src/scheduling/machine_evacuation.cpp
+++ b/src/scheduling/machine_evacuation.cpp
@@ -4,23 +4,24 @@
 
 namespace {
 
-constexpr Duration kSaveMargin{3'000};  // before a machine is taken back
+constexpr Duration kCheckpointMargin{3'000};  // before a machine is taken back
 constexpr Duration kGraceMargin{2'000};
-constexpr const char* kTakenBack = "the cloud takes its machine back";
-constexpr const char* kGivenUp = "its machine is given up";
+constexpr const char* kReclaimedReason = "the cloud takes its machine back";
+constexpr const char* kGivenUpReason = "its machine is given up";
 
-bool given_up(const MachineRecord& machine) {
+bool is_draining_or_quarantined(const MachineRecord& machine) {
   return machine.state == MachineState::quarantined || machine.state == MachineState::draining;
 }
 
 /// Adds the job's tasks for which `leaves` holds.
-template <typename Leaves>
-void add_tasks(Evacuation& out, const JobId& job_id, const Records& records, const Leaves& leaves) {
+template <typename Predicate>
+void add_tasks(Evacuation& out, const JobId& job_id, const Records& records,
+               const Predicate& must_leave) {
   for (auto it = records.slices.lower_bound({job_id, 0});
        it != records.slices.end() && it->first.job_id == job_id; ++it) {
     const auto& tasks = it->second.record.tasks;
     for (std::size_t i = 0; i < tasks.size(); ++i) {
-      if (tasks[i].placed() && !tasks[i].stop && leaves(tasks[i])) {
+      if (tasks[i].placed() && !tasks[i].stop && must_leave(tasks[i])) {
         out.tasks[it->first.number].insert(i);
       }
     }
@@ -28,7 +29,7 @@
 }
 
 /// All replicas of the job are placed, and none is being stopped.
-bool complete(const JobSpec& job, const Records& records) {
+bool all_replicas_running(const JobSpec& job, const Records& records) {
   std::uint32_t placed = 0;
   for (auto it = records.slices.lower_bound({job.job_id, 0});
        it != records.slices.end() && it->first.job_id == job.job_id; ++it) {
@@ -43,15 +44,15 @@
 std::set<JobId> affected_jobs(const Records& records, WallTime now) {
   std::set<JobId> out;
   for (const auto& [machine_id, machine] : records.machines) {
-    const bool taken_back = machine.record.reclaim_at.has_value();
-    if (!taken_back && !given_up(machine.record)) continue;
+    const bool is_reclaimed = machine.record.reclaim_at.has_value();
+    if (!is_reclaimed && !is_draining_or_quarantined(machine.record)) continue;
     const auto placed = records.placed.find(machine_id);
     if (placed == records.placed.end()) continue;
     for (const auto& [id, attempt] : placed->second) {
       const JobRecord* job = records.job(id.job_id);
       if (job == nullptr || job->cancelled) continue;
-      const bool due = taken_back && job->spec.checkpoint_interval > Duration{0} &&
-                       *machine.record.reclaim_at - now <= job->spec.save_time + kSaveMargin;
+      const bool due = is_reclaimed && job->spec.checkpoint_interval > Duration{0} &&
+                       *machine.record.reclaim_at - now <= job->spec.save_time + kCheckpointMargin;
       if (due || job->spec.endless()) out.insert(id.job_id);
     }
   }
@@ -66,24 +67,24 @@
     const auto machine = records.machines.find(task.machine_id);
     return machine == records.machines.end() ? nullptr : &machine->second.record;
   };
-  const auto on_taken_back = [&](const TaskRecord& task) {
+  const auto on_reclaimed_machine = [&](const TaskRecord& task) {
     const MachineRecord* machine = machine_of(task);
     return machine != nullptr && machine->reclaim_at;
   };
-  const auto on_given_up = [&](const TaskRecord& task) {
+  const auto on_draining_or_quarantined = [&](const TaskRecord& task) {
     const MachineRecord* machine = machine_of(task);
-    return machine != nullptr && given_up(*machine);
+    return machine != nullptr && is_draining_or_quarantined(*machine);
   };
   for (const JobId& job_id : affected_jobs(records, now)) {
     const JobSpec& spec = records.job(job_id)->spec;
-    Evacuation evacuation{{}, spec.save_time + kGraceMargin, kTakenBack};
+    Evacuation evacuation{{}, spec.save_time + kGraceMargin, kReclaimedReason};
     add_tasks(evacuation, job_id, records,
-              [&](const TaskRecord& task) { return spec.gang() || on_taken_back(task); });
-    if (evacuation.tasks.empty() && spec.endless() && complete(spec, records)) {
-      evacuation.reason = kGivenUp;
+              [&](const TaskRecord& task) { return spec.gang() || on_reclaimed_machine(task); });
+    if (evacuation.tasks.empty() && spec.endless() && all_replicas_running(spec, records)) {
+      evacuation.reason = kGivenUpReason;
       bool chosen = false;
       add_tasks(evacuation, job_id, records, [&](const TaskRecord& task) {
-        const bool first = !chosen && on_given_up(task);
+        const bool first = !chosen && on_draining_or_quarantined(task);
         chosen = chosen || first;
         return first;
       });
--- a/src/scheduling/occupancy.hpp
+++ b/src/scheduling/occupancy.hpp
@@ -25,7 +25,7 @@
 /// Images that machines are probably fetching: those of tasks that are bound there.
 class ExpectedImages {
  public:
-  void used(const MachineId& machine_id, const ImageId& image, double gb, double cache_gb);
+  void record_use(const MachineId& machine_id, const ImageId& image, double gb, double cache_gb);
   void forget(const MachineId& machine_id) { images_.erase(machine_id); }
   void add_to(ImageSet& images, const MachineId& machine_id) const;
 
@@ -44,8 +44,8 @@
   using Slices = std::map<SliceKey, const SliceRecord*>;
 
   /// Marks what changed; the next `sync` reads it again.
-  void mark_machine_dirty(const MachineId& machine_id) { machines_.insert(machine_id); }
-  void mark_slice_dirty(const SliceKey& key) { slices_.insert(key); }
+  void mark_machine_dirty(const MachineId& machine_id) { dirty_machines_.insert(machine_id); }
+  void mark_slice_dirty(const SliceKey& key) { dirty_slices_.insert(key); }
   /// The next `sync` rebuilds the profile from all records.
   void reset() { rebuild_ = true; }
 
@@ -71,15 +71,16 @@
   ExpectedImages images_;
   bool rebuild_ = true;
   std::set<ZoneId> unreachable_zones_;
-  std::set<MachineId> machines_;
-  std::set<SliceKey> slices_;
+  std::set<MachineId> dirty_machines_;
+  std::set<SliceKey> dirty_slices_;
   std::map<MachineId, BootingMachine> booting_;
-  std::map<SliceKey, std::set<MachineId>> on_;  // machines on which the slice has tasks
+  std::map<SliceKey, std::set<MachineId>>
+      machines_of_slice_;  // machines on which the slice has tasks
   std::set<std::pair<WallTime, SliceKey>>
-      ends_;                             // when the first of a slice's likely ends is reached
-  std::map<SliceKey, WallTime> end_of_;  // as it stands in `ends_`
-  std::set<SliceKey> pending_;
-  std::set<MachineId> fetching_;  // machines whose images are to be looked at again
+      earliest_ends_;  // when the first of a slice's likely ends is reached
+  std::map<SliceKey, WallTime> earliest_end_of_slice_;  // as it stands in `earliest_ends_`
+  std::set<SliceKey> last_pending_;
+  std::set<MachineId> machines_to_refresh_;  // machines whose images are to be looked at again
 };
 
 }  // namespace marblevale
--- a/src/scheduling/placement_score.cpp
+++ b/src/scheduling/placement_score.cpp
@@ -5,11 +5,11 @@
 namespace {
 
 // Each in seconds of waiting that avoiding it is worth.
-constexpr double kPriceSeconds = 30;     // the dearest machine, used whole
-constexpr double kStrandedSeconds = 30;  // a whole machine's stranded accelerators
-constexpr double kApartSeconds = 10;     // leaving the preferred zone
+constexpr double kPriceSeconds = 30;      // the dearest machine, used whole
+constexpr double kStrandedSeconds = 30;   // a whole machine's stranded accelerators
+constexpr double kOtherZoneSeconds = 10;  // leaving the preferred zone
 // A job with a deadline can rather wait for its image than take what others can't do without.
-constexpr double kPatientFetchWeight = 0.3;
+constexpr double kDeadlineFetchWeight = 0.3;
 constexpr double kGangFullnessWeight = 0.2;
 constexpr Duration kPlanningStep{1000};
 
@@ -30,14 +30,15 @@
 double stranded_share(const JobSpec& job, const PlanMachine& machine, const Resources& free) {
   // What it takes of memory or CPUs beyond its share of the accelerators strands the rest of them,
   // on ordinary machines for jobs that may use no others.
-  const bool strands = !machine.spot && job.need.gpus > 0 && machine.resources.gpus > 0;
-  const double waste =
-      strands ? share_of(job.need, machine.resources) - job.need.gpus / machine.resources.gpus : 0;
+  const bool may_strand = !machine.spot && job.need.gpus > 0 && machine.resources.gpus > 0;
+  const double excess_share =
+      may_strand ? share_of(job.need, machine.resources) - job.need.gpus / machine.resources.gpus
+                 : 0;
   // One that takes no accelerators leaves those of its machine without CPUs: rather where they are
   // in use already.
-  const bool starves = job.need.gpus <= 0 && machine.resources.gpus > 0;
-  const double starved = starves ? free.gpus / machine.resources.gpus : 0;
-  return waste + starved;
+  const bool takes_no_gpus = job.need.gpus <= 0 && machine.resources.gpus > 0;
+  const double idle_gpu_share = takes_no_gpus ? free.gpus / machine.resources.gpus : 0;
+  return excess_share + idle_gpu_share;
 }
 
 }  // namespace
@@ -50,15 +51,15 @@
                        Duration fetch, const Resources& free) {
   const JobSpec& job = *demand.job;
   const PlanMachine& m = profile.machines()[machine];
-  const std::uint64_t draw =
+  const std::uint64_t tie_break =
       mix_bits(profile.tie_break_seed(machine) ^ std::hash<JobId>{}(job.job_id)) % 997;
-  const double apart =
-      demand.preferred_zone && *demand.preferred_zone != m.zone ? kApartSeconds : 0;
-  return apart + kStrandedSeconds * stranded_share(job, m, free) +
-         to_seconds(fetch) * (job.deadline ? kPatientFetchWeight : 1.0) +
+  const double zone_penalty =
+      demand.preferred_zone && *demand.preferred_zone != m.zone ? kOtherZoneSeconds : 0;
+  return zone_penalty + kStrandedSeconds * stranded_share(job, m, free) +
+         to_seconds(fetch) * (job.deadline ? kDeadlineFetchWeight : 1.0) +
          price_weight(profile, share_of(job.need, m.resources), m) +
          share_of(free, m.resources) * (job.gang() ? kGangFullnessWeight : 1.0) +
-         static_cast<double>(draw) / 1e5;
+         static_cast<double>(tie_break) / 1e5;
 }
 
 double plan_cost(const Profile& profile, const Demand& demand, const Plan& plan,
@@ -68,9 +69,9 @@
     const PlanMachine& m = profile.machines()[placement.machine];
     cost += price_weight(profile, share_of(demand.job->need, m.resources), m) / demand.tasks;
   }
-  const std::uint64_t draw =
+  const std::uint64_t tie_break =
       mix_bits(std::hash<JobId>{}(demand.job->job_id) ^ std::hash<ZoneId>{}(zone)) % 997;
-  return cost + static_cast<double>(draw) / 1e4;
+  return cost + static_cast<double>(tie_break) / 1e4;
 }
 
 }  // namespace marblevale
--- a/src/scheduling/placement_search.cpp
+++ b/src/scheduling/placement_search.cpp
@@ -24,16 +24,16 @@
 bool PlacementSearch::may_fit_beside_running(const Demand& demand, WallTime at) const {
   const JobSpec& job = *demand.job;
   const std::uint32_t wanted = job.gang() ? demand.tasks : 1;
-  std::vector<ZoneTaskCount> found;  // per zone where that matters, else in one entry
+  std::vector<ZoneTaskCount> zone_counts;  // per zone where that matters, else in one entry
   bool enough = false;
   profile_.for_each_allowed_machine(demand, demand.zone, [&](std::size_t machine) {
     const PlanMachine& properties = profile_.machines()[machine];
     const ResourceTimeline& timeline = profile_.timeline(machine);
     if (enough || properties.ready > at || timeline.no_room_beside_running(job.need, at)) return;
     const ZoneId zone = job.together ? properties.zone : ZoneId{};
-    auto count = std::find_if(found.begin(), found.end(),
+    auto count = std::find_if(zone_counts.begin(), zone_counts.end(),
                               [&](const ZoneTaskCount& entry) { return entry.zone == zone; });
-    if (count == found.end()) count = found.insert(found.end(), {zone, 0});
+    if (count == zone_counts.end()) count = zone_counts.insert(zone_counts.end(), {zone, 0});
     Resources sum = job.need;
     while (count->tasks < wanted && !timeline.no_room_beside_running(sum, at) &&
            fits(sum, timeline.capacity())) {
@@ -80,9 +80,9 @@
   std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(needed),
                     candidates.end(),
                     [](const Candidate& a, const Candidate& b) { return a.score < b.score; });
-  std::map<ZoneId, std::uint32_t> in_zone;
+  std::map<ZoneId, std::uint32_t> tasks_in_zone;
   for (const ZoneTaskCount& placed : demand.placed_tasks)
-    in_zone.emplace(placed.zone, placed.tasks);
+    tasks_in_zone.emplace(placed.zone, placed.tasks);
   const auto zone_of = [this](const Candidate& candidate) -> const ZoneId& {
     return profile_.machines()[candidate.machine].zone;
   };
@@ -92,14 +92,14 @@
   while (plan.placements.size() < demand.tasks && fits(team_used + job.need, team_free)) {
     // A candidate that can't take one task can't take any later one either.
     while (next < needed && (!fits(job.need, candidates[next].free) ||
-                             in_zone[zone_of(candidates[next])] >= max_tasks_in_zone(job))) {
+                             tasks_in_zone[zone_of(candidates[next])] >= max_tasks_in_zone(job))) {
       ++next;
     }
     if (next == needed) break;
     Candidate& chosen = candidates[next];
     chosen.free -= job.need;
     team_used += job.need;
-    ++in_zone[zone_of(chosen)];
+    ++tasks_in_zone[zone_of(chosen)];
     plan.placements.push_back({chosen.machine, at, at + chosen.run});
   }
   return plan;
--- a/src/scheduling/planner.cpp
+++ b/src/scheduling/planner.cpp
@@ -18,9 +18,9 @@
 
 bool Planner::admit_arrivals() { return ArrivalStep(round_).run(); }
 
-std::vector<Start> Planner::compress(std::size_t& cursor) {
+std::vector<JobStart> Planner::compress(std::size_t& cursor) {
   Compression compression(round_);
-  std::vector<Start> starts = compression.run(cursor);
+  std::vector<JobStart> starts = compression.run(cursor);
   const std::vector<Owner>& owners = compression.started_owners();
   started_owners_.insert(started_owners_.end(), owners.begin(), owners.end());
   return starts;
--- a/src/scheduling/planner.hpp
+++ b/src/scheduling/planner.hpp
@@ -37,7 +37,7 @@
 
   /// Starts what can run now, by priority, going back to the queue's front after each move.
   /// `cursor` is where the last round stopped; it becomes 0 when the round is complete.
-  std::vector<Start> compress(std::size_t& cursor);
+  std::vector<JobStart> compress(std::size_t& cursor);
 
   /// What the queue's first `max_jobs` jobs would get if all were placed anew, by priority. Nothing
   /// is changed by asking.
--- a/src/scheduling/planning_round.cpp
+++ b/src/scheduling/planning_round.cpp
@@ -24,7 +24,7 @@
 bool PlanningRound::satisfies_zone_constraints(const Reservation& reservation,
                                                const Demand& demand) const {
   // Asked of every reservation in every round: the plan is made only where it matters.
-  return !Profile::has_tasks_elsewhere(demand) ||
+  return !Profile::needs_zone_check(demand) ||
          profile.satisfies_zone_constraints(plan_of(reservation), demand);
 }
 
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 // Losses are in seconds of work.
-constexpr double kImpatientLoss = 60;  // of a victim without a deadline: its start was the point
-constexpr Duration kFreshStart{30'000};
-constexpr double kFreshLoss = 15;     // of a victim that has hardly begun
-constexpr double kPerVictimLoss = 5;  // of any stop
+constexpr double kNoDeadlineLossSeconds =
+    60;  // of a victim without a deadline: its start was the point
+constexpr Duration kRecentStart{30'000};
+constexpr double kRecentStartLossSeconds = 15;  // of a victim that has hardly begun
+constexpr double kPerVictimLossSeconds = 5;     // of any stop
 constexpr double kRefetchChance = 0.5;
 // Room that can be used later, after an image fetch, is worth less.
 constexpr double kFetchWeight = 2;
 // What a victim of a team without a guarantee counts for: a part of its loss. Adding to the loss of
 // the others instead would make one gang cheaper to stop than the four small tasks beside it.
-constexpr double kGuestShare = 0.5;
+constexpr double kNoGuaranteeLossWeight = 0.5;
 
 /// A running task that may be stopped.
 struct VictimTask {
@@ -149,14 +150,14 @@
 double CandidateSearch::loss_of(const JobSpec& other, const TaskRecord& task,
                                 const MachineType& type) const {
   // What a restart costs: the unsaved work, another image fetch perhaps, and its own wait.
-  const Duration ran = task.running == WallTime{} ? Duration{0} : now_ - task.running;
+  const Duration run_time = task.running == WallTime{} ? Duration{0} : now_ - task.running;
   double loss =
-      other.checkpoint_interval > Duration{0} ? to_seconds(other.save_time) : to_seconds(ran);
+      other.checkpoint_interval > Duration{0} ? to_seconds(other.save_time) : to_seconds(run_time);
   loss += (type.pull_gb_per_s > 0 ? other.image_gb / type.pull_gb_per_s : 0) * kRefetchChance;
-  if (!other.deadline) loss += kImpatientLoss;
-  if (ran < kFreshStart) loss += kFreshLoss;
+  if (!other.deadline) loss += kNoDeadlineLossSeconds;
+  if (run_time < kRecentStart) loss += kRecentStartLossSeconds;
   const Team* team = settings_.team(other.team);
-  if (team != nullptr && !team->has_guarantee()) loss *= kGuestShare;
+  if (team != nullptr && !team->has_guarantee()) loss *= kNoGuaranteeLossWeight;
   return loss;
 }
 
@@ -168,7 +169,7 @@
   for (const VictimTask& victim : candidate.victims) {
     if (fits(need, free)) break;
     free += victim.resources;
-    room.cost += victim.loss + kPerVictimLoss;
+    room.cost += victim.loss + kPerVictimLossSeconds;
     ++room.victim_count;
   }
   if (!fits(need, free)) return std::nullopt;
--- a/src/scheduling/profile.cpp
+++ b/src/scheduling/profile.cpp
@@ -34,14 +34,14 @@
 std::size_t Profile::add_machine(PlanMachine machine) {
   highest_price_ = std::max(highest_price_, machine.price);
   std::size_t at = machines_.size();
-  if (unused_.empty()) {
+  if (free_indexes_.empty()) {
     machines_.emplace_back();
     tie_break_seeds_.push_back(0);
     timelines_.emplace_back(Resources{});
     freed_at_.emplace_back();
   } else {
-    at = unused_.back();
-    unused_.pop_back();
+    at = free_indexes_.back();
+    free_indexes_.pop_back();
   }
   timelines_[at] = ResourceTimeline(machine.resources);
   mark_capacity_freed(at);
@@ -67,7 +67,7 @@
   timelines_[machine] = ResourceTimeline(Resources{});
   machines_[machine] = PlanMachine{};
   machines_[machine].ready = kNever;
-  unused_.push_back(machine);
+  free_indexes_.push_back(machine);
 }
 
 void Profile::update_machine(std::size_t machine, WallTime ready, ImageSet images,
@@ -95,7 +95,7 @@
 }
 
 void Profile::invalidate_owners_on(std::size_t machine) {
-  for (const Allocation& t : timelines_[machine].allocations()) invalidated_.insert(t.owner);
+  for (const Allocation& t : timelines_[machine].allocations()) invalidated_owners_.insert(t.owner);
 }
 
 void Profile::add_team(const TeamId& team, Resources limit) {
@@ -117,9 +117,9 @@
 
 void Profile::allocate(std::size_t machine, const TeamId& team, const Allocation& allocation) {
   timelines_[machine].allocate(allocation);
-  auto& timelines = owners_[allocation.owner];
-  if (std::find(timelines.begin(), timelines.end(), machine) == timelines.end())
-    timelines.push_back(machine);
+  auto& owner_machines = machines_of_owner_[allocation.owner];
+  if (std::find(owner_machines.begin(), owner_machines.end(), machine) == owner_machines.end())
+    owner_machines.push_back(machine);
   allocate_team(team, allocation);
 }
 
@@ -127,38 +127,38 @@
   for (std::size_t i = 0; i < teams_.size(); ++i) {
     if (teams_[i].name != team) continue;
     teams_[i].timeline.allocate(allocation);
-    team_of_[allocation.owner] = i;
+    team_of_owner_[allocation.owner] = i;
   }
 }
 
 void Profile::allocate(const Plan& plan, const JobSpec& job, Owner owner) {
   // Tasks of one place and time are one allocation: a timeline's cost follows their number.
   std::vector<Placement> sorted = plan.placements;
-  const auto each_run = [&sorted](auto same, auto take_run) {
+  const auto for_each_equal_range = [&sorted](auto is_equal, auto visit) {
     for (std::size_t i = 0; i < sorted.size();) {
       std::size_t next = i + 1;
-      while (next < sorted.size() && same(sorted[i], sorted[next])) ++next;
-      take_run(sorted[i], static_cast<double>(next - i));
+      while (next < sorted.size() && is_equal(sorted[i], sorted[next])) ++next;
+      visit(sorted[i], static_cast<double>(next - i));
       i = next;
     }
   };
   std::sort(sorted.begin(), sorted.end(), [](const Placement& a, const Placement& b) {
     return std::tie(a.machine, a.start, a.end) < std::tie(b.machine, b.start, b.end);
   });
-  auto& timelines = owners_[owner];
-  each_run(
+  auto& owner_machines = machines_of_owner_[owner];
+  for_each_equal_range(
       [](const Placement& a, const Placement& b) {
         return a.machine == b.machine && a.start == b.start && a.end == b.end;
       },
       [&](const Placement& first, double count) {
         timelines_[first.machine].allocate({first.start, first.end, job.need * count, owner});
-        if (timelines.empty() || timelines.back() != first.machine)
-          timelines.push_back(first.machine);
+        if (owner_machines.empty() || owner_machines.back() != first.machine)
+          owner_machines.push_back(first.machine);
       });
   std::sort(sorted.begin(), sorted.end(), [](const Placement& a, const Placement& b) {
     return std::tie(a.start, a.end) < std::tie(b.start, b.end);
   });
-  each_run(
+  for_each_equal_range(
       [](const Placement& a, const Placement& b) { return a.start == b.start && a.end == b.end; },
       [&](const Placement& first, double count) {
         allocate_team(job.team, {first.start, first.end, job.need * count, owner});
@@ -166,27 +166,27 @@
 }
 
 std::vector<std::size_t> Profile::release_allocations(Owner owner) {
-  invalidated_.erase(owner);
-  std::vector<std::size_t> timelines;
-  if (const auto it = owners_.find(owner); it != owners_.end()) {
-    timelines = std::move(it->second);
-    for (const std::size_t timeline : timelines) timelines_[timeline].release(owner);
-    owners_.erase(it);
+  invalidated_owners_.erase(owner);
+  std::vector<std::size_t> owner_machines;
+  if (const auto it = machines_of_owner_.find(owner); it != machines_of_owner_.end()) {
+    owner_machines = std::move(it->second);
+    for (const std::size_t machine : owner_machines) timelines_[machine].release(owner);
+    machines_of_owner_.erase(it);
   }
-  if (const auto it = team_of_.find(owner); it != team_of_.end()) {
+  if (const auto it = team_of_owner_.find(owner); it != team_of_owner_.end()) {
     teams_[it->second].timeline.release(owner);
-    team_of_.erase(it);
+    team_of_owner_.erase(it);
   }
-  return timelines;
+  return owner_machines;
 }
 
 void Profile::release(Owner owner) {
-  const auto team = team_of_.find(owner);
-  if (team != team_of_.end()) {
+  const auto team = team_of_owner_.find(owner);
+  if (team != team_of_owner_.end()) {
     next_version();
     teams_[team->second].freed_at = version_;
   }
-  for (const std::size_t timeline : release_allocations(owner)) mark_capacity_freed(timeline);
+  for (const std::size_t machine : release_allocations(owner)) mark_capacity_freed(machine);
 }
 
 void Profile::release_tentatively(Owner owner) { release_allocations(owner); }
@@ -235,15 +235,17 @@
 }
 
 bool Profile::reservation_still_fits(Owner owner) const {
-  const auto timelines = owners_.find(owner);
-  const auto limit = team_of_.find(owner);
-  if (timelines == owners_.end() || invalidated_.contains(owner)) return false;
-  if (limit != team_of_.end() && !teams_[limit->second].timeline.allocations_fit(owner))
+  const auto owner_machines = machines_of_owner_.find(owner);
+  const auto limit = team_of_owner_.find(owner);
+  if (owner_machines == machines_of_owner_.end() || invalidated_owners_.contains(owner))
     return false;
-  return std::all_of(timelines->second.begin(), timelines->second.end(), [&](std::size_t timeline) {
-    ++candidates_examined_;
-    return timelines_[timeline].allocations_fit(owner);
-  });
+  if (limit != team_of_owner_.end() && !teams_[limit->second].timeline.allocations_fit(owner))
+    return false;
+  return std::all_of(owner_machines->second.begin(), owner_machines->second.end(),
+                     [&](std::size_t machine) {
+                       ++candidates_examined_;
+                       return timelines_[machine].allocations_fit(owner);
+                     });
 }
 
 bool Profile::still_fits(const Plan& plan, const JobSpec& job) const {
@@ -258,14 +260,14 @@
   return fits_machines(plan, job) && (limit == nullptr || fits_team_limit(plan, job, *limit));
 }
 
-bool Profile::has_tasks_elsewhere(const Demand& demand) {
+bool Profile::needs_zone_check(const Demand& demand) {
   const JobSpec& job = *demand.job;
   return !job.gang() && (job.spread || job.together);
 }
 
 bool Profile::satisfies_zone_constraints(const Plan& plan, const Demand& demand) const {
   const JobSpec& job = *demand.job;
-  if (!has_tasks_elsewhere(demand)) return true;
+  if (!needs_zone_check(demand)) return true;
   std::map<ZoneId, std::uint32_t> counts;
   if (job.spread) {
     for (const ZoneTaskCount& placed : demand.placed_tasks)
--- a/src/scheduling/profile.hpp
+++ b/src/scheduling/profile.hpp
@@ -114,7 +114,7 @@
   [[nodiscard]] Plan fit_beside_running(const Demand& demand, WallTime at) const;
   /// The job's tasks start one by one, and where some are decides where others may be. A gang is
   /// placed whole, while none of its tasks is anywhere.
-  [[nodiscard]] static bool has_tasks_elsewhere(const Demand& demand);
+  [[nodiscard]] static bool needs_zone_check(const Demand& demand);
   /// The plan's zones are allowed beside those in which the job's other tasks are placed.
   [[nodiscard]] bool satisfies_zone_constraints(const Plan& plan, const Demand& demand) const;
   /// All tasks at exactly `at`: for gangs, or to ask whether a slice can start whole.
@@ -148,9 +148,9 @@
   };
   [[nodiscard]] const std::vector<Group>& groups() const { return groups_; }
   /// Calls `each` with every machine, by index, that the demand's job may use in the zone.
-  template <typename Each>
+  template <typename Visitor>
   void for_each_allowed_machine(const Demand& demand, const std::optional<ZoneId>& zone,
-                                Each each) const {
+                                Visitor visit) const {
     for (const Group& group : groups_) {
       if (group.members.empty() || (zone && group.kind.zone != *zone)) continue;
       if (!allowed(*demand.job, group.kind)) continue;
@@ -161,7 +161,7 @@
           continue;
         }
         ++candidates_examined_;
-        each(i);
+        visit(i);
       }
     }
   }
@@ -198,16 +198,18 @@
   std::vector<std::uint64_t>
       tie_break_seeds_;  // decide between equals, by machine and job together
   std::vector<ResourceTimeline> timelines_;
-  std::vector<std::size_t> unused_;
+  std::vector<std::size_t> free_indexes_;
   std::vector<Group> groups_;
   std::unordered_map<MachineId, std::size_t> index_;
   double highest_price_ = 0;
   std::vector<Version> freed_at_;  // by machine: when capacity there was last freed
   Version version_{1};
   std::vector<TeamTimeline> teams_;
-  std::unordered_map<Owner, std::vector<std::size_t>> owners_;  // machines where it has allocations
-  std::unordered_map<Owner, std::size_t> team_of_;
-  std::unordered_set<Owner> invalidated_;  // a machine that they counted on is gone, or is late
+  std::unordered_map<Owner, std::vector<std::size_t>>
+      machines_of_owner_;  // machines where it has allocations
+  std::unordered_map<Owner, std::size_t> team_of_owner_;
+  std::unordered_set<Owner>
+      invalidated_owners_;  // a machine that they counted on is gone, or is late
   mutable std::uint64_t candidates_examined_ = 0;
 };
 
--- a/src/scheduling/queue_item.cpp
+++ b/src/scheduling/queue_item.cpp
@@ -24,7 +24,7 @@
   if (a.overdue && a.accepted != b.accepted) return a.accepted < b.accepted;
   // A team without a guarantee gets what the others leave: otherwise its idle-only work fills the
   // cluster before the arrays of guaranteed teams, which are of the same urgency.
-  if (a.of_guaranteed_team != b.of_guaranteed_team) return a.of_guaranteed_team;
+  if (a.team_has_guarantee != b.team_has_guarantee) return a.team_has_guarantee;
   if (a.objectives_missed != b.objectives_missed) return b.objectives_missed;
   if (a.target != b.target) {
     // One without an objective waits behind those that can still meet theirs.
--- a/src/scheduling/queue_item.hpp
+++ b/src/scheduling/queue_item.hpp
@@ -20,7 +20,7 @@
   std::optional<WallTime> target;  // the next start time that meets an objective of its class
   bool objectives_missed = false;  // it has objectives, and all their start times have passed
   bool overdue = false;            // it has never begun, and has waited for too long
-  bool of_guaranteed_team = true;  // its team has a guarantee, whether it fits into it or not
+  bool team_has_guarantee = true;  // its team has a guarantee, whether it fits into it or not
   bool failing = false;            // it failed again and again, and has worked nowhere
 };
 
--- a/src/scheduling/reservation_restore.cpp
+++ b/src/scheduling/reservation_restore.cpp
@@ -15,18 +15,18 @@
 
 std::vector<ReservationDelay> ReservationRestore::run(const PinnedMachines& pins) {
   delays_.clear();
-  const std::vector<const QueueItem*> order = by_granted_start(restore_pinned(pins));
-  bool later_ones_released = false;
+  const std::vector<const QueueItem*> order = by_reserved_start(restore_pinned(pins));
+  bool later_released = false;
   for (std::size_t i = 0; i < order.size(); ++i) {
     const QueueItem& item = *order[i];
-    if (!later_ones_released) {
+    if (!later_released) {
       // Most stand in the profile since an earlier round, and nothing has come in their way.
       const Reservation& reservation = round_.reservations.at(item.job_id);
       if (reservation.start > round_.now && round_.is_valid(reservation, item)) continue;
       if (repair(item)) continue;
       // From the first that has to move on, all are placed again in their order: what is granted a
       // later start must not stand in the way of an earlier one.
-      later_ones_released = true;
+      later_released = true;
       for (std::size_t k = i; k < order.size(); ++k) round_.profile.release(order[k]->owner);
     }
     place_again(item, std::nullopt);
@@ -48,12 +48,12 @@
 bool ReservationRestore::restore_on(const QueueItem& item,
                                     const std::vector<MachineId>& machine_ids) {
   const Reservation& reservation = round_.reservations.at(item.job_id);
-  const bool is_there = std::all_of(
+  const bool is_on_pins = std::all_of(
       reservation.places.begin(), reservation.places.end(), [&](const Reservation::Place& place) {
         return std::find(machine_ids.begin(), machine_ids.end(), place.machine_id) !=
                machine_ids.end();
       });
-  if (is_there && round_.is_valid(reservation, item)) return true;
+  if (is_on_pins && round_.is_valid(reservation, item)) return true;
   round_.profile.release(item.owner);
   // Others' reservations on these machines give way, and are placed again with the rest.
   for (const MachineId& machine_id : machine_ids) {
@@ -69,7 +69,7 @@
   return true;
 }
 
-std::vector<const QueueItem*> ReservationRestore::by_granted_start(
+std::vector<const QueueItem*> ReservationRestore::by_reserved_start(
     const std::unordered_set<JobId>& pinned) const {
   std::vector<const QueueItem*> order;
   for (const QueueItem& item : round_.queue) {
--- a/src/scheduling/reservation_restore.hpp
+++ b/src/scheduling/reservation_restore.hpp
@@ -24,7 +24,7 @@
   bool restore_on(const QueueItem& item, const std::vector<MachineId>& machine_ids);
   /// The jobs with a reservation that is not pinned, by granted start, so that a conflict falls on
   /// the later one.
-  [[nodiscard]] std::vector<const QueueItem*> by_granted_start(
+  [[nodiscard]] std::vector<const QueueItem*> by_reserved_start(
       const std::unordered_set<JobId>& pinned) const;
   /// Keeps a reservation that broke, or places it again, where that moves nobody else and delays it
   /// hardly. False: all that was granted a later start has to make way first.
--- a/src/scheduling/resource_timeline.cpp
+++ b/src/scheduling/resource_timeline.cpp
@@ -6,9 +6,9 @@
 namespace marblevale {
 
 namespace {
-constexpr double kNothing = 1e-7;  // what rounding leaves
+constexpr double kRoundingTolerance = 1e-7;  // what rounding leaves
 
-Resources most_of(const Resources& a, const Resources& b) {
+Resources componentwise_max(const Resources& a, const Resources& b) {
   return {std::max(a.cpus, b.cpus), std::max(a.gpus, b.gpus), std::max(a.memory_gb, b.memory_gb)};
 }
 }  // namespace
@@ -21,7 +21,7 @@
                                  : static_cast<std::size_t>(after - steps_.begin()) - 1;
 }
 
-std::size_t ResourceTimeline::cut_at(WallTime at) {
+std::size_t ResourceTimeline::split_step_at(WallTime at) {
   const auto it = std::lower_bound(steps_.begin(), steps_.end(), at,
                                    [](const Step& step, WallTime t) { return step.from < t; });
   const auto index = it - steps_.begin();
@@ -34,21 +34,21 @@
 
 void ResourceTimeline::add(const Allocation& allocation, double sign) {
   if (allocation.to <= allocation.from) return;
-  const std::size_t begin = cut_at(allocation.from);
-  const std::size_t end = cut_at(allocation.to);
+  const std::size_t begin = split_step_at(allocation.from);
+  const std::size_t end = split_step_at(allocation.to);
   const Resources change = allocation.resources * sign;
   for (std::size_t i = begin; i < end; ++i) steps_[i].used += change;
   total_ += change;
   // The change is the same on all steps between: only its borders can have become level.
-  drop_if_level(end);
-  drop_if_level(begin);
+  erase_step_if_unchanged(end);
+  erase_step_if_unchanged(begin);
 }
 
-void ResourceTimeline::drop_if_level(std::size_t step) {
-  const auto none = [](double x) { return std::abs(x) < kNothing; };
+void ResourceTimeline::erase_step_if_unchanged(std::size_t step) {
+  const auto is_negligible = [](double x) { return std::abs(x) < kRoundingTolerance; };
   const Resources before = step == 0 ? Resources{} : steps_[step - 1].used;
   const Resources change = steps_[step].used - before;
-  if (none(change.cpus) && none(change.gpus) && none(change.memory_gb)) {
+  if (is_negligible(change.cpus) && is_negligible(change.gpus) && is_negligible(change.memory_gb)) {
     steps_.erase(steps_.begin() + static_cast<std::ptrdiff_t>(step));
   }
 }
@@ -64,11 +64,11 @@
 }
 
 void ResourceTimeline::release(Owner owner) {
-  bool ran = false;
+  bool was_running = false;
   for (std::size_t i = allocations_.size(); i-- > 0;) {
     if (allocations_[i].owner != owner) continue;
     add(allocations_[i], -1);
-    ran = ran || allocations_[i].from == WallTime{};
+    was_running = was_running || allocations_[i].from == WallTime{};
     allocations_[i] = allocations_.back();
     allocations_.pop_back();
   }
@@ -76,7 +76,7 @@
     steps_.clear();
     total_ = Resources{};
   }
-  if (!ran) return;
+  if (!was_running) return;
   running_ = Resources{};
   running_until_ = WallTime{};
   for (const Allocation& t : allocations_) {
@@ -87,11 +87,12 @@
 }
 
 Resources ResourceTimeline::free(WallTime from, WallTime to) const {
-  Resources most{};
+  Resources peak_use{};
   std::size_t i = step_at(from);
   if (i == steps_.size()) i = 0;
-  for (; i < steps_.size() && steps_[i].from < to; ++i) most = most_of(most, steps_[i].used);
-  return capacity_ - most;
+  for (; i < steps_.size() && steps_[i].from < to; ++i)
+    peak_use = componentwise_max(peak_use, steps_[i].used);
+  return capacity_ - peak_use;
 }
 
 bool ResourceTimeline::can_fit(const Resources& need, WallTime from, WallTime to) const {
--- a/src/scheduling/resource_timeline.hpp
+++ b/src/scheduling/resource_timeline.hpp
@@ -59,8 +59,8 @@
   };
   void add(const Allocation& allocation, double sign);
   /// Removes a step at which nothing changes.
-  void drop_if_level(std::size_t step);
-  std::size_t cut_at(WallTime at);
+  void erase_step_if_unchanged(std::size_t step);
+  std::size_t split_step_at(WallTime at);
   [[nodiscard]] std::size_t step_at(WallTime at) const;
 
   // First what `no_room_beside_running` reads, so that a search over a cluster touches little
--- a/src/scheduling/scale_out.cpp
+++ b/src/scheduling/scale_out.cpp
@@ -8,8 +8,8 @@
 
 // A new machine must save at least this much waiting beyond its boot.
 constexpr Duration kMinTimeSaved{5'000};
-constexpr std::uint32_t kMinPerRound = 16;
-constexpr double kMaxShareOfFleet = 0.15;  // of the machines that there are, per round
+constexpr std::uint32_t kMinRoundLimit = 16;
+constexpr double kRoundLimitFleetShare = 0.15;  // of the machines that there are, per round
 // Weighs a zone's machines against the price: zones are taken in turn.
 constexpr double kZoneLoadWeight = 0.01;
 
@@ -48,7 +48,8 @@
         team_resources_(std::move(team_resources)) {
     double total = 0;
     for (const auto& [zone, count] : machines_in_zone) total += count;
-    max_machines_ = std::max(kMinPerRound, static_cast<std::uint32_t>(total * kMaxShareOfFleet));
+    max_machines_ =
+        std::max(kMinRoundLimit, static_cast<std::uint32_t>(total * kRoundLimitFleetShare));
   }
 
   void add(const UnmetDemand& demand);
@@ -156,8 +157,9 @@
 std::map<MachineOffering, std::uint32_t> plan_scale_out(
     const std::vector<UnmetDemand>& unmet_demands, const std::vector<MachineType>& types,
     const std::function<bool(const MachineOffering&)>& available,
-    const std::map<ZoneId, std::uint32_t>& in_zone, std::map<TeamId, Resources> team_resources) {
-  ScaleOut scale_out(types, available, in_zone, std::move(team_resources));
+    const std::map<ZoneId, std::uint32_t>& machines_in_zone,
+    std::map<TeamId, Resources> team_resources) {
+  ScaleOut scale_out(types, available, machines_in_zone, std::move(team_resources));
   for (const UnmetDemand& demand : unmet_demands) scale_out.add(demand);
   return scale_out.counts();
 }
--- a/src/scheduling/scale_out.hpp
+++ b/src/scheduling/scale_out.hpp
@@ -31,11 +31,12 @@
 };
 
 /// How many machines of each offering to provision. `available` says whether the cloud may have
-/// any; `in_zone` counts the machines that each zone has; `team_resources` is what each team may
-/// still use.
+/// any; `machines_in_zone` counts the machines that each zone has; `team_resources` is what each
+/// team may still use.
 std::map<MachineOffering, std::uint32_t> plan_scale_out(
     const std::vector<UnmetDemand>& unmet_demands, const std::vector<MachineType>& types,
     const std::function<bool(const MachineOffering&)>& available,
-    const std::map<ZoneId, std::uint32_t>& in_zone, std::map<TeamId, Resources> team_resources);
+    const std::map<ZoneId, std::uint32_t>& machines_in_zone,
+    std::map<TeamId, Resources> team_resources);
 
 }  // namespace marblevale
--- a/src/scheduling/starvation.cpp
+++ b/src/scheduling/starvation.cpp
@@ -157,13 +157,13 @@
     const ZoneId& zone = candidate.properties.zone;
     const auto& placed_tasks = waiting.placed_tasks;
     if (job.together && !placed_tasks.empty() && !placed_tasks.contains(zone)) continue;
-    std::uint32_t& here = in_zone[zone];
-    const std::uint32_t left_in_zone = max_in_zone - std::min(here, max_in_zone);
+    std::uint32_t& zone_count = in_zone[zone];
+    const std::uint32_t remaining_in_zone = max_in_zone - std::min(zone_count, max_in_zone);
     const std::uint32_t fitting =
-        count_fitting(job.need, candidate.free, std::min(wanted, left_in_zone));
-    here += fitting;
+        count_fitting(job.need, candidate.free, std::min(wanted, remaining_in_zone));
+    zone_count += fitting;
     found += fitting;
-    if ((job.gang() && job.together ? here : found) >= wanted) return &candidate;
+    if ((job.gang() && job.together ? zone_count : found) >= wanted) return &candidate;
   }
   return nullptr;
 }
@@ -174,8 +174,9 @@
   const Team* team = settings.team(job.team);
   if (team == nullptr) return true;
   const auto used = used_by_team.find(job.team);
-  const Resources left = used == used_by_team.end() ? team->limit() : team->limit() - used->second;
-  return fits(job.need * static_cast<double>(job.gang() ? job.task_count : 1), left);
+  const Resources remaining =
+      used == used_by_team.end() ? team->limit() : team->limit() - used->second;
+  return fits(job.need * static_cast<double>(job.gang() ? job.task_count : 1), remaining);
 }
 
 }  // namespace
--- a/tests/failed_starts_test.cpp
+++ b/tests/failed_starts_test.cpp
@@ -41,20 +41,20 @@
   /// One second: ends, arrivals, a round. What was started, in its order.
   std::vector<std::string> run_one_second() {
     now_ += 1;
-    end_some();
+    end_or_extend_runs();
     for (std::size_t n = draw(3); n > 0; --n) submit();
     Planner planner(std::move(profile_), queue_, reservations_,
-                    remembers_ ? failed_ : testing::no_failed_starts(), at(now_),
+                    remembers_ ? failed_starts_ : testing::no_failed_starts(), at(now_),
                     testing::unlimited_budget);
     planner.restore();
     planner.admit_arrivals();
     std::size_t cursor = 0;
     const auto starts = planner.compress(cursor);
-    skipped_ += failed_.size();
+    skipped_ += failed_starts_.size();
     profile_ = planner.take_profile();
     std::vector<std::string> out;
     out.reserve(starts.size());
-    for (const Start& start : starts) out.push_back(begin(start));
+    for (const JobStart& start : starts) out.push_back(start_job(start));
     return out;
   }
   [[nodiscard]] std::size_t skipped() const { return skipped_; }
@@ -75,7 +75,7 @@
     queue_.push_back(item(*jobs_.back(), serial_, now_));
   }
 
-  std::string begin(const Start& start) {
+  std::string start_job(const JobStart& start) {
     const auto entry = std::find_if(queue_.begin(), queue_.end(),
                                     [&](const auto& i) { return i.job_id == start.job_id; });
     std::string text = start.job_id.get();
@@ -99,7 +99,7 @@
   }
 
   /// Ends what has ended, and stretches what has overrun its estimate, as the leader does.
-  void end_some() {
+  void end_or_extend_runs() {
     for (auto it = runs_by_owner_.begin(); it != runs_by_owner_.end();) {
       Run& run = it->second;
       const bool ended = run.end <= now_;
@@ -131,7 +131,7 @@
   std::vector<std::unique_ptr<JobSpec>> jobs_;
   std::vector<QueueItem> queue_;
   Reservations reservations_;
-  FailedStarts failed_;
+  FailedStarts failed_starts_;
   std::map<Owner, Run> runs_by_owner_;
   std::uint64_t serial_ = 0;
   std::uint64_t runs_ = 0;
--- a/tests/job_queue_test.cpp
+++ b/tests/job_queue_test.cpp
@@ -26,7 +26,7 @@
   EXPECT_EQ(queue[3].job_id, lengthy.job_id);
 }
 
-TEST(JobQueue, AnOverdueJobThatNeverStartedGoesFirst) {
+TEST(JobQueue, AnOverdueJobThatNeverStartedRanksFirst) {
   Records records;
   Settings settings;
   Objective wait;
--- a/tests/occupancy_test.cpp
+++ b/tests/occupancy_test.cpp
@@ -53,7 +53,7 @@
     const JobId job_id("req-" + std::to_string(draw(kJobs)));
     const SliceKey key{job_id, 0};
     if (draw(6) == 0) {
-      forget(key);
+      erase_slice(key);
       records_.jobs.erase(job_id);
       return;
     }
@@ -63,7 +63,7 @@
                        : batch(job_id.get(), 8, 1, 20);
       records_.jobs[job_id].record.spec.image_gb = 3;
     }
-    forget(key);
+    erase_slice(key);
     SliceRecord& slice = records_.slices[key].record;
     slice.job_id = job_id;
     slice.tasks.resize(records_.jobs[job_id].record.spec.task_count);
@@ -78,7 +78,7 @@
     }
   }
 
-  void forget(const SliceKey& key) {
+  void erase_slice(const SliceKey& key) {
     occupancy_.mark_slice_dirty(key);
     const auto old = records_.slices.find(key);
     if (old == records_.slices.end()) return;
@@ -116,10 +116,10 @@
     Profile& rebuilt = fresh.profile();
     ASSERT_EQ(updated.count(), rebuilt.count()) << "step " << step;
     for (const PlanMachine& m : rebuilt.machines()) {
-      const auto there = updated.find(m.machine_id);
-      ASSERT_TRUE(there) << m.machine_id.get();
-      ASSERT_EQ(updated.machines()[*there].zone, m.zone);
-      const ResourceTimeline& a = updated.timeline(*there);
+      const auto index = updated.find(m.machine_id);
+      ASSERT_TRUE(index) << m.machine_id.get();
+      ASSERT_EQ(updated.machines()[*index].zone, m.zone);
+      const ResourceTimeline& a = updated.timeline(*index);
       const ResourceTimeline& b = rebuilt.timeline(*rebuilt.find(m.machine_id));
       ASSERT_EQ(a.allocations().size(), b.allocations().size())
           << m.machine_id.get() << " step " << step;
--- a/tests/planner_compression_test.cpp
+++ b/tests/planner_compression_test.cpp
@@ -107,7 +107,7 @@
     planner.restore();
     std::size_t cursor = 0;
     std::size_t in_b = 0;
-    for (const Start& start : planner.compress(cursor)) {
+    for (const JobStart& start : planner.compress(cursor)) {
       for (const Placement& place : start.plan.placements) {
         in_b += planner.profile().machines()[place.machine].zone == ZoneId("b") ? 1 : 0;
       }
--- a/tests/planner_guarantee_test.cpp
+++ b/tests/planner_guarantee_test.cpp
@@ -27,7 +27,7 @@
   EXPECT_GE(r.at(rush.job_id).start, at(110));
 }
 
-TEST(Guarantee, OnlyOverrunsDelayItAndTheDelayIsReported) {
+TEST(Guarantee, OnlyAnOverrunDelaysAGuaranteedStartAndTheDelayIsReported) {
   const JobSpec a = gang("req-a", 1, 2, 10);
   Reservations r{{a.job_id, testing::reserved(5, 15)}};
   Profile p = testing::profile_of_one_machine(2);
@@ -113,7 +113,7 @@
     planner.restore();
     planner.admit_arrivals();
     std::size_t cursor = 0;
-    for (const Start& start : planner.compress(cursor)) {
+    for (const JobStart& start : planner.compress(cursor)) {
       const auto entry = std::find_if(queue_.begin(), queue_.end(),
                                       [&](const auto& i) { return i.job_id == start.job_id; });
       began_.try_emplace(start.job_id.get(), now_);
--- a/tests/planner_scale_test.cpp
+++ b/tests/planner_scale_test.cpp
@@ -20,7 +20,7 @@
 constexpr int kMachines = 620;
 constexpr int kJobs = 200;
 #endif
-constexpr std::uint64_t kMaxLooked = 10ULL * kMachines * kJobs;
+constexpr std::uint64_t kMaxExamined = 10ULL * kMachines * kJobs;
 
 /// Machines of 4 and 8 GPUs in three zones.
 Profile large_cluster() {
@@ -65,12 +65,12 @@
   const auto admitted = planner.profile().candidates_examined();
   // A place is looked for among the machines once, not once for each moment: a few timelines per
   // machine and job, however full the profile is.
-  EXPECT_LT(admitted, kMaxLooked);
+  EXPECT_LT(admitted, kMaxExamined);
   std::size_t cursor = 0;
   const auto starts = planner.compress(cursor);
   EXPECT_EQ(cursor, 0U);
   EXPECT_GT(starts.size(), kJobs / 10);
-  EXPECT_LT(planner.profile().candidates_examined() - admitted, kMaxLooked);
+  EXPECT_LT(planner.profile().candidates_examined() - admitted, kMaxExamined);
 }
 
 }  // namespace
--- a/tests/service_job_plan_test.cpp
+++ b/tests/service_job_plan_test.cpp
@@ -24,7 +24,7 @@
     replica_ = testing::service_job("req-live", 1, 0);
   }
 
-  std::vector<Start> round(std::vector<ReservationDelay>* moved = nullptr) {
+  std::vector<JobStart> run_round(std::vector<ReservationDelay>* moved = nullptr) {
     std::vector<QueueItem> queue{testing::item(replica_, 1, 100), testing::item(later_, 2, 50)};
     if (started_) queue.erase(queue.begin());
     Planner planner(std::move(profile_), queue, reservations_, failed_, testing::at(100),
@@ -58,11 +58,11 @@
 // An end that never comes conflicts with every reservation behind it: a replica would wait for as
 // long as anything is reserved, beside idle room.
 TEST_F(ServiceJobPlanTest, AReplicaDisplacesALaterReservationOfLowerUrgency) {
-  const auto starts = round();
+  const auto starts = run_round();
   ASSERT_EQ(starts.size(), 1U);
   EXPECT_EQ(starts[0].job_id, replica_.job_id);
   std::vector<ReservationDelay> moved;
-  EXPECT_TRUE(round(&moved).empty());
+  EXPECT_TRUE(run_round(&moved).empty());
   EXPECT_TRUE(reservations_.at(later_.job_id).places.empty() ||
               reservations_.at(later_.job_id).start > testing::at(150))
       << "the displaced reservation is placed again";
@@ -70,12 +70,12 @@
 
 TEST_F(ServiceJobPlanTest, AReservationOfTheSameUrgencyIsNotDisplaced) {
   later_.urgency = Urgency::production;
-  EXPECT_TRUE(round().empty());
+  EXPECT_TRUE(run_round().empty());
   EXPECT_EQ(reservations_.at(later_.job_id).start, testing::at(150));
 }
 
 // Where another of the same urgency keeps it out, the others' reservations are not broken in vain.
-TEST_F(ServiceJobPlanTest, NoReservationIsDisplacedInVain) {
+TEST_F(ServiceJobPlanTest, NoReservationIsDisplacedWhenTheReplicaStillCannotStart) {
   JobSpec equal = later_;
   equal.job_id = JobId("req-equal");
   equal.urgency = Urgency::production;
@@ -100,7 +100,7 @@
 
 TEST_F(ServiceJobPlanTest, AReplicaWaitsForRunningTasks) {
   replica_.need.cpus = 50;
-  EXPECT_TRUE(round().empty());
+  EXPECT_TRUE(run_round().empty());
   EXPECT_EQ(reservations_.at(later_.job_id).start, testing::at(150));
 }
 
--- a/tests/support/planner_helpers.hpp
+++ b/tests/support/planner_helpers.hpp
@@ -32,10 +32,10 @@
   return out;
 }
 
-inline std::vector<std::string> started_jobs(const std::vector<Start>& starts) {
+inline std::vector<std::string> started_jobs(const std::vector<JobStart>& starts) {
   std::vector<std::string> out;
   out.reserve(starts.size());
-  for (const Start& start : starts) out.push_back(start.job_id.get());
+  for (const JobStart& start : starts) out.push_back(start.job_id.get());
   return out;
 }
 
--- a/tests/team_without_quota_test.cpp
+++ b/tests/team_without_quota_test.cpp
@@ -107,12 +107,12 @@
   profile.allocate(busy, TeamId("crew"), {WallTime{}, at(1000), {0, 2, 0}, Owner(1)});
   for (int i = 0; i < 8; ++i) {
     const JobSpec probe = low_urgency_batch("req-" + std::to_string(i), "guest", 10);
-    QueueItem asked = item(probe, 2);
-    JobSpec without = probe;
-    without.need = {0.25, 0, 1};
-    asked.demand.job = &without;
-    asked.demand.tasks = 1;
-    const Plan plan = profile.fit_partially(asked.demand, at(10));
+    QueueItem waiting = item(probe, 2);
+    JobSpec cpu_only = probe;
+    cpu_only.need = {0.25, 0, 1};
+    waiting.demand.job = &cpu_only;
+    waiting.demand.tasks = 1;
+    const Plan plan = profile.fit_partially(waiting.demand, at(10));
     ASSERT_EQ(plan.placements.size(), 1U);
     EXPECT_EQ(plan.placements[0].machine, busy);
   }
@@ -138,11 +138,11 @@
   Team guest;
   guest.name = TeamId("guest");
   settings_.teams.push_back(guest);
-  Objective wanted;
-  wanted.kind = Objective::Kind::finished;
-  wanted.job_class = "solve";
-  wanted.within = from_seconds(400);
-  settings_.objectives = {wanted};
+  Objective objective;
+  objective.kind = Objective::Kind::finished;
+  objective.job_class = "solve";
+  objective.within = from_seconds(400);
+  settings_.objectives = {objective};
   cloud_.scales_out = true;
   begin();
   submit(low_urgency_batch("req-1", "guest", 100));
