--- a/src/scheduling/array_search.hpp
+++ b/src/scheduling/array_search.hpp
@@ -1,4 +1,5 @@
-/// The earliest starts for tasks that start separately, as those of an array or a service do. Pure.
+/// Finds the earliest start of each task of an array or a service job, whose tasks start
+/// separately. Pure: changes neither the profile nor the demand.
 #pragma once
 
 #include <functional>
@@ -11,16 +12,18 @@
 
 namespace marblevale {
 
-/// Gives each task the next free slot, the best among equals.
+/// Greedy search: gives each task the slot that is free earliest and, among slots that are free at
+/// the same time, the one with the lowest placement score.
 class ArraySearch {
  public:
-  /// In the zone, or anywhere. Neither profile nor demand may change while the search lives.
+  /// Searches the given zone, or all zones if `zone` is empty. Keeps references to all three
+  /// arguments: they must outlive the search, and must not change during it.
   ArraySearch(const Profile& profile, const Demand& demand, const std::optional<ZoneId>& zone);
-  /// Nothing when not all tasks find a slot from `from` on.
+  /// Returns nothing unless all tasks find a slot at or after `from`.
   [[nodiscard]] std::optional<Plan> earliest(WallTime from);
 
  private:
-  /// Where the next task on a machine could start.
+  /// The earliest start of one more task on a machine.
   struct Slot {
     WallTime free_at;
     double score;
@@ -30,9 +33,9 @@
       return free_at != o.free_at ? free_at > o.free_at : score > o.score;
     }
   };
-  /// The machine's timeline with the tasks that are placed so far.
+  /// The machine's timeline, including the tasks that this search has placed so far.
   [[nodiscard]] const ResourceTimeline& timeline_of(std::size_t machine) const;
-  /// Adds the machine's next slot from `at` on, if it has one.
+  /// Queues the machine's next slot at or after `at`, if it has one.
   void push_slot(std::size_t machine, Duration run, WallTime at);
   [[nodiscard]] bool zone_is_full(const Slot& slot);
   [[nodiscard]] bool team_can_fit(const Slot& slot) const;
--- a/src/scheduling/arrival_step.cpp
+++ b/src/scheduling/arrival_step.cpp
@@ -5,12 +5,14 @@
 namespace marblevale {
 
 namespace {
-// Of the round's budget: what arrivals may use up, so that compression has its turn.
+// Share of the round's budget that may be spent when an arrival still moves other jobs. The rest is
+// kept for compression.
 constexpr double kArrivalShare = 0.7;
-// Beyond that share an arrival is still placed, without trying others before it: a job without a
-// reservation can't start, however much room is idle.
+// Up to this share an arrival still gets a reservation, but moves no other job. A job without a
+// reservation can't start, even on an idle cluster.
 constexpr double kLastArrivalShare = 0.85;
-// In a long queue, trying all jobs before a new one would cost more than the round has.
+// In a long queue, trying to move all jobs of higher priority would cost more than the round's
+// budget.
 constexpr std::size_t kMaxMoveAttempts = 6;
 }  // namespace
 
--- a/src/scheduling/compression.cpp
+++ b/src/scheduling/compression.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// What is started in a round is allocated apart from the job's reservation.
+/// Tasks started in this round are allocated under another owner than the job's reservation, so
+/// that either can be released alone.
 Owner started_owner(Owner reservation_owner) {
   constexpr std::uint64_t kStartedBit = 1ULL << 63;
   return Owner{reservation_owner.get() | kStartedBit};
@@ -85,7 +86,7 @@
   const bool is_due = reserved.placements.size() == item.demand.tasks &&
                       !reserved.placements.empty() && reserved.start() <= round_.now;
   if (!is_due) return std::nullopt;
-  // Its own places, if their images are there: nothing better is to be found.
+  // If the image is already on all reserved machines, no other plan can be better.
   const bool has_images = std::all_of(
       reserved.placements.begin(), reserved.placements.end(), [&](const Placement& placement) {
         const PlanMachine& machine = round_.profile.machines()[placement.machine];
@@ -103,14 +104,14 @@
   const ResourceTimeline* team = round_.profile.team_timeline(job.team);
   const Resources wanted = job.need * static_cast<double>(plan.placements.size());
   if (team != nullptr && !team->can_fit(wanted, round_.now, plan.end())) return std::nullopt;
-  // Examined before any gives way: a job that waits here for long must not break the reservations
-  // of others in every round.
+  // All reservations are checked before any is released. Otherwise a job that waits here for a long
+  // time would break the reservations of other jobs in every round.
   const std::vector<const QueueItem*> in_the_way = reserved_on(plan, item.job_id);
   const bool all_lower = std::all_of(
       in_the_way.begin(), in_the_way.end(),
       [&job](const QueueItem* other) { return other->demand.job->urgency < job.urgency; });
   if (!all_lower) return std::nullopt;
-  // The next round places them again, and reports what that costs them.
+  // The next round places the released reservations again and reports their delays.
   for (const QueueItem* other : in_the_way) round_.profile.release(other->owner);
   if (!round_.still_fits(plan, item.demand)) return std::nullopt;
   return plan;
@@ -144,7 +145,7 @@
                                           item.task_indices.begin() + count);
   allocate_running(item, plan);
   reduce_demand(item, plan);
-  // Its reserved time is given up.
+  // The job no longer uses its team's limit at the reserved time.
   round_.profile.mark_team_capacity_freed(item.demand.job->team);
   starts_.push_back({item.job_id, std::move(plan), std::move(task_indices)});
   if (item.demand.tasks == 0) {
@@ -157,7 +158,8 @@
 }
 
 std::vector<std::size_t> Compression::free_unused_places(const QueueItem& item, const Plan& plan) {
-  // Those that it starts on are not among them, unless they were reserved for later.
+  // A machine on which the job starts counts as freed only if its place there was reserved for
+  // later.
   std::vector<std::size_t> freed_machines;
   const Plan reserved = round_.plan_of(round_.reservations.at(item.job_id));
   for (const Placement& place : reserved.placements) {
@@ -173,7 +175,8 @@
 }
 
 void Compression::allocate_running(const QueueItem& item, const Plan& plan) {
-  // As what runs: from the beginning of time, so that a full machine is seen at a glance.
+  // Running tasks are allocated from time 0, so that `no_room_beside_running` detects a full
+  // machine quickly.
   Plan running = plan;
   for (Placement& placement : running.placements) placement.start = WallTime{};
   const Owner owner = started_owner(item.owner);
@@ -212,7 +215,8 @@
 
 std::size_t Compression::unblock_up_to(std::size_t position,
                                        const std::vector<std::size_t>& freed_machines) {
-  // Back to the front of the queue (2.1): to the first that could use what was given up.
+  // Section 2.1 of the paper: return to the first job in the queue that could use the freed
+  // capacity.
   std::size_t next = position + 1;
   if (freed_machines.empty()) return next;
   for (std::size_t k = 0; k <= position; ++k) {
--- a/src/scheduling/compression.hpp
+++ b/src/scheduling/compression.hpp
@@ -15,48 +15,51 @@
   std::vector<std::uint32_t> task_indices;  // as many as placements
 };
 
-/// One pass over the queue. After each start it goes back to the first job that could use what the
-/// start gave up.
+/// One pass over the queue. After each start the pass returns to the first job that could use the
+/// capacity that the start freed.
 class Compression {
  public:
   explicit Compression(PlanningRound& round)
       : round_(round), states_(round.queue.size(), JobState::pending) {}
-  /// Begins at the queue's position `cursor`. Sets it to where the budget ended, or to 0 when the
-  /// whole queue was tried.
+  /// Begins at the queue position `cursor`. Sets `cursor` to the position at which the budget ran
+  /// out, or to 0 when the whole queue was tried.
   std::vector<JobStart> run(std::size_t& cursor);
-  /// The owners under which what was started is allocated in the profile.
+  /// The owners under which the started tasks are allocated in the profile.
   [[nodiscard]] const std::vector<Owner>& started_owners() const { return started_owners_; }
 
  private:
   enum class JobState {
-    pending,  // to be tried
-    blocked,  // tried since anything that it could use was given up
-    settled   // started, or without room beside what runs, which no moved
-              // reservation changes
+    pending,  // not tried yet
+    blocked,  // tried and not started; no capacity that it could use was freed since
+    settled   // started, or running tasks leave no room, which moved reservations can't change
   };
   [[nodiscard]] bool may_start(std::size_t position) const;
-  /// The plan with which the job can start now. Its own reservation is released.
+  /// Returns a plan with which the job can start now. Expects that the job's own reservation has
+  /// been released.
   [[nodiscard]] std::optional<Plan> plan_start(const QueueItem& item);
   [[nodiscard]] std::optional<Plan> plan_due_reservation(const QueueItem& item) const;
-  /// A service job never fits before reservations, as it has no end. It starts all the same where
-  /// nothing runs, if only reservations of lower urgency are in its way: these are placed again.
+  /// Plans a service job over reservations of lower urgency. A service job has no end and so never
+  /// fits before a reservation; it may start where no task runs if all reservations in its way are
+  /// of lower urgency. These reservations are released, and the next round places them again.
   [[nodiscard]] std::optional<Plan> displace_reservations(const QueueItem& item);
-  /// Those in the queue, other than `except`, that have a place on one of the plan's machines.
+  /// The queued jobs, other than `except`, that have a reserved place on one of the plan's
+  /// machines.
   [[nodiscard]] std::vector<const QueueItem*> reserved_on(const Plan& plan,
                                                           const JobId& except) const;
-  /// Tries the job at the position; what is to be tried next.
+  /// Tries to start the job at the position. Returns the position to try next.
   std::size_t try_start(std::size_t position);
-  /// Starts the job at the position; what is to be tried next.
+  /// Starts the job at the position. Returns the position to try next.
   std::size_t start(std::size_t position, Plan plan);
-  /// The machines on which the job gives up a reserved place by starting with this plan.
+  /// Marks the reserved places that the plan does not use as freed, and returns their machines.
   std::vector<std::size_t> free_unused_places(const QueueItem& item, const Plan& plan);
   void allocate_running(const QueueItem& item, const Plan& plan);
-  /// Takes the started tasks out of what the job still asks for.
+  /// Removes the started tasks from the job's remaining demand.
   void reduce_demand(QueueItem& item, const Plan& plan) const;
-  /// The tasks that did not start keep the job's later places; the earliest are given up.
+  /// Keeps the latest reserved places for the tasks that did not start, and drops the earliest
+  /// ones.
   void reserve_remaining_tasks(const QueueItem& item);
-  /// Makes the jobs up to the position pending again that could use the freed machines; the first
-  /// of them, or the next position.
+  /// Makes the blocked jobs up to the position that could use the freed machines pending again.
+  /// Returns the position of the first of these jobs, or the position after `position`.
   std::size_t unblock_up_to(std::size_t position, const std::vector<std::size_t>& freed_machines);
   [[nodiscard]] bool could_start_on(const QueueItem& item,
                                     const std::vector<std::size_t>& machines) const;
--- a/src/scheduling/failed_starts.cpp
+++ b/src/scheduling/failed_starts.cpp
@@ -5,9 +5,10 @@
 namespace marblevale {
 
 namespace {
-// A failed start is retried after this in any case.
+// A failed start is retried after this time even if no capacity was freed.
 constexpr Duration kFailedStartMaxAge{10'000};
-// Beyond the estimated run, for image fetches: a team with room for so long is not at its limit.
+// Longest image fetch that is added to the estimated run when checking the team's limit. A team
+// with room for that long is not at its limit.
 constexpr Duration kLongestFetch{120'000};
 
 bool has_same_demand(const FailedStart& failure, const Demand& demand) {
@@ -23,7 +24,7 @@
   const FailedStart& failure = known->second;
   const Demand& demand = item.demand;
   if (!has_same_demand(failure, demand) || now - failure.at > kFailedStartMaxAge) return false;
-  // Its own time has come: what kept the room for it until now was its own reservation.
+  // The job's reserved start has come, so its own reservation no longer keeps the room for later.
   if (reservations.at(item.job_id).first_start() <= now) return false;
   if (failure.at_team_limit) {
     return !profile.team_capacity_freed_since(demand.job->team, failure.version);
@@ -38,7 +39,8 @@
   Demand longest = demand;
   longest.run = demand.run + kLongestFetch;
   const bool at_limit = !search.team_can_fit(demand, now);
-  // Where only a longer run would exceed the limit, it is unknown which of the two was in the way.
+  // If only the longer run would exceed the limit, it is unknown whether the limit or the machines
+  // had no room, so the job is retried in each round.
   if (!at_limit && !search.team_can_fit(longest, now)) {
     failed_starts.erase(item.job_id);
     return;
--- a/src/scheduling/gang_search.cpp
+++ b/src/scheduling/gang_search.cpp
@@ -8,8 +8,8 @@
 namespace marblevale {
 
 namespace {
-// Later than all moments, and so compared as one: an optional would have to be told apart in every
-// comparison of the search.
+// Compares as later than any real moment. An optional would need a special case in every comparison
+// of the search.
 constexpr WallTime kNever = WallTime::max();
 }  // namespace
 
@@ -34,7 +34,7 @@
     }
     auto plan = search.fit_in_zone(demand_, at, zone_, PlacementSearch::Completeness::all_tasks);
     if (plan) return plan;
-    // It fits by count, but not for as long as it would take.
+    // Enough slots are free now, but not for as long as the gang would run.
     at = next_change_after(at);
     if (at == kNever) return std::nullopt;
   }
--- a/src/scheduling/gang_search.hpp
+++ b/src/scheduling/gang_search.hpp
@@ -1,4 +1,5 @@
-/// The earliest moment at which all tasks of a gang can start together. Pure.
+/// Finds the earliest moment at which all tasks of a gang can start together. Pure: changes neither
+/// the profile nor the demand.
 #pragma once
 
 #include <optional>
@@ -8,29 +9,31 @@
 
 namespace marblevale {
 
-/// For each slot that a task could have on a machine (the first, the second, ...), keeps the next
-/// moment at which it is free. The gang can't start before as many are free as it has tasks, so
-/// that moment is tried next; only machines that were free before it are asked anew.
+/// Keeps, for each number of tasks that fit on a machine together, the next moment at which the
+/// machine has room for them (a slot). The gang can't start before as many slots are free as it has
+/// tasks, so the search jumps to that moment, and then queries only the slots that were free
+/// before it again.
 class GangSearch {
  public:
-  /// In the zone, or anywhere. Neither profile nor demand may change while the search lives.
+  /// Searches the given zone, or all zones if `zone` is empty. Keeps references to all three
+  /// arguments: they must outlive the search, and must not change during it.
   GangSearch(const Profile& profile, const Demand& demand, const std::optional<ZoneId>& zone)
       : profile_(profile), demand_(demand), zone_(zone) {}
-  /// Nothing when no moment from `from` on is found.
+  /// Returns nothing when no moment at or after `from` is found within `kMaxSearchSteps`.
   [[nodiscard]] std::optional<Plan> earliest(WallTime from);
 
  private:
   struct Slot {
     WallTime free_at;
     std::size_t machine;
-    std::uint32_t nth;  // on its machine, from 1
+    std::uint32_t nth;  // tasks for which the machine has room at `free_at`, from 1
     Duration run{};
   };
   void collect_slots(WallTime from);
   void update(Slot& slot, WallTime at) const;
-  /// The first moment from `at` on at which the gang has as many free slots as it needs.
+  /// The first moment at or after `at` at which the gang has as many free slots as it needs.
   WallTime enough_slots_at(WallTime at);
-  /// The next moment after `at` at which any slot or machine changes.
+  /// The next moment after `at` at which a slot becomes free or the use of a machine changes.
   [[nodiscard]] WallTime next_change_after(WallTime at) const;
 
   const Profile& profile_;
--- a/src/scheduling/image_set.hpp
+++ b/src/scheduling/image_set.hpp
@@ -1,5 +1,5 @@
-/// The images that a machine holds, in a form that placement can query for every machine of a
-/// cluster, many times a second.
+/// The images that a machine holds, in a compact form, because placement queries it for every
+/// machine of a cluster many times a second.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace marblevale {
 
-/// An image's hash. Two images with one key would only distort an estimate of a fetch.
+/// Hash of an image id. A collision of two images only makes an estimated fetch time wrong.
 using ImageKey = StrongType<struct ImageKeyTag, std::uint64_t>;
 
 inline ImageKey key_of(const ImageId& image) { return ImageKey(std::hash<ImageId>{}(image)); }
--- a/src/scheduling/job_queue.cpp
+++ b/src/scheduling/job_queue.cpp
@@ -8,25 +8,29 @@
 
 namespace {
 
-constexpr Duration kMinRun{5'000};        // a job is planned for this long at the least
+constexpr Duration kMinRun{5'000};        // shortest run that a job is planned with
 constexpr double kEstimateMargin = 1.15;  // estimates are often too low
-/// A job that has never begun goes first of its rank from here on: the widest must begin within
-/// four minutes, and a wide one needs its time until it has room. Without this, jobs that have
-/// missed their objectives wait behind all newcomers whose reservations overrun into theirs.
+/// A job that has never begun ranks before others of its urgency and guarantee after this wait. The
+/// widest job must begin within four minutes, and a wide job needs time until enough machines are
+/// free. Without this rule, jobs that have missed their objectives would wait behind all newer jobs
+/// whose runs overrun into their reservations.
 constexpr Duration kOverdueWait{150'000};
-/// Of a long array, how many tasks wait in the queue at once: enough that it can start on much room
-/// at once, few enough that 100,000 tasks cost neither as many reservations nor as many writes.
+/// Most tasks of one array that are queued at the same time: enough to use many free machines in
+/// one round, and few enough that an array of 100,000 tasks needs neither that many reservations
+/// nor that many writes.
 constexpr std::size_t kMaxQueuedTasks = std::size_t{4} * kSliceTasks;
 
-/// An array that failed on that many machines and has not worked anywhere is taken for mistaken.
+/// An array whose tasks failed on this many machines, and worked on none, is assumed to be faulty
+/// itself.
 constexpr std::size_t kFaultyJobMachines = 3;
-/// The same for one task: its record names only the last machine.
+/// A single task is assumed to be faulty after this many errors. Its record names only the last
+/// machine on which it failed, so machines can't be counted.
 constexpr std::uint32_t kFaultyJobFaults = 3;
-/// A task that ran this long is not mistaken.
+/// A task that has run for this long counts as working.
 constexpr Duration kProvenRun{4'000};
 
-/// How long a task waits after its `faults`-th error. The first retry is at once, elsewhere; a job
-/// that keeps failing gives way to the others.
+/// Backoff after a task's `faults`-th error. The first retry is immediate, on another machine. The
+/// backoff grows so that a job that keeps failing leaves capacity to other jobs.
 Duration retry_backoff(std::uint32_t faults) {
   switch (faults) {
     case 0:
@@ -41,12 +45,12 @@
   }
 }
 
-/// What a job's task records say about its waiting tasks and about its past.
+/// Collects a job's waiting tasks and its history from its task records.
 class TaskScan {
  public:
   TaskScan(const JobSpec& job, WallTime now) : job_(job), now_(now), progress_(job.estimated_run) {}
 
-  /// `task` is null for one that has no record yet.
+  /// `task` is null for a task that has no record yet.
   void add(std::uint32_t task_index, const TaskRecord* task) {
     if (task != nullptr) add_history(*task);
     if (is_waiting(task)) add_waiting(task_index, task);
@@ -55,23 +59,24 @@
   [[nodiscard]] std::size_t waiting_count() const { return ready_.size() + backing_off_.size(); }
   [[nodiscard]] bool has_begun() const { return has_begun_; }
   [[nodiscard]] bool has_placed() const { return !placed_tasks_.empty(); }
-  /// The least that any waiting task has saved.
+  /// The least saved progress of any waiting task.
   [[nodiscard]] Duration progress() const { return progress_; }
   [[nodiscard]] const std::map<ZoneId, std::uint32_t>& placed_tasks() const {
     return placed_tasks_;
   }
-  /// It failed again and again, and has worked nowhere.
+  /// True when the job failed repeatedly and none of its tasks has worked.
   [[nodiscard]] bool is_failing() const {
     return !has_worked_ &&
            (failed_on_.size() >= kFaultyJobMachines || max_faults_ >= kFaultyJobFaults);
   }
 
-  /// The tasks to be placed, and when.
+  /// The tasks to place, and the earliest time at which they may start.
   struct Selection {
     std::vector<std::uint32_t> task_indices;
     WallTime not_before;
   };
-  /// Nothing while none is to be placed. The last question to a scan: it hands over its lists.
+  /// Returns nothing while no task may be placed. Moves the lists out of the scan, so it must be
+  /// the last call.
   [[nodiscard]] std::optional<Selection> take_selection();
 
  private:
@@ -89,7 +94,7 @@
   WallTime first_retry_ = WallTime::max();
   WallTime last_fault_;
   std::uint32_t max_faults_ = 0;             // of one waiting task
-  std::optional<std::uint32_t> worst_task_;  // the one that has failed most
+  std::optional<std::uint32_t> worst_task_;  // the task with the most errors
   std::set<MachineId> failed_on_;
   std::map<ZoneId, std::uint32_t> placed_tasks_;
   bool has_worked_ = false;
@@ -98,7 +103,7 @@
 
 bool TaskScan::is_waiting(const TaskRecord* task) const {
   if (task == nullptr || task->state == TaskState::idle) return true;
-  // Replicas of a service job are never done, whoever wrote that one is.
+  // Replicas of a service job never complete, so a record that says `done` is treated as waiting.
   return job_.endless() && task->state == TaskState::done;
 }
 
@@ -141,21 +146,21 @@
 }
 
 std::optional<TaskScan::Selection> TaskScan::select_gang() {
-  // A gang starts whole: not before all its earlier tasks are proven gone.
+  // A gang starts only as a whole, after all its earlier tasks are proven to have ended.
   if (has_placed() || waiting_count() != job_.task_count) return std::nullopt;
   Selection all{std::move(ready_), WallTime{}};
   all.task_indices.insert(all.task_indices.end(), backing_off_.begin(), backing_off_.end());
   std::sort(all.task_indices.begin(), all.task_indices.end());
-  // It waits as a whole. When one of its tasks fails, the others only end with it and have no
-  // backoff of their own: counted by them, a gang with a mistake would begin again every few
-  // seconds, and preempt others each time.
+  // The backoff of the task that failed applies to the whole gang. The other tasks only end with it
+  // and have no backoff of their own. If the gang did not wait for the failed task's backoff, a
+  // faulty gang would start again every few seconds and preempt other jobs each time.
   if (!backing_off_.empty()) all.not_before = last_fault_ + retry_backoff(max_faults_);
   return all;
 }
 
 std::optional<TaskScan::Selection> TaskScan::select_probe() const {
-  // Submitted with a mistake, it seems: one task at a time is retried, until one works. With a
-  // backoff for each task alone, 14 of them failed 68 times in 90 s and preempted others.
+  // The job seems faulty, so only one task at a time is retried until one works. With a separate
+  // backoff for each task, 14 tasks failed 68 times in 90 s and preempted other jobs.
   if (has_placed()) return std::nullopt;
   return Selection{{*worst_task_}, last_fault_ + retry_backoff(max_faults_)};
 }
@@ -201,7 +206,7 @@
   return scan;
 }
 
-/// Nothing when none of the job's tasks is to be placed.
+/// Returns nothing when none of the job's tasks may be placed.
 std::optional<QueueItem> make_queue_item(const JobId& job_id, const JobRecord& job,
                                          const CurrentSlice& current, WallTime now) {
   const JobSpec& spec = job.spec;
@@ -226,7 +231,8 @@
   return item;
 }
 
-/// The last start that meets the objective; nothing when it sets the job no start.
+/// The latest start that meets the objective. Returns nothing when the objective does not limit the
+/// job's start.
 std::optional<WallTime> latest_start(const Objective& objective, const JobSpec& job,
                                      const QueueItem& item) {
   switch (objective.kind) {
@@ -238,7 +244,7 @@
       if (!job.deadline) return std::nullopt;
       return item.accepted + *job.deadline - scaled(item.demand.run, kEstimateMargin);
     case Objective::Kind::guarantee:
-      return std::nullopt;  // has a rank of its own
+      return std::nullopt;  // guaranteed jobs have their own rank
   }
   return std::nullopt;
 }
@@ -254,8 +260,8 @@
   if (item.target) item.objectives_missed = false;
 }
 
-/// The zone that has most of the array. A new one goes anywhere, decided by its id, so that no zone
-/// is favoured.
+/// The zone that has most tasks of the array. A new array gets a zone by the hash of its id, so
+/// that no zone is favoured.
 ZoneId preferred_zone(const QueueItem& item, const Settings& settings) {
   const auto& placed_tasks = item.demand.placed_tasks;
   const auto most = std::max_element(
--- a/src/scheduling/job_queue.hpp
+++ b/src/scheduling/job_queue.hpp
@@ -1,5 +1,5 @@
-/// The compression queue as the records give it: which jobs wait, with which tasks, and how they
-/// rank. Pure.
+/// Builds the compression queue from the records: the waiting jobs, their tasks to be placed, and
+/// the properties that decide their rank. Pure.
 #pragma once
 
 #include <functional>
@@ -12,17 +12,19 @@
 
 namespace marblevale {
 
-/// A slice as the leader knows it: what it has committed may be ahead of the records.
+/// Looks up a slice in its latest state that the leader knows; the leader's own commits may be
+/// newer than the records. Returns null when the slice has no record yet.
 using CurrentSlice = std::function<const SliceRecord*(const JobId&, std::uint32_t)>;
 
 /// The owner of a job's reservation in the profile.
 Owner owner_of(const JobId& job_id);
 
-/// Jobs that fit into their team's guarantee along with the team's earlier unfinished jobs.
+/// The jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
 std::unordered_set<JobId> guaranteed_jobs(const Records& records, const Settings& settings);
 
-/// The waiting jobs, in no order. `prefer_one_zone`: arrays keep to one zone where they can, since
-/// each shard holder's binding is a write.
+/// Returns the waiting jobs, unsorted. With `prefer_one_zone`, arrays prefer a single zone: each
+/// shard holder that binds tasks costs a write to the state service, so fewer zones cost fewer
+/// writes.
 std::vector<QueueItem> build_queue(const Records& records, const Settings& settings,
                                    const CurrentSlice& current, WallTime now, bool prefer_one_zone);
 
--- a/src/scheduling/machine_evacuation.cpp
+++ b/src/scheduling/machine_evacuation.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr Duration kCheckpointMargin{3'000};  // before a machine is taken back
+constexpr Duration kCheckpointMargin{3'000};  // time left between the checkpoint and the reclaim
 constexpr Duration kGraceMargin{2'000};
 constexpr const char* kReclaimedReason = "the cloud takes its machine back";
 constexpr const char* kGivenUpReason = "its machine is given up";
@@ -13,7 +13,7 @@
   return machine.state == MachineState::quarantined || machine.state == MachineState::draining;
 }
 
-/// Adds the job's tasks for which `leaves` holds.
+/// Adds the job's placed tasks that satisfy `must_leave` and are not being stopped already.
 template <typename Predicate>
 void add_tasks(Evacuation& out, const JobId& job_id, const Records& records,
                const Predicate& must_leave) {
@@ -28,7 +28,7 @@
   }
 }
 
-/// All replicas of the job are placed, and none is being stopped.
+/// True when all replicas of the job are running and none is being stopped.
 bool all_replicas_running(const JobSpec& job, const Records& records) {
   std::uint32_t placed = 0;
   for (auto it = records.slices.lower_bound({job.job_id, 0});
@@ -40,7 +40,7 @@
   return placed == job.task_count;
 }
 
-/// Jobs with tasks on machines that are about to go.
+/// The jobs with tasks that have to leave machines that are reclaimed, drained or quarantined.
 std::set<JobId> affected_jobs(const Records& records, WallTime now) {
   std::set<JobId> out;
   for (const auto& [machine_id, machine] : records.machines) {
--- a/src/scheduling/machine_evacuation.hpp
+++ b/src/scheduling/machine_evacuation.hpp
@@ -1,4 +1,5 @@
-/// Graceful eviction: which tasks have to leave machines that are about to go, ahead of the loss.
+/// Graceful eviction: chooses the tasks to stop on machines that will be lost or are taken out of
+/// service, before the machine is gone. Pure.
 #pragma once
 
 #include <map>
@@ -9,17 +10,18 @@
 
 namespace marblevale {
 
-/// Tasks of one job that are to be stopped on their machines, by slice and index in it.
+/// Tasks of one job to stop, by slice number and index in the slice.
 struct Evacuation {
   std::map<std::uint32_t, std::set<std::size_t>> tasks;
   Duration grace_period{};
-  const char* reason = "";  // for the members
+  const char* reason = "";  // sent with the stop, and noted on the job
 };
 
-/// Tasks that can write a checkpoint are stopped as late as writing it allows, a gang whole.
-/// Replicas of service jobs leave machines that the cloud takes back as soon as that is known, and
-/// those that are drained or quarantined one replica of a job at a time: they would stay there for
-/// ever.
+/// Returns the tasks to stop now, by job. On machines that the cloud takes back, tasks that can
+/// write a checkpoint are stopped as late as the checkpoint's write time allows, a gang as a whole,
+/// and replicas of service jobs as soon as the reclaim is known. Replicas also leave drained and
+/// quarantined machines, because they have no end and would stay there forever: one replica of a
+/// job at a time, and only while all its replicas are running.
 std::map<JobId, Evacuation> find_evacuations(const Records& records, WallTime now);
 
 }  // namespace marblevale
--- a/src/scheduling/occupancy.cpp
+++ b/src/scheduling/occupancy.cpp
@@ -7,12 +7,13 @@
 
 namespace {
 constexpr Duration kMinRun{5'000};
-constexpr Duration kEndTolerance{1'000};  // an end this near has been reached
+constexpr Duration kEndTolerance{1'000};  // an estimated end this near counts as reached
 constexpr double kOverrunExtensionShare = 0.2;
-constexpr Duration kPlanningStep{1000};  // of ends: fewer steps make timelines quicker to ask
+// Estimated ends are rounded up to this step: timelines with fewer steps are faster to query.
+constexpr Duration kPlanningStep{1000};
 
 Owner owner_of(const SliceKey& key) {
-  // Apart from the owners of reservations and starts by its second bit.
+  // Bit 62 keeps these owners apart from those of reservations and of tasks started in a round.
   const std::uint64_t hash = std::hash<JobId>{}(key.job_id) * 31 + key.number;
   return Owner{(hash & ~(3ULL << 62)) | (1ULL << 62)};
 }
@@ -51,7 +52,8 @@
 }
 
 ImageSet Occupancy::images_at(const MachineId& machine_id, const Records& records) const {
-  // The record has what ran there; the guess adds what is being fetched.
+  // The machine's record has the images of tasks that ran there. `images_` adds the ones that are
+  // probably being fetched.
   ImageSet out;
   images_.add_to(out, machine_id);
   if (const auto it = records.machines.find(machine_id); it != records.machines.end()) {
@@ -65,7 +67,7 @@
   const auto machine = records.machines.find(machine_id);
   if (placed == records.placed.end() || machine == records.machines.end()) return 0;
   std::set<ImageId> fetching_images;
-  // Tasks of one slice follow one another: what they share is looked up once.
+  // Tasks of one slice follow one another, so their slice and job are looked up once.
   SliceKey key;
   const Versioned<SliceRecord>* slice = nullptr;
   const JobRecord* job = nullptr;
@@ -99,7 +101,8 @@
 }
 
 void Occupancy::sync_machine(const MachineId& machine_id, const Records& records, WallTime now) {
-  mark_slices_on_dirty(machine_id, records);  // where they count, and how long their fetch takes
+  // The machine affects where its tasks are allocated and how long their image fetches take.
+  mark_slices_on_dirty(machine_id, records);
   PlanMachine properties;
   const auto record = records.machines.find(machine_id);
   const auto booting_entry = booting_.find(machine_id);
@@ -110,7 +113,8 @@
     properties.machine_type = m.machine_type;
     properties.zone = m.zone;
     properties.spot = m.spot;
-    // Up since long: the present moment would look like a delay at each change.
+    // A machine that is up has been ready since before now. With `now`, each update would look like
+    // a delay of the machine.
     properties.ready = std::min(now, m.since);
   } else if (booting_entry != booting_.end()) {
     usable = true;
@@ -223,7 +227,8 @@
       dirty_machines_.insert(machine_id);
   }
   booting_ = std::move(new_booting);
-  // What is pending now, and what no longer is.
+  // Slices that were pending at the last `sync` are read again too, because their changes may have
+  // been recorded or dropped.
   for (const SliceKey& key : last_pending_) dirty_slices_.insert(key);
   last_pending_.clear();
   for (const auto& [key, slice] : pending) {
--- a/src/scheduling/occupancy.hpp
+++ b/src/scheduling/occupancy.hpp
@@ -1,5 +1,6 @@
-/// What runs where: updates a profile incrementally from one change of the records to the next. A
-/// profile built from all records at the same moment would be equal; a test compares the two.
+/// Keeps the profile of running tasks in step with the records, incrementally with each change.
+/// After `sync` it equals a profile that is built from all records at that moment; a test compares
+/// the two.
 #pragma once
 
 #include <map>
@@ -13,7 +14,7 @@
 
 namespace marblevale {
 
-/// A machine that is provisioned and has not sent a heartbeat yet.
+/// A machine that was provisioned and has not sent a heartbeat yet.
 struct BootingMachine {
   MachineId machine_id;
   std::string machine_type;
@@ -22,7 +23,7 @@
   WallTime ready;  // estimated
 };
 
-/// Images that machines are probably fetching: those of tasks that are bound there.
+/// The images that machines are expected to hold soon, because tasks that use them are bound there.
 class ExpectedImages {
  public:
   void record_use(const MachineId& machine_id, const ImageId& image, double gb, double cache_gb);
@@ -33,30 +34,33 @@
   std::unordered_map<MachineId, std::vector<CachedImage>> images_;
 };
 
-/// The estimated end of a placed task. Each time an overrunning task reaches it, it is extended by
-/// a fifth of the estimated run.
+/// Returns the estimated end of a placed task. An estimated end that has been reached is extended
+/// in steps of a fifth of the job's estimated run until it is in the future.
 WallTime estimated_end(const TaskRecord& task, const JobSpec& job, const Records& records,
                        WallTime now);
 
-/// Owns the profile, and the marks of what has changed since the last `sync`.
+/// Owns the profile, and the set of machines and slices that changed since the last `sync`.
 class Occupancy {
  public:
   using Slices = std::map<SliceKey, const SliceRecord*>;
 
-  /// Marks what changed; the next `sync` reads it again.
+  /// Marks a machine or slice as changed; the next `sync` reads its records again.
   void mark_machine_dirty(const MachineId& machine_id) { dirty_machines_.insert(machine_id); }
   void mark_slice_dirty(const SliceKey& key) { dirty_slices_.insert(key); }
   /// The next `sync` rebuilds the profile from all records.
   void reset() { rebuild_ = true; }
 
-  /// Zones whose machines can't be reached: nothing is to be placed there meanwhile.
+  /// Sets the zones whose machines can't be reached. The next `sync` removes their machines from
+  /// the profile, so that no task is placed there.
   void set_unreachable_zones(const std::set<ZoneId>& zones, const Records& records);
-  /// Brings the profile up to date with what was marked. `pending` are slices as this controller
-  /// has committed them, or is about to, and that the records may not show yet.
+  /// Updates the profile for all marked machines and slices. `pending` holds slices that this
+  /// controller has committed, or is about to commit, and that the records may not show yet; they
+  /// replace the recorded ones.
   void sync(const Records& records, const std::vector<Team>& teams, const Slices& pending,
             const std::vector<BootingMachine>& booting, WallTime now);
 
-  /// Lent to a round's planner, which gives it back as it was.
+  /// The planner of a round takes the profile from here and puts it back without the allocations of
+  /// the starts of that round.
   [[nodiscard]] Profile& profile() { return profile_; }
   [[nodiscard]] ImageSet images_at(const MachineId& machine_id, const Records& records) const;
 
@@ -74,13 +78,11 @@
   std::set<MachineId> dirty_machines_;
   std::set<SliceKey> dirty_slices_;
   std::map<MachineId, BootingMachine> booting_;
-  std::map<SliceKey, std::set<MachineId>>
-      machines_of_slice_;  // machines on which the slice has tasks
-  std::set<std::pair<WallTime, SliceKey>>
-      earliest_ends_;  // when the first of a slice's likely ends is reached
-  std::map<SliceKey, WallTime> earliest_end_of_slice_;  // as it stands in `earliest_ends_`
+  std::map<SliceKey, std::set<MachineId>> machines_of_slice_;
+  std::set<std::pair<WallTime, SliceKey>> earliest_ends_;  // earliest estimated end per slice
+  std::map<SliceKey, WallTime> earliest_end_of_slice_;     // the slice's entry in `earliest_ends_`
   std::set<SliceKey> last_pending_;
-  std::set<MachineId> machines_to_refresh_;  // machines whose images are to be looked at again
+  std::set<MachineId> machines_to_refresh_;  // their images are refreshed at the end of `sync`
 };
 
 }  // namespace marblevale
--- a/src/scheduling/placement_score.cpp
+++ b/src/scheduling/placement_score.cpp
@@ -4,16 +4,17 @@
 
 namespace {
 
-// Each in seconds of waiting that avoiding it is worth.
-constexpr double kPriceSeconds = 30;      // the dearest machine, used whole
-constexpr double kStrandedSeconds = 30;   // a whole machine's stranded accelerators
-constexpr double kOtherZoneSeconds = 10;  // leaving the preferred zone
-// A job with a deadline can rather wait for its image than take what others can't do without.
+// Weights, as the seconds of waiting that a task would accept to avoid the drawback.
+constexpr double kPriceSeconds = 30;      // using all of the most expensive machine
+constexpr double kStrandedSeconds = 30;   // stranding all accelerators of a machine
+constexpr double kOtherZoneSeconds = 10;  // a machine outside the preferred zone
+// A job with a deadline can wait for an image fetch better than the other jobs, so its fetch time
+// weighs less and it leaves them the machines that have the image.
 constexpr double kDeadlineFetchWeight = 0.3;
 constexpr double kGangFullnessWeight = 0.2;
 constexpr Duration kPlanningStep{1000};
 
-/// The finalizer of splitmix64: spreads what differs in a few bits.
+/// The finalizer of splitmix64: inputs that differ in a few bits get unrelated outputs.
 std::uint64_t mix_bits(std::uint64_t x) {
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
@@ -26,16 +27,18 @@
              : 0;
 }
 
-/// The share of a machine's accelerators that the task leaves without what they need.
+/// The share of a machine's accelerators that other tasks could not use beside the task, because it
+/// takes the CPUs or memory that these accelerators need.
 double stranded_share(const JobSpec& job, const PlanMachine& machine, const Resources& free) {
-  // What it takes of memory or CPUs beyond its share of the accelerators strands the rest of them,
-  // on ordinary machines for jobs that may use no others.
+  // CPUs or memory that the task takes beyond its share of the accelerators strand other
+  // accelerators. This counts on on-demand machines only, because jobs that don't allow spot
+  // machines depend on these.
   const bool may_strand = !machine.spot && job.need.gpus > 0 && machine.resources.gpus > 0;
   const double excess_share =
       may_strand ? share_of(job.need, machine.resources) - job.need.gpus / machine.resources.gpus
                  : 0;
-  // One that takes no accelerators leaves those of its machine without CPUs: rather where they are
-  // in use already.
+  // A task without accelerators takes CPUs that the machine's free accelerators need, so it prefers
+  // a machine whose accelerators are in use.
   const bool takes_no_gpus = job.need.gpus <= 0 && machine.resources.gpus > 0;
   const double idle_gpu_share = takes_no_gpus ? free.gpus / machine.resources.gpus : 0;
   return excess_share + idle_gpu_share;
--- a/src/scheduling/placement_search.cpp
+++ b/src/scheduling/placement_search.cpp
@@ -10,7 +10,7 @@
 namespace marblevale {
 
 namespace {
-/// What a team without a limit may still take.
+/// Free resources of a team without a limit.
 const Resources kNoLimit{1e12, 1e12, 1e12};
 }  // namespace
 
@@ -24,7 +24,8 @@
 bool PlacementSearch::may_fit_beside_running(const Demand& demand, WallTime at) const {
   const JobSpec& job = *demand.job;
   const std::uint32_t wanted = job.gang() ? demand.tasks : 1;
-  std::vector<ZoneTaskCount> zone_counts;  // per zone where that matters, else in one entry
+  // Per zone if the tasks must be together, else one entry for all zones.
+  std::vector<ZoneTaskCount> zone_counts;
   bool enough = false;
   profile_.for_each_allowed_machine(demand, demand.zone, [&](std::size_t machine) {
     const PlanMachine& properties = profile_.machines()[machine];
@@ -74,7 +75,8 @@
 Plan PlacementSearch::assign(const Demand& demand, WallTime at, std::vector<Candidate> candidates,
                              const Resources& team_free) const {
   const JobSpec& job = *demand.job;
-  // Each takes at least one task: those behind the first `tasks` are needed only for `spread`.
+  // Each candidate takes at least one task, so more candidates than tasks are needed only when
+  // `spread` excludes some.
   const std::size_t needed =
       job.spread ? candidates.size() : std::min<std::size_t>(candidates.size(), demand.tasks);
   std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(needed),
@@ -90,7 +92,8 @@
   Resources team_used{};
   std::size_t next = 0;
   while (plan.placements.size() < demand.tasks && fits(team_used + job.need, team_free)) {
-    // A candidate that can't take one task can't take any later one either.
+    // A candidate that can't take this task can't take a later task either, as all tasks have the
+    // same need.
     while (next < needed && (!fits(job.need, candidates[next].free) ||
                              tasks_in_zone[zone_of(candidates[next])] >= max_tasks_in_zone(job))) {
       ++next;
@@ -125,11 +128,12 @@
     Plan plan = plan_at(demand, at, zone, min_run);
     if (plan.placements.size() < demand.tasks && needs_all) return std::nullopt;
     if (!demand.job->gang()) return plan;
-    // A gang runs from when its last task has its image, and ends together.
+    // A gang begins to run when its last task has its image, and all its tasks end together.
     const WallTime end = plan.end();
     for (Placement& placement : plan.placements) placement.end = end;
     if (!needs_all || profile_.still_fits(plan, *demand.job)) return plan;
-    // Machines with the image have room, but not for as long as the slowest fetch makes it.
+    // Some machines that have the image lack room for the longer run that the slowest image fetch
+    // causes. Plan again with that run as the minimum.
     if (min_run >= end - at) return std::nullopt;
     min_run = end - at;
   }
@@ -156,7 +160,7 @@
   if (!demand.job->together || demand.zone) {
     return fit_in_zone(demand, at, demand.zone, Completeness::all_tasks);
   }
-  // One zone for all: the one where the gang would end first, then the cheapest.
+  // All tasks need one zone. The zone with the lowest sum of run time and plan cost is chosen.
   std::optional<Plan> best;
   double best_cost = 0;
   for (const ZoneId& zone : zones()) {
@@ -175,7 +179,8 @@
   if (!demand.job->together || demand.zone) {
     return fit_in_zone(demand, at, demand.zone, Completeness::as_many_as_fit).value_or(Plan{});
   }
-  // An array that must stay together chooses its zone with its first tasks.
+  // The zone of the first tasks binds the later tasks of an array that must stay together. The zone
+  // that takes most tasks now is chosen.
   Plan best;
   for (const ZoneId& zone : zones()) {
     auto plan = fit_in_zone(demand, at, zone, Completeness::as_many_as_fit);
@@ -197,7 +202,8 @@
   for (const ZoneId& zone : zones()) {
     auto plan = earliest_in_zone(demand, from, zone);
     if (!plan) continue;
-    // The start is what is granted; what it costs decides only between equal ones.
+    // The start is the guarantee that the job gets, so the cost decides only between plans with
+    // equal starts.
     const double cost = plan->start() == from ? plan_cost(profile_, demand, *plan, zone) +
                                                     to_seconds(plan->end() - from)
                                               : 0;
--- a/src/scheduling/planner.cpp
+++ b/src/scheduling/planner.cpp
@@ -41,7 +41,8 @@
 }
 
 Profile Planner::take_profile() {
-  // Reservations stay in it for the next round; what was started will come back as what runs.
+  // Reservations stay in the profile for the next round. Started tasks are released, because they
+  // are allocated again as running tasks.
   for (const Owner owner : started_owners_) round_.profile.release(owner);
   return std::move(round_.profile);
 }
--- a/src/scheduling/planning_round.cpp
+++ b/src/scheduling/planning_round.cpp
@@ -3,7 +3,8 @@
 namespace marblevale {
 
 namespace {
-// The start that is granted to a job that no machine can take yet: far away, until one is rented.
+// Delay of the start that is granted to a job that no machine can take yet. It is long because a
+// machine must be provisioned first.
 constexpr Duration kUnplacedDelay{600'000};
 }  // namespace
 
@@ -23,7 +24,8 @@
 
 bool PlanningRound::satisfies_zone_constraints(const Reservation& reservation,
                                                const Demand& demand) const {
-  // Asked of every reservation in every round: the plan is made only where it matters.
+  // Runs for every reservation in every round, so the plan is made only for jobs that need the
+  // check.
   return !Profile::needs_zone_check(demand) ||
          profile.satisfies_zone_constraints(plan_of(reservation), demand);
 }
@@ -57,7 +59,8 @@
   reservation.places.clear();
   const WallTime start = now + kUnplacedDelay;
   if (is_new) reservation.granted_start = start;
-  // Its time is pushed on only when it is reached: nothing is written while nothing changes.
+  // The start moves only once it is reached, so that the reservation is not written while nothing
+  // else changes.
   if (is_new || reservation.start <= now) {
     reservation.start = start;
     reservation.end = start + item.demand.run;
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -6,19 +6,22 @@
 
 namespace {
 // Losses are in seconds of work.
-constexpr double kNoDeadlineLossSeconds =
-    60;  // of a victim without a deadline: its start was the point
+
+// For a victim without a deadline, because such jobs need an early start.
+constexpr double kNoDeadlineLossSeconds = 60;
 constexpr Duration kRecentStart{30'000};
-constexpr double kRecentStartLossSeconds = 15;  // of a victim that has hardly begun
-constexpr double kPerVictimLossSeconds = 5;     // of any stop
+// For a victim that started less than kRecentStart ago.
+constexpr double kRecentStartLossSeconds = 15;
+// For every victim.
+constexpr double kPerVictimLossSeconds = 5;
 constexpr double kRefetchChance = 0.5;
-// Room that can be used later, after an image fetch, is worth less.
+// Room that the job can use only after an image fetch is worth less.
 constexpr double kFetchWeight = 2;
-// What a victim of a team without a guarantee counts for: a part of its loss. Adding to the loss of
-// the others instead would make one gang cheaper to stop than the four small tasks beside it.
+// Factor on the loss of a victim whose team has no guarantee. An addition to the loss of the other
+// victims instead would make one gang cheaper to stop than the four small tasks beside it.
 constexpr double kNoGuaranteeLossWeight = 0.5;
 
-/// A running task that may be stopped.
+/// A placed task that may be stopped.
 struct VictimTask {
   TaskId id;
   Resources resources;
@@ -31,23 +34,23 @@
   ZoneId zone;
   Resources free;
   double fetch_seconds = 0;         // until the job's image is there
-  std::vector<VictimTask> victims;  // the least loss first
+  std::vector<VictimTask> victims;  // by loss, ascending
 };
 
 /// The cheapest way to make room for one task.
 struct TaskRoom {
   std::size_t candidate = 0;
   double cost = 0;
-  std::size_t victim_count = 0;  // the first ones of the candidate's victims
+  std::size_t victim_count = 0;  // taken from the front of the candidate's victims
 };
 
-/// Room for all tasks.
+/// Room for all tasks of a job, and its total cost.
 struct JobRoom {
   Preemption preemption;
   double cost = 0;
 };
 
-/// As many of the job's tasks as `spread` allows are in the zone already.
+/// True when the zone already has as many of the job's tasks as `spread` allows.
 bool zone_is_full(const Demand& demand, const ZoneId& zone) {
   return std::any_of(demand.placed_tasks.begin(), demand.placed_tasks.end(),
                      [&](const ZoneTaskCount& placed) {
@@ -70,7 +73,7 @@
         now_(now) {}
 
   std::vector<CandidateMachine> run(const std::set<MachineId>& excluded);
-  /// What the job's team uses, on any machine. Known after `run`.
+  /// The resources that the job's team uses on all machines. Valid after `run`.
   [[nodiscard]] const Resources& team_used() const { return team_used_; }
 
  private:
@@ -131,7 +134,8 @@
     if (other == nullptr || task == nullptr) continue;
     candidate.free -= other->spec.need;
     if (other->spec.team == spec_.team) team_used_ += other->spec.need;
-    // Room that is being vacated already counts as free: no second victim for it.
+    // A task that is being stopped counts as free capacity, so that no second victim is chosen for
+    // the same room.
     if (task->stop) {
       candidate.free += other->spec.need;
       continue;
@@ -149,7 +153,8 @@
 
 double CandidateSearch::loss_of(const JobSpec& other, const TaskRecord& task,
                                 const MachineType& type) const {
-  // What a restart costs: the unsaved work, another image fetch perhaps, and its own wait.
+  // The cost of a restart: the unsaved work or the time to save it, possibly another image fetch,
+  // and the wait of the victim.
   const Duration run_time = task.running == WallTime{} ? Duration{0} : now_ - task.running;
   double loss =
       other.checkpoint_interval > Duration{0} ? to_seconds(other.save_time) : to_seconds(run_time);
@@ -161,7 +166,8 @@
   return loss;
 }
 
-/// What it costs to make room for one task; nothing when all victims together leave too little.
+/// The cost of making room for one task on the candidate. Returns nothing when even stopping all
+/// its victims leaves too little room.
 std::optional<TaskRoom> cost_of_room(const CandidateMachine& candidate, const Resources& need) {
   TaskRoom room;
   Resources free = candidate.free;
@@ -188,7 +194,8 @@
   return cheapest;
 }
 
-/// Makes room for as many tasks, each where that costs least. Nothing when not all have room.
+/// Makes room for `tasks` tasks, each on the candidate where room costs least. Returns nothing when
+/// not all tasks get room.
 std::optional<JobRoom> make_room(std::vector<CandidateMachine> candidates, const Resources& need,
                                  std::uint32_t tasks) {
   JobRoom out;
@@ -220,7 +227,8 @@
   return out;
 }
 
-/// The zone in which room for all tasks costs least. Nothing when one has room without a victim.
+/// Makes room in the zone where room for all tasks costs least. Returns nothing when no zone can
+/// have room, or when a zone has room without a victim.
 std::optional<Preemption> make_room_in_one_zone(const std::vector<CandidateMachine>& candidates,
                                                 const std::vector<ZoneId>& zones,
                                                 const Resources& need, std::uint32_t tasks) {
@@ -228,7 +236,8 @@
   for (const ZoneId& zone : zones) {
     auto room = make_room(in_zone(candidates, zone), need, tasks);
     if (!room) continue;
-    if (room->preemption.victims.empty()) return std::nullopt;  // it is being vacated already
+    if (room->preemption.victims.empty())
+      return std::nullopt;  // room is free or being vacated already
     if (!best || room->cost < best->cost) best = std::move(room);
   }
   if (!best) return std::nullopt;
--- a/src/scheduling/preemption.hpp
+++ b/src/scheduling/preemption.hpp
@@ -1,5 +1,5 @@
-/// Preemption: which running tasks to stop so that a job of higher rank can start. It chooses those
-/// that lose least. Pure.
+/// Preemption: chooses the running tasks to stop so that a job of higher rank can start, with the
+/// least loss of work. Pure.
 #pragma once
 
 #include <optional>
@@ -14,14 +14,16 @@
 
 namespace marblevale {
 
-/// Tasks to stop, and the machines on which that makes room, one for each of the job's tasks.
+/// Tasks to stop, and the machines on which the job's tasks then have room (one entry for each of
+/// its tasks).
 struct Preemption {
   std::vector<TaskId> victims;
   std::vector<MachineId> machine_ids;
 };
 
-/// Nothing when no room can be made, or when it is being made already. `guaranteed`: the jobs
-/// within their team's guarantee. `excluded`: machines on which room is being made for other jobs.
+/// Returns nothing when no room can be made, when the team's limit leaves too little, or when
+/// enough room is free or being vacated already. `guaranteed` holds the jobs within their team's
+/// guarantee. `excluded` holds machines on which room is being made for other jobs.
 std::optional<Preemption> select_victims(const QueueItem& item,
                                          const std::unordered_set<JobId>& guaranteed,
                                          const Records& records, const Settings& settings,
--- a/src/scheduling/profile.cpp
+++ b/src/scheduling/profile.cpp
@@ -132,7 +132,8 @@
 }
 
 void Profile::allocate(const Plan& plan, const JobSpec& job, Owner owner) {
-  // Tasks of one place and time are one allocation: a timeline's cost follows their number.
+  // Tasks on the same machine at the same time become one allocation, because the cost of a
+  // timeline grows with the number of allocations.
   std::vector<Placement> sorted = plan.placements;
   const auto for_each_equal_range = [&sorted](auto is_equal, auto visit) {
     for (std::size_t i = 0; i < sorted.size();) {
@@ -304,7 +305,7 @@
 
 bool Profile::fit_on_timeline(const ResourceTimeline& timeline, const Placement* placements,
                               std::size_t count, const Resources& need) {
-  // Quick and strict first: as if all ran for the whole time.
+  // Fast path, stricter than needed: checks as if all tasks ran during the whole span.
   WallTime first = kNever;
   WallTime last{};
   for (std::size_t i = 0; i < count; ++i) {
--- a/src/scheduling/profile.hpp
+++ b/src/scheduling/profile.hpp
@@ -1,6 +1,6 @@
-/// The profile: for every machine and team, what is allocated from when to when. Pure: no clock, no
-/// sockets. Times are points of the time of day. It is updated incrementally, so machines are kept
-/// in groups of one kind, and the allocations of each owner are indexed.
+/// The profile: the allocations of every machine and team over time. Pure: no clock, no sockets;
+/// times are wall-clock times. The profile is updated incrementally and queried often, so machines
+/// are grouped by type, zone and spot, and the allocations of each owner are indexed.
 #pragma once
 
 #include <algorithm>
@@ -25,39 +25,39 @@
   std::string machine_type;
   ZoneId zone;
   bool spot = false;
-  WallTime ready;    // when it can take tasks
-  double price = 0;  // per hour, as it is charged
+  WallTime ready;    // earliest time at which it can take tasks
+  double price = 0;  // per hour; the spot price for a spot machine
   double pull_gb_per_s = 0;
   Resources resources;
   ImageSet images;
-  std::size_t fetching = 0;  // images being fetched there: a further one shares the rate
+  std::size_t fetching = 0;  // images being fetched there; a further fetch shares the rate
 };
 
-/// How many of a job's tasks a zone has.
+/// The number of a job's tasks in a zone.
 struct ZoneTaskCount {
   ZoneId zone;
   std::uint32_t tasks = 0;
 };
 
-/// What is asked of the profile: tasks of one job that are still to be placed.
+/// A request to the profile: the tasks of one job that are still to be placed.
 struct Demand {
   const JobSpec* job = nullptr;
   std::uint32_t tasks = 1;
-  Duration run{};                           // estimated run time of each
-  std::vector<MachineId> allowed_machines;  // if given: no other machines
-  std::optional<ZoneId> zone;               // where the job's other tasks are, if `together`
-  std::optional<ZoneId> preferred_zone;     // among equals: one zone costs fewer writes
+  Duration run{};                           // estimated run time of each task
+  std::vector<MachineId> allowed_machines;  // if not empty, no other machine may be used
+  std::optional<ZoneId> zone;               // the zone of the job's placed tasks, if `together`
+  std::optional<ZoneId> preferred_zone;     // preferred because one zone costs fewer writes
   std::vector<ZoneTaskCount> placed_tasks;  // the job's placed tasks per zone, for `spread`
 };
 
-/// One task's machine, by index in the profile, and time.
+/// The machine (by index in the profile) and the time span of one task.
 struct Placement {
   std::size_t machine = 0;
   WallTime start;
   WallTime end;
 };
 
-/// Machines and times for tasks of one job.
+/// Placements for tasks of one job.
 struct Plan {
   std::vector<Placement> placements;  // one per task
   /// When the first task starts.
@@ -69,85 +69,99 @@
 /// Allocations over time on all machines, and within the teams' limits.
 class Profile {
  public:
-  /// Rises with everything that could let a task start that could not before.
+  /// Increases with every change that could let a task start that could not start before.
   using Version = StrongType<struct ProfileVersionTag, std::uint64_t>;
 
   /// Returns the machine's index.
   std::size_t add_machine(PlanMachine machine);
-  /// Removes it with its timeline and all that is allocated there. Its index may be reused.
+  /// Removes the machine with its timeline and all its allocations. The index may be reused.
+  /// Reservations with a place on the machine no longer count as fitting.
   void remove_machine(std::size_t machine);
   void add_team(const TeamId& team, Resources limit);
-  /// What may change of a machine while it is in the profile.
+  /// Updates the properties of a machine that may change while it is in the profile.
   void update_machine(std::size_t machine, WallTime ready, ImageSet images, std::size_t fetching);
 
-  /// All that ever were, by index; those that were removed have an empty id.
+  /// All machines by index. Removed machines have an empty id until their index is reused.
   [[nodiscard]] const std::vector<PlanMachine>& machines() const { return machines_; }
-  /// How many machines the profile has now.
+  /// The number of machines in the profile now.
   [[nodiscard]] std::size_t count() const { return index_.size(); }
   [[nodiscard]] std::optional<std::size_t> find(const MachineId& machine_id) const;
   [[nodiscard]] const ResourceTimeline& timeline(std::size_t machine) const {
     return timelines_[machine];
   }
-  /// The team's limit over time; null when it has none.
+  /// The team's limit and its allocations over time. Null when the team has no limit.
   [[nodiscard]] const ResourceTimeline* team_timeline(const TeamId& team) const;
 
   void allocate(std::size_t machine, const TeamId& team, const Allocation& allocation);
-  /// For a task on a machine outside the profile: it counts towards the team's limit only.
+  /// Allocates a task on a machine outside the profile: the task counts towards the team's limit
+  /// only.
   void allocate_team(const TeamId& team, const Allocation& allocation);
   void allocate(const Plan& plan, const JobSpec& job, Owner owner);
   void release(Owner owner);
-  /// As `release`, for what will be allocated again as it was, unless something better is found:
-  /// nobody else is to look for room there meanwhile. `mark_capacity_freed` follows where it is not
-  /// taken again.
+  /// Releases allocations that the caller will restore unless it finds a better plan. Unlike
+  /// `release`, does not mark the capacity as freed, so that failed starts of other jobs are not
+  /// retried. The caller marks the capacity that it does not allocate again with
+  /// `mark_capacity_freed` and `mark_team_capacity_freed`.
   void release_tentatively(Owner owner);
   void mark_capacity_freed(std::size_t machine);
   void mark_team_capacity_freed(const TeamId& team);
-  /// Releases every owner that has an allocation there that has not begun.
+  /// Releases all allocations of every owner that has a reservation on the machine, that is, an
+  /// allocation that is not of running tasks.
   void release_reservations_on(std::size_t machine);
 
-  /// True when the owner has allocations, and none of them is on a machine or in a team whose
-  /// capacity is exceeded at that time.
+  /// True when the owner has allocations on machines, none of them is on a machine or in a team
+  /// whose capacity is exceeded at that time, and none of its machines was removed or became ready
+  /// later.
   [[nodiscard]] bool reservation_still_fits(Owner owner) const;
-  /// True when the plan still fits as it is.
+  /// True when all placements of the plan fit unchanged on their machines and within the team's
+  /// limit.
   [[nodiscard]] bool still_fits(const Plan& plan, const JobSpec& job) const;
-  /// As many tasks as have room at `at` beside what runs, whatever is reserved there.
+  /// Plans as many tasks as have room beside the running tasks at `at`, ignoring reservations.
   [[nodiscard]] Plan fit_beside_running(const Demand& demand, WallTime at) const;
-  /// The job's tasks start one by one, and where some are decides where others may be. A gang is
-  /// placed whole, while none of its tasks is anywhere.
+  /// True when the zones of the job's placed tasks limit the zones of its other tasks: a job with
+  /// `spread` or `together` whose tasks start one by one. False for a gang, which is placed as a
+  /// whole.
   [[nodiscard]] static bool needs_zone_check(const Demand& demand);
-  /// The plan's zones are allowed beside those in which the job's other tasks are placed.
+  /// True when the plan's zones are allowed beside the zones of the job's placed tasks.
   [[nodiscard]] bool satisfies_zone_constraints(const Plan& plan, const Demand& demand) const;
-  /// All tasks at exactly `at`: for gangs, or to ask whether a slice can start whole.
+  /// Plans all tasks at exactly `at`, for a gang or to check whether a whole slice can start.
+  /// Returns nothing when not all tasks fit.
   [[nodiscard]] std::optional<Plan> fit_at(const Demand& demand, WallTime at) const;
-  /// As many tasks of an array as can start at `at`.
+  /// Plans as many tasks of an array as can start at `at`.
   [[nodiscard]] Plan fit_partially(const Demand& demand, WallTime at) const;
-  /// The earliest plan from `from` on; nothing when no machine of the profile can ever take it.
+  /// Returns the earliest plan that starts at or after `from`, or nothing when the machines or the
+  /// team's limit can never take all tasks, or the search limit is reached.
   [[nodiscard]] std::optional<Plan> earliest(const Demand& demand, WallTime from) const;
-  /// False: what runs leaves too little room for the demand at `at` whatever is reserved. Quick.
+  /// Fast check that ignores reservations. Returns false when the running tasks leave too little
+  /// room for the demand at `at`; true does not mean that it fits.
   [[nodiscard]] bool may_fit_beside_running(const Demand& demand, WallTime at) const;
 
-  /// True when the job's rules allow the machine.
+  /// True when the job may use the machine: its spot, zone and machine type constraints allow it,
+  /// and one task fits on the empty machine.
   [[nodiscard]] static bool allowed(const JobSpec& job, const PlanMachine& machine);
-  /// How long the job's image takes to be on the machine; 0 when it is there.
+  /// The estimated time to fetch the job's image to the machine; 0 when the machine has it, or when
+  /// its fetch rate is unknown.
   [[nodiscard]] static Duration fetch_time(const JobSpec& job, const PlanMachine& machine);
-  /// Rises with freed capacity, and with a machine that is new, ready sooner or has a further
-  /// image.
+  /// Increases with freed capacity, with a new machine, and with a machine that is ready earlier,
+  /// whose images changed or that fetches fewer images.
   [[nodiscard]] Version version() const { return version_; }
-  /// True when capacity on a machine that the demand's job may use was freed after `since`, or the
-  /// machine became ready after `ready_since`, and one of its tasks could start there `now`.
+  /// True when one of the demand's tasks could start at `now` on an allowed machine whose capacity
+  /// was freed after `since`, or that became ready after `ready_since`.
   [[nodiscard]] bool capacity_freed_for(const Demand& demand, Version since, WallTime ready_since,
                                         WallTime now) const;
   [[nodiscard]] bool team_capacity_freed_since(const TeamId& team, Version since) const;
-  /// Timelines examined so far: the cost of planning in steps.
+  /// The number of timelines examined so far: a measure of planning cost that does not depend on
+  /// the speed of the machine.
   [[nodiscard]] std::uint64_t candidates_examined() const { return candidates_examined_; }
 
-  /// Machines of one type, zone and kind.
+  /// The machines of one type and zone that are all spot or all on demand.
   struct Group {
-    PlanMachine kind;  // machine type, zone, spot and room of its members
+    PlanMachine kind;  // machine type, zone, spot and resources of the members
     std::vector<std::size_t> members;
   };
   [[nodiscard]] const std::vector<Group>& groups() const { return groups_; }
-  /// Calls `each` with every machine, by index, that the demand's job may use in the zone.
+  /// Calls `visit` with the index of every machine that the demand's job may use, in the given zone
+  /// or in all zones if `zone` is empty.
   template <typename Visitor>
   void for_each_allowed_machine(const Demand& demand, const std::optional<ZoneId>& zone,
                                 Visitor visit) const {
@@ -165,25 +179,26 @@
       }
     }
   }
-  /// Decides between equals, by machine and job together.
+  /// The machine's part of the hash that breaks ties between equal machines.
   [[nodiscard]] std::uint64_t tie_break_seed(std::size_t machine) const {
     return tie_break_seeds_[machine];
   }
-  /// The highest price of any machine that was ever in the profile.
+  /// The highest hourly price of any machine that was ever in the profile.
   [[nodiscard]] double highest_price() const { return highest_price_; }
-  /// Counts one more examined timeline.
   void count_candidate() const { ++candidates_examined_; }
 
  private:
-  /// A team's limit over time.
+  /// A team's limit and its allocations over time.
   struct TeamTimeline {
     TeamId name;
     ResourceTimeline timeline;
-    Version freed_at;  // when some of it was last freed
+    Version freed_at;  // version at which some of it was last freed
   };
-  /// The allocations there can't be kept as they are.
+  /// Marks all owners with allocations on the machine, so that their reservations no longer count
+  /// as fitting.
   void invalidate_owners_on(std::size_t machine);
-  /// Returns the machines where the owner had allocations.
+  /// Releases the owner's allocations without marking capacity as freed. Returns the machines that
+  /// had them.
   std::vector<std::size_t> release_allocations(Owner owner);
   [[nodiscard]] bool fits_machines(const Plan& plan, const JobSpec& job) const;
   [[nodiscard]] static bool fits_team_limit(const Plan& plan, const JobSpec& job,
@@ -195,21 +210,19 @@
   void next_version() { version_ = Version(version_.get() + 1); }
 
   std::vector<PlanMachine> machines_;
-  std::vector<std::uint64_t>
-      tie_break_seeds_;  // decide between equals, by machine and job together
+  std::vector<std::uint64_t> tie_break_seeds_;  // by machine
   std::vector<ResourceTimeline> timelines_;
   std::vector<std::size_t> free_indexes_;
   std::vector<Group> groups_;
   std::unordered_map<MachineId, std::size_t> index_;
   double highest_price_ = 0;
-  std::vector<Version> freed_at_;  // by machine: when capacity there was last freed
+  std::vector<Version> freed_at_;  // by machine: version at which capacity was last freed
   Version version_{1};
   std::vector<TeamTimeline> teams_;
-  std::unordered_map<Owner, std::vector<std::size_t>>
-      machines_of_owner_;  // machines where it has allocations
+  std::unordered_map<Owner, std::vector<std::size_t>> machines_of_owner_;
   std::unordered_map<Owner, std::size_t> team_of_owner_;
-  std::unordered_set<Owner>
-      invalidated_owners_;  // a machine that they counted on is gone, or is late
+  // Owners of which a machine was removed or became ready later.
+  std::unordered_set<Owner> invalidated_owners_;
   mutable std::uint64_t candidates_examined_ = 0;
 };
 
--- a/src/scheduling/queue_item.cpp
+++ b/src/scheduling/queue_item.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// What is overdue goes with the standard jobs at the least: low ones must begin some day, too. It
-/// preempts nobody for that.
+/// An overdue job ranks at least with the standard jobs, so that jobs of low urgency don't starve.
+/// Preemption still uses the job's own urgency.
 Urgency effective_urgency(const QueueItem& item) {
   const Urgency urgency = item.demand.job->urgency;
   return item.overdue ? std::max(urgency, Urgency::standard) : urgency;
@@ -22,12 +22,12 @@
   if (a.guaranteed != b.guaranteed) return a.guaranteed;
   if (a.overdue != b.overdue) return a.overdue;
   if (a.overdue && a.accepted != b.accepted) return a.accepted < b.accepted;
-  // A team without a guarantee gets what the others leave: otherwise its idle-only work fills the
-  // cluster before the arrays of guaranteed teams, which are of the same urgency.
+  // A team without a guarantee gets the capacity that other teams leave. Otherwise its idle-only
+  // work would fill the cluster before the arrays of guaranteed teams, which have the same urgency.
   if (a.team_has_guarantee != b.team_has_guarantee) return a.team_has_guarantee;
   if (a.objectives_missed != b.objectives_missed) return b.objectives_missed;
   if (a.target != b.target) {
-    // One without an objective waits behind those that can still meet theirs.
+    // A job without an objective ranks after jobs that can still meet theirs.
     if (!a.target || !b.target) return a.target.has_value();
     return *a.target < *b.target;
   }
--- a/src/scheduling/reservation.hpp
+++ b/src/scheduling/reservation.hpp
@@ -1,5 +1,6 @@
-/// Reservations: the start that each waiting job was granted, and the machines that are held for
-/// it. They outlive a planning round; the profile's allocations are derived from them.
+/// Reservations: the start that each waiting job was granted, and the machines that are reserved
+/// for it. They outlive a planning round; the profile's allocations for waiting jobs are derived
+/// from them.
 #pragma once
 
 #include <algorithm>
@@ -12,19 +13,20 @@
 
 namespace marblevale {
 
-/// A job's reservation. Machines are named by id, since indexes into the profile can be reused.
+/// A job's reservation. Machines are identified by id, because indexes into the profile can be
+/// reused.
 struct Reservation {
   struct Place {
     MachineId machine_id;
     WallTime start;
     WallTime end;
   };
-  std::vector<Place> places;  // empty: no machine can take the job yet
-  WallTime granted_start;     // at arrival
+  std::vector<Place> places;  // empty when no machine can take the job yet
+  WallTime granted_start;     // the start granted at arrival
   WallTime start;             // when all its tasks have started
   WallTime end;
-  bool changed = true;                    // since it was last written to the state service
-  std::optional<WallTime> last_recorded;  // when it was last written there
+  bool changed = true;                    // changed since the last write to the state service
+  std::optional<WallTime> last_recorded;  // time of the last write to the state service
 
   [[nodiscard]] WallTime first_start() const {
     WallTime first = start;
@@ -35,8 +37,8 @@
 
 using Reservations = std::unordered_map<JobId, Reservation>;
 
-/// Machines on which room was made for a job by preemption. Its reservation is on just these: freed
-/// elsewhere, the room would be taken piece by piece by smaller jobs.
+/// Machines on which preemption made room for a job. The job's reservation is placed on these
+/// machines only, because otherwise smaller jobs would take the freed room piece by piece.
 using PinnedMachines = std::unordered_map<JobId, std::vector<MachineId>>;
 
 /// A reservation that had to be moved to a later start.
--- a/src/scheduling/reservation_restore.cpp
+++ b/src/scheduling/reservation_restore.cpp
@@ -5,11 +5,13 @@
 namespace marblevale {
 
 namespace {
-// Of the round's budget: what placing again may use up, so that each step has its turn.
+// Share of the round's budget up to which reservations are placed again. The rest is kept for the
+// other steps.
 constexpr double kRestoreShare = 0.4;
-// In a long queue a reservation that broke may begin this much later rather than have all later
-// ones make way. In a short one that costs little, and without it a gang that is due is pushed
-// behind jobs that were granted later starts, a few seconds at a time.
+// In a long queue, a reservation that no longer fits may start this much later, because releasing
+// and placing all later reservations again is expensive. In a short queue it is cheap, and no delay
+// is accepted: otherwise a due gang is pushed behind jobs with later granted starts, a few seconds
+// at a time.
 constexpr Duration kMaxRepairDelay{5'000};
 }  // namespace
 
@@ -20,12 +22,12 @@
   for (std::size_t i = 0; i < order.size(); ++i) {
     const QueueItem& item = *order[i];
     if (!later_released) {
-      // Most stand in the profile since an earlier round, and nothing has come in their way.
+      // Most reservations are in the profile since an earlier round and still fit.
       const Reservation& reservation = round_.reservations.at(item.job_id);
       if (reservation.start > round_.now && round_.is_valid(reservation, item)) continue;
       if (repair(item)) continue;
-      // From the first that has to move on, all are placed again in their order: what is granted a
-      // later start must not stand in the way of an earlier one.
+      // From the first reservation that must move, all are released and placed again in order, so
+      // that a later start never blocks an earlier one.
       later_released = true;
       for (std::size_t k = i; k < order.size(); ++k) round_.profile.release(order[k]->owner);
     }
@@ -55,7 +57,7 @@
       });
   if (is_on_pins && round_.is_valid(reservation, item)) return true;
   round_.profile.release(item.owner);
-  // Others' reservations on these machines give way, and are placed again with the rest.
+  // Reservations of other jobs on these machines are released, and placed again with the rest.
   for (const MachineId& machine_id : machine_ids) {
     if (const auto machine = round_.profile.find(machine_id)) {
       round_.profile.release_reservations_on(*machine);
@@ -92,7 +94,7 @@
 
 bool ReservationRestore::place_again(const QueueItem& item, std::optional<Duration> max_delay) {
   Reservation& reservation = round_.reservations.at(item.job_id);
-  // Tasks of a slice that have started, or come back, change how many places it needs.
+  // Tasks of a job that have started, or wait again, change the number of places that it needs.
   if (reservation.places.size() > item.demand.tasks) reservation.places.resize(item.demand.tasks);
   Plan plan = round_.plan_of(reservation);
   if (plan.placements.size() == item.demand.tasks) {
@@ -103,7 +105,7 @@
     }
   }
   if (round_.budget_spent(kRestoreShare)) {
-    // It keeps its place until a later round looks at it.
+    // The reservation keeps its place until a later round checks it.
     if (!plan.placements.empty()) round_.profile.allocate(plan, *item.demand.job, item.owner);
     return true;
   }
@@ -125,7 +127,7 @@
 }
 
 void ReservationRestore::shift_to_now(Plan& plan) const {
-  // A start that is reached without having begun moves along with the present.
+  // A reservation whose start has passed without the job starting is shifted to now.
   const WallTime first = plan.first_start();
   if (first >= round_.now) return;
   for (Placement& placement : plan.placements) {
--- a/src/scheduling/reservation_restore.hpp
+++ b/src/scheduling/reservation_restore.hpp
@@ -1,5 +1,5 @@
-/// The first step of a planning round: brings the reservations of earlier rounds into line with the
-/// profile.
+/// The first step of a planning round: makes the reservations of earlier rounds consistent with the
+/// current profile.
 #pragma once
 
 #include <optional>
@@ -10,27 +10,29 @@
 
 namespace marblevale {
 
-/// Restores the reservations of one round. Those on pinned machines go first; of the others, in the
-/// order of their granted starts, each that broke is placed again.
+/// Restores the reservations of one round, those on pinned machines first. Then each other
+/// reservation that no longer fits is placed again, in the order of the reserved starts.
 class ReservationRestore {
  public:
   explicit ReservationRestore(PlanningRound& round) : round_(round) {}
-  /// The reservations that had to be delayed.
+  /// Returns the reservations that had to be delayed.
   std::vector<ReservationDelay> run(const PinnedMachines& pins);
 
  private:
   std::unordered_set<JobId> restore_pinned(const PinnedMachines& pins);
-  /// True when the reservation is on just these machines.
+  /// Places the job's reservation on these machines only. Returns false, and leaves the reservation
+  /// released, when the job can't keep its start there.
   bool restore_on(const QueueItem& item, const std::vector<MachineId>& machine_ids);
-  /// The jobs with a reservation that is not pinned, by granted start, so that a conflict falls on
-  /// the later one.
+  /// The jobs whose reservation is not pinned, by reserved start, so that a conflict delays the
+  /// later job.
   [[nodiscard]] std::vector<const QueueItem*> by_reserved_start(
       const std::unordered_set<JobId>& pinned) const;
-  /// Keeps a reservation that broke, or places it again, where that moves nobody else and delays it
-  /// hardly. False: all that was granted a later start has to make way first.
+  /// Keeps a reservation that no longer fits where it is, or places it again, without moving other
+  /// reservations. Returns false when this would delay its start too much, so that all reservations
+  /// with later starts must be released first.
   bool repair(const QueueItem& item);
-  /// Puts a reservation that was released back into the profile, at another place if its own no
-  /// longer fits. False: its start would be later by more than `max_delay`.
+  /// Puts a released reservation back into the profile, at another place if its own no longer fits.
+  /// Returns false when its start would be later by more than `max_delay`.
   bool place_again(const QueueItem& item, std::optional<Duration> max_delay);
   void shift_to_now(Plan& plan) const;
 
--- a/src/scheduling/resource_timeline.cpp
+++ b/src/scheduling/resource_timeline.cpp
@@ -6,7 +6,7 @@
 namespace marblevale {
 
 namespace {
-constexpr double kRoundingTolerance = 1e-7;  // what rounding leaves
+constexpr double kRoundingTolerance = 1e-7;  // largest remainder of rounding errors
 
 Resources componentwise_max(const Resources& a, const Resources& b) {
   return {std::max(a.cpus, b.cpus), std::max(a.gpus, b.gpus), std::max(a.memory_gb, b.memory_gb)};
@@ -14,7 +14,7 @@
 }  // namespace
 
 std::size_t ResourceTimeline::step_at(WallTime at) const {
-  // The step that holds at `at`, or the number of steps if that is before the first.
+  // Returns the step that covers `at`, or the number of steps if `at` is before the first.
   const auto after = std::upper_bound(steps_.begin(), steps_.end(), at,
                                       [](WallTime t, const Step& step) { return t < step.from; });
   return after == steps_.begin() ? steps_.size()
@@ -39,7 +39,8 @@
   const Resources change = allocation.resources * sign;
   for (std::size_t i = begin; i < end; ++i) steps_[i].used += change;
   total_ += change;
-  // The change is the same on all steps between: only its borders can have become level.
+  // All steps in between change equally, so only the steps at the borders can have become
+  // redundant.
   erase_step_if_unchanged(end);
   erase_step_if_unchanged(begin);
 }
@@ -114,8 +115,9 @@
   if (i == steps_.size()) i = 0;
   for (; i < steps_.size() && steps_[i].from < begin + run; ++i) {
     if (fits(need + steps_[i].used, capacity_)) continue;
-    // Too much is used here: not before the next step.
-    if (i + 1 == steps_.size()) return std::nullopt;  // cannot be: the last step uses nothing
+    // Too much is used in this step, so the start moves to the next step.
+    if (i + 1 == steps_.size())
+      return std::nullopt;  // unreachable: nothing is used in the last step
     begin = steps_[i + 1].from;
   }
   return begin;
--- a/src/scheduling/resource_timeline.hpp
+++ b/src/scheduling/resource_timeline.hpp
@@ -1,4 +1,4 @@
-/// Capacity over time of one machine, or of one team's limit, as a step function. Pure.
+/// The use of one machine's capacity, or of one team's limit, over time, as a step function. Pure.
 #pragma once
 
 #include <cstdint>
@@ -11,11 +11,12 @@
 
 namespace marblevale {
 
-/// Names whose allocations they are: a job's reservation, or what runs of a slice.
+/// Identifies the holder of allocations: a job's reservation, the tasks of a job started in this
+/// round, or the running tasks of a slice.
 using Owner = StrongType<struct OwnerTag, std::uint64_t>;
 
-/// Capacity that is in use for a while. What runs now has begun at time 0: it then compares as
-/// begun at every moment, without a further member in a type of which there are very many.
+/// Capacity that is in use from `from` to `to`. Running tasks have `from` 0, so that they count as
+/// begun at every moment. A separate member would cost memory, as there are very many allocations.
 struct Allocation {
   WallTime from;
   WallTime to;
@@ -23,8 +24,8 @@
   Owner owner;
 };
 
-/// The allocations of one machine, or of one team, over time. A step function: a query walks once
-/// over the steps that it touches.
+/// The allocations of one machine, or of one team, over time. A query visits each step in its time
+/// span once.
 class ResourceTimeline {
  public:
   explicit ResourceTimeline(Resources capacity) : capacity_(capacity) {}
@@ -32,46 +33,47 @@
   void release(Owner owner);
   [[nodiscard]] const Resources& capacity() const { return capacity_; }
   [[nodiscard]] const std::vector<Allocation>& allocations() const { return allocations_; }
-  /// The least that is free at any moment of [from, to).
+  /// The resources that are free during all of [from, to): for each resource, the least at any
+  /// moment.
   [[nodiscard]] Resources free(WallTime from, WallTime to) const;
   /// True when `need` is free during all of [from, to).
   [[nodiscard]] bool can_fit(const Resources& need, WallTime from, WallTime to) const;
-  /// The first moment from `from` on at which `need` fits for `run`.
+  /// The first moment at or after `from` from which `need` fits for `run`. Nothing when `need`
+  /// exceeds the capacity.
   [[nodiscard]] std::optional<WallTime> earliest_fit(const Resources& need, WallTime from,
                                                      Duration run) const;
-  /// True when the owner's allocations fit along with all others.
+  /// True when the capacity is not exceeded at any time of the owner's allocations.
   [[nodiscard]] bool allocations_fit(Owner owner) const;
-  /// The first moment after `at` at which something changes.
+  /// The first moment after `at` at which the used resources change.
   [[nodiscard]] std::optional<WallTime> next_change_after(WallTime at) const;
-  /// True: what runs at `at` leaves no room for `need`, whatever is reserved. Quick; false says
-  /// nothing.
+  /// Fast check that ignores reservations. Returns true when the tasks running at `at` leave no
+  /// room for `need`; false does not mean that there is room.
   [[nodiscard]] bool no_room_beside_running(const Resources& need, WallTime at) const {
     return at < running_until_ && !fits(need, capacity_ - running_);
   }
-  /// What runs now.
+  /// The resources of the running tasks.
   [[nodiscard]] const Resources& running() const { return running_; }
 
  private:
-  /// What is used from `from` to the next step.
+  /// The resources used from `from` until the next step.
   struct Step {
     WallTime from;
     Resources used;
   };
   void add(const Allocation& allocation, double sign);
-  /// Removes a step at which nothing changes.
+  /// Removes the step if the used resources don't change there.
   void erase_step_if_unchanged(std::size_t step);
   std::size_t split_step_at(WallTime at);
   [[nodiscard]] std::size_t step_at(WallTime at) const;
 
-  // First what `no_room_beside_running` reads, so that a search over a cluster touches little
-  // memory.
+  // The members that `no_room_beside_running` reads come first, so that a search over a cluster
+  // touches little memory.
   Resources capacity_;
-  Resources running_{};  // of what has begun
-  WallTime
-      running_until_;  // when the first of that ends; 0, and so never later than any time: none
-  Resources total_{};  // of all allocations, at whatever time
+  Resources running_{};     // of running tasks
+  WallTime running_until_;  // earliest end of a running task; 0 without one
+  Resources total_{};       // sum of all allocations, regardless of time
   std::vector<Allocation> allocations_;
-  std::vector<Step> steps_;  // by time; before the first and after the last nothing is used
+  std::vector<Step> steps_;  // by time; nothing is used before the first and after the last
 };
 
 }  // namespace marblevale
--- a/src/scheduling/scale_out.cpp
+++ b/src/scheduling/scale_out.cpp
@@ -6,14 +6,16 @@
 
 namespace {
 
-// A new machine must save at least this much waiting beyond its boot.
+// A new machine is provisioned only if the demand would wait this much longer than the machine
+// takes to boot.
 constexpr Duration kMinTimeSaved{5'000};
 constexpr std::uint32_t kMinRoundLimit = 16;
-constexpr double kRoundLimitFleetShare = 0.15;  // of the machines that there are, per round
-// Weighs a zone's machines against the price: zones are taken in turn.
+constexpr double kRoundLimitFleetShare = 0.15;  // of the current machines
+// Price that each machine of a zone adds to the zone's offerings, so that new machines are
+// distributed over the zones.
 constexpr double kZoneLoadWeight = 0.01;
 
-/// A machine that this round wants to be provisioned.
+/// A machine to provision, and its free capacity after the tasks that are packed into it.
 struct PlannedMachine {
   MachineOffering offering;
   Resources free;
@@ -34,8 +36,8 @@
   return machine;
 }
 
-/// Packs the tasks of one demand after the other into the machines planned so far, and plans
-/// further ones.
+/// Packs the tasks of one demand after another into the machines planned so far, and plans further
+/// machines when these are full.
 class ScaleOut {
  public:
   ScaleOut(const std::vector<MachineType>& types,
@@ -56,12 +58,14 @@
   [[nodiscard]] std::map<MachineOffering, std::uint32_t> counts() const;
 
  private:
-  /// What the demand's job allows, the cheapest for its share first.
+  /// The offerings that suit the demand, by the price of a task's share of the machine and the
+  /// number of machines in the zone, lowest first.
   [[nodiscard]] std::vector<PricedOffering> offerings_for(const UnmetDemand& demand) const;
   [[nodiscard]] bool is_suitable(const UnmetDemand& demand, const MachineType& type,
                                  const MachineOffering& offering) const;
   [[nodiscard]] double zone_load(const ZoneId& zone) const;
-  /// A planned machine with room for a task, or a new one; null when there is none.
+  /// Returns a planned machine with room for a task, or plans a new one. Null when there is
+  /// neither, or the limit per round is reached.
   PlannedMachine* find_or_plan(const Resources& need, const std::optional<ZoneId>& zone,
                                const std::vector<PricedOffering>& offerings);
   PlannedMachine* plan_machine(const std::optional<ZoneId>& zone,
@@ -70,7 +74,7 @@
   const std::vector<MachineType>& types_;
   const std::function<bool(const MachineOffering&)>& available_;
   const std::map<ZoneId, std::uint32_t>& machines_in_zone_;
-  std::map<TeamId, Resources> team_resources_;  // left for each team
+  std::map<TeamId, Resources> team_resources_;  // remaining for each team
   std::size_t max_machines_ = 0;
   std::vector<PlannedMachine> planned_;
 };
--- a/src/scheduling/scale_out.hpp
+++ b/src/scheduling/scale_out.hpp
@@ -1,4 +1,4 @@
-/// Scale-out: which machines to provision for the work that waits. Pure.
+/// Scale-out: decides which machines to provision for waiting jobs. Pure.
 #pragma once
 
 #include <functional>
@@ -16,23 +16,24 @@
   std::string machine_type;
   ZoneId zone;
   bool spot = false;
-  // Version 14 of the linter takes the comparison of the `bool` member for a conversion.
+  // clang-tidy 14 reports the comparison of the `bool` member as a conversion.
   // NOLINTNEXTLINE(readability-implicit-bool-conversion)
   auto operator<=>(const MachineOffering&) const = default;
 };
 
-/// Work that would wait longer than a new machine takes to come up.
+/// Tasks of a job whose planned wait may be longer than a new machine takes to boot.
 struct UnmetDemand {
   const JobSpec* job = nullptr;
   std::uint32_t tasks = 0;
   Duration run{};
-  Duration wait{};             // until its planned start
-  std::optional<ZoneId> zone;  // where it must be
+  Duration wait{};             // time until the planned start
+  std::optional<ZoneId> zone;  // the zone that the tasks must be in, if any
 };
 
-/// How many machines of each offering to provision. `available` says whether the cloud may have
-/// any; `machines_in_zone` counts the machines that each zone has; `team_resources` is what each
-/// team may still use.
+/// Returns the number of machines of each offering to provision. `available` returns whether the
+/// cloud may have machines of an offering, `machines_in_zone` is the number of machines that each
+/// zone has, and `team_resources` holds the resources that each team may still use; a team without
+/// an entry has no limit.
 std::map<MachineOffering, std::uint32_t> plan_scale_out(
     const std::vector<UnmetDemand>& unmet_demands, const std::vector<MachineType>& types,
     const std::function<bool(const MachineOffering&)>& available,
--- a/src/scheduling/starvation.cpp
+++ b/src/scheduling/starvation.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// A machine that is up, or should be.
+/// A machine that is up, or that has been out of service for at least `min_out_of_service`.
 struct Candidate {
-  PlanMachine properties;  // as far as a job's rules ask for them
+  PlanMachine properties;  // as far as `Profile::allowed` uses them
   Resources free;
   MachineState state;
 };
@@ -20,7 +20,7 @@
 struct WaitingJob {
   const JobRecord* job;
   WallTime since;
-  std::map<ZoneId, std::uint32_t> placed_tasks;  // its other tasks
+  std::map<ZoneId, std::uint32_t> placed_tasks;  // placed tasks of the job, by zone
 };
 
 bool is_candidate(const MachineRecord& machine, WallTime now, Duration min_out_of_service) {
@@ -38,7 +38,7 @@
   return free;
 }
 
-/// Those that are up come first.
+/// Returns the candidates, machines that are up first.
 std::vector<Candidate> find_candidates(const Records& records, WallTime now,
                                        Duration min_out_of_service) {
   std::vector<Candidate> out;
@@ -72,7 +72,8 @@
   return out;
 }
 
-/// When the last task of the gang ended: it starts whole, after proof of all its tasks.
+/// The time at which the last task of the gang changed its state. The gang starts as a whole, so it
+/// waits only since then.
 WallTime last_end(const JobId& job_id, const JobRecord& gang, const Records& records) {
   WallTime last = gang.accepted;
   for (std::uint32_t number = 0; number < slice_count(gang.spec); ++number) {
@@ -83,7 +84,7 @@
   return last;
 }
 
-/// Adds the slice's tasks to the job's; how many of them are idle.
+/// Adds the slice's tasks to the job's counts. Returns the number of idle tasks.
 std::uint32_t add_slice(WaitingJob& waiting, const SliceRecord& slice) {
   std::uint32_t idle = 0;
   for (const TaskRecord& task : slice.tasks) {
@@ -95,7 +96,7 @@
   return idle;
 }
 
-/// Nothing when the job has no task that could be placed.
+/// Returns nothing when the job has no task that could be placed.
 std::optional<WaitingJob> find_waiting(const JobId& job_id, const JobRecord& job,
                                        const Records& records) {
   WaitingJob waiting{&job, WallTime::max(), {}};
@@ -108,7 +109,7 @@
     }
     idle += slice_size(job.spec, number);
     waiting.since = std::min(waiting.since, job.accepted);
-    if (!job.spec.gang()) break;  // the later ones have not begun either
+    if (!job.spec.gang()) break;  // the later slices have not begun either
   }
   if (idle == 0) return std::nullopt;
   if (job.spec.gang()) {
@@ -118,7 +119,7 @@
   return waiting;
 }
 
-/// The jobs that have waited longest, these first.
+/// The jobs that have waited longest, by waiting time, descending.
 std::vector<WaitingJob> find_longest_waiting(const Records& records, WallTime now,
                                              Duration min_wait, std::size_t max_jobs) {
   std::vector<WaitingJob> jobs;
@@ -134,7 +135,7 @@
   return jobs;
 }
 
-/// How many tasks fit, up to `max_count`.
+/// Returns how many tasks fit into `free`, at most `max_count`.
 std::uint32_t count_fitting(const Resources& need, const Resources& free, std::uint32_t max_count) {
   Resources sum = need;
   std::uint32_t count = 0;
@@ -145,7 +146,8 @@
   return count;
 }
 
-/// The machine with which the job's next task (of a gang: all tasks) fits; null when it does not.
+/// Returns the machine on which the job's next task fits, or the last of the machines on which all
+/// tasks of a gang fit. Null when no machines fit.
 const Candidate* find_fitting(const WaitingJob& waiting, const std::vector<Candidate>& candidates) {
   const JobSpec& job = waiting.job->spec;
   const std::uint32_t wanted = job.gang() ? job.task_count : 1;
@@ -168,7 +170,7 @@
   return nullptr;
 }
 
-/// The job's next task (of a gang: all tasks) keeps the team within its limit.
+/// True when the job's next task (all tasks of a gang) would keep the team within its limit.
 bool is_within_team_limit(const JobSpec& job, const Settings& settings,
                           const std::map<TeamId, Resources>& used_by_team) {
   const Team* team = settings.team(job.team);
--- a/src/scheduling/starvation.hpp
+++ b/src/scheduling/starvation.hpp
@@ -1,5 +1,5 @@
-/// Starvation: jobs that wait though a machine fits. It is read from the records alone, not from
-/// the profile, so that a wrong profile is found out. Pure.
+/// Starvation: finds jobs that wait although a machine fits them. Uses only the records, not the
+/// profile, so that it detects a wrong profile. Pure.
 #pragma once
 
 #include <vector>
@@ -9,7 +9,7 @@
 
 namespace marblevale {
 
-/// A job that waits without need, and a machine that it could use.
+/// A job that waits although it could use a machine.
 struct StarvedJob {
   JobId job_id;
   Duration waited{};
@@ -17,10 +17,10 @@
   MachineState state = MachineState::up;
 };
 
-/// Of the `max_jobs` jobs that have waited longest, and for `min_wait` at the least, those whose
-/// next task (of a gang: all tasks) fits on machines that are up, while the team is under its
-/// limit. Where none fits, machines that have been out of service for `min_out_of_service` count as
-/// well.
+/// Checks the `max_jobs` jobs that have waited longest, for at least `min_wait`. Returns the jobs
+/// whose next task (all tasks of a gang) fits on machines that are up and within the team's limit.
+/// If no machine that is up fits, machines that have been out of service for `min_out_of_service`
+/// count as well.
 std::vector<StarvedJob> find_starved(const Records& records, const Settings& settings, WallTime now,
                                      Duration min_wait, Duration min_out_of_service,
                                      std::size_t max_jobs);
