--- a/tests/failed_starts_test.cpp
+++ b/tests/failed_starts_test.cpp
@@ -1,4 +1,5 @@
-// Starts that failed are remembered from round to round: skipping them equals retrying them.
+// Failed starts are remembered from round to round. Skipping them must give the same schedule as
+// retrying them.
 #include <map>
 #include <memory>
 #include <random>
@@ -25,8 +26,9 @@
   return first;
 }
 
-/// A small cluster whose profile is kept up from round to round, as the leader's is. Every decision
-/// but the starts comes from a seed, so that two of them see the same jobs and the same ends.
+/// Simulates a small cluster whose profile is kept from round to round, as the leader does. All
+/// events except the starts come from a seed, so that two simulations with equal starts see the
+/// same jobs and the same ends.
 class SimulatedSchedule {
  public:
   SimulatedSchedule(unsigned seed, bool remembers) : random_(seed), remembers_(remembers) {
@@ -38,7 +40,8 @@
     }
   }
 
-  /// One second: ends, arrivals, a round. What was started, in its order.
+  /// Simulates one second: ends, arrivals and a planning round. Returns the started jobs with their
+  /// machines, in the order of the starts.
   std::vector<std::string> run_one_second() {
     now_ += 1;
     end_or_extend_runs();
@@ -85,7 +88,7 @@
       placement.start = WallTime{};
     }
     const Owner owner{++runs_ | (1ULL << 40)};
-    // Ends drift from their estimates in both directions.
+    // Tasks end before or after their estimated ends.
     const double end = now_ + 1 + static_cast<double>((runs_ * 7919) % 60);
     runs_by_owner_[owner] = {running, entry->demand.job, end};
     profile_.allocate(running, *entry->demand.job, owner);
@@ -98,7 +101,8 @@
     return text;
   }
 
-  /// Ends what has ended, and stretches what has overrun its estimate, as the leader does.
+  /// Releases the runs that have ended, and extends the estimated end of overrunning ones, as the
+  /// leader does.
   void end_or_extend_runs() {
     for (auto it = runs_by_owner_.begin(); it != runs_by_owner_.end();) {
       Run& run = it->second;
--- a/tests/job_queue_test.cpp
+++ b/tests/job_queue_test.cpp
@@ -1,4 +1,4 @@
-// The order of the queue: urgency, quota, overdue jobs, and the backoff of jobs that fail.
+// The order of the queue by urgency, guarantee and overdue jobs, and the backoff of failing jobs.
 #include "scheduling/job_queue.hpp"
 
 #include "support/helpers.hpp"
@@ -38,8 +38,8 @@
     JobRecord job{gang(job_id, 8, 2, 150), at(accepted), std::nullopt};
     records.jobs[JobId(job_id)] = {job, ModRevision(1)};
   };
-  add("req-old", 0);    // its objective is missed
-  add("req-begun", 1);  // older than the next, but it has run before
+  add("req-old", 0);    // missed its objective, and has never begun
+  add("req-begun", 1);  // missed its objective, but has run before
   add("req-new", 190);
   SliceRecord slice;
   slice.job_id = JobId("req-begun");
@@ -56,7 +56,7 @@
   EXPECT_EQ(queue[0].job_id.get(), "req-old");
   EXPECT_EQ(queue[1].job_id.get(), "req-new");
   EXPECT_EQ(queue[2].job_id.get(), "req-begun");
-  // A low one that is overdue goes before standard ones that are not.
+  // An overdue job of low urgency ranks before standard jobs that are not overdue.
   records.jobs[JobId("req-old")].record.spec.urgency = Urgency::low;
   queue = build_queue(records, settings, current, at(200), false);
   std::sort(queue.begin(), queue.end(), has_higher_priority);
@@ -66,8 +66,9 @@
   EXPECT_EQ(queue[2].job_id.get(), "req-old") << "not yet";
 }
 
-// A gang that failed everywhere, one of whose tasks failed while the other
-// ended with it, began 13 times in 90 s, without the pauses that a single task gets.
+// When one task of a gang fails, the other tasks end without a fault of their own. If the gang
+// followed their backoff, a gang that fails on every machine would start again without a pause (13
+// times in 90 s).
 TEST(JobQueue, AGangWaitsForTheBackoffOfItsFailedTask) {
   Records records;
   Settings settings;
@@ -86,19 +87,21 @@
   auto queue = build_queue(records, settings, current, at(105), false);
   ASSERT_EQ(queue.size(), 1U);
   EXPECT_EQ(queue[0].not_before, at(130));
-  // The other one ended a moment later: the pause counts from the failure, in whatever order.
+  // The other task ended a moment later. The backoff counts from the failure, in either order of
+  // the tasks.
   std::swap(slice.tasks[0], slice.tasks[1]);
   slice.tasks[0].since = at(100.5);
   queue = build_queue(records, settings, current, at(105), false);
   EXPECT_EQ(queue[0].not_before, at(130));
-  // Once it is over, the gang begins whole.
+  // After the backoff the gang is queued as a whole.
   queue = build_queue(records, settings, current, at(131), false);
   ASSERT_EQ(queue.size(), 1U);
   EXPECT_LE(queue[0].not_before, at(131));
   EXPECT_EQ(queue[0].task_indices, (std::vector<std::uint32_t>{0, 1}));
 }
 
-// An array of 14 tasks that failed everywhere did so 68 times in 90 s.
+// With a backoff per task, an array of 14 tasks that fails on every machine failed 68 times in 90
+// s.
 TEST(JobQueue, AnArrayThatFailsOnEveryMachineRetriesOneTaskAtATime) {
   Records records;
   Settings settings;
@@ -129,18 +132,19 @@
   ASSERT_EQ(queue(101).size(), 1U);
   EXPECT_EQ(queue(101)[0].task_indices, (std::vector<std::uint32_t>{2}));
   EXPECT_EQ(queue(101)[0].not_before, at(104));
-  // While one tries, the others wait.
+  // While one task runs, the others wait.
   TaskRecord& trying = slice.tasks[2];
   trying.state = TaskState::bound;
   trying.running = at(105);
   EXPECT_TRUE(queue(106).empty());
-  // It works: all go on.
+  // Once the task has run long enough, all other tasks are queued.
   EXPECT_EQ(queue(110).at(0).task_indices, (std::vector<std::uint32_t>{0, 1, 3, 4, 5}));
   trying.state = TaskState::done;
   EXPECT_EQ(queue(110).at(0).task_indices.size(), 5U);
 }
 
-// A job that failed repeatedly and made progress nowhere is at fault itself, not its machines.
+// A job that failed repeatedly without progress on any machine is faulty itself; its machines are
+// not.
 TEST(JobQueue, AJobThatFailedRepeatedlyWithoutProgressIsFailing) {
   Records records;
   records.jobs[JobId("req-1")] = {JobRecord{gang("req-1", 1, 1, 100), at(0), std::nullopt},
@@ -159,7 +163,7 @@
   EXPECT_FALSE(failing());
   slice.tasks[0].faults = 3;
   EXPECT_TRUE(failing());
-  slice.tasks[0].progress = from_seconds(10);  // it has worked
+  slice.tasks[0].progress = from_seconds(10);  // it has saved progress
   EXPECT_FALSE(failing());
 }
 
--- a/tests/occupancy_test.cpp
+++ b/tests/occupancy_test.cpp
@@ -1,4 +1,4 @@
-// The profile that is updated from change to change, against one that is rebuilt from all records.
+// Compares the profile that is updated incrementally with one that is rebuilt from all records.
 #include "scheduling/occupancy.hpp"
 
 #include <random>
@@ -43,7 +43,7 @@
     MachineRecord& m = records_.machines[machine_id].record;
     m.machine_id = machine_id;
     m.machine_type = "g8";
-    // A machine does not move: its zone follows from its name.
+    // A machine never changes its zone, so the zone is derived from its id.
     m.zone = ZoneId(std::hash<MachineId>{}(machine_id) % 2 == 0 ? "a" : "b");
     m.state = draw(4) == 0 ? MachineState::silent : MachineState::up;
     m.since = at(1);
--- a/tests/planner_compression_test.cpp
+++ b/tests/planner_compression_test.cpp
@@ -1,5 +1,5 @@
-// Compression of the schedule after an early end, as in figures 1 and 3 of the paper: one machine
-// whose GPUs stand for the processors.
+// Compression of the schedule after a job ends early, as in figures 1 and 3 of the paper. One
+// machine's GPUs stand for the processors of the figures.
 #include "scheduling/planner.hpp"
 #include "support/planner_helpers.hpp"
 
@@ -12,8 +12,9 @@
 using testing::item;
 using testing::machine;
 
-// Figure 1: job A (two processors) ended early. E (longest) can only move once C has given up its
-// place; going back to the queue's front is what lets it start.
+// Figure 1: job A (two processors) ended early. E is first in the queue but can't start without
+// delaying C, so compression goes on to C. The start of C frees its reservation, but E has no room
+// beside C's run.
 TEST(Compression, ReturnsToTheFrontAfterEachMove) {
   const JobSpec c = gang("req-c", 1, 2, 10);
   const JobSpec e = gang("req-e", 1, 2, 10);
@@ -24,15 +25,13 @@
                   testing::unlimited_budget);
   EXPECT_TRUE(planner.restore().empty());
   std::size_t cursor = 0;
-  // E comes first in the queue, but cannot start now without delaying C, whose place at 4 is in
-  // the way; C can.
+  // E is first in the queue, but its run would overlap C's reservation at 4. C can start now.
   EXPECT_EQ(testing::started_jobs(planner.compress(cursor)), std::vector<std::string>{"req-c"});
 }
 
 TEST(Compression, RetriesAHigherPriorityJobAfterAMove) {
-  // Two processors are idle. `high` (1 wide, 10 long) does not fit beside `wide`, which is planned
-  // at 5 and takes both; once `wide` has started now... it cannot; but `low`, which holds a place
-  // at 2, moves to now and frees the place that kept `high` out.
+  // Three processors are idle. `high` (1 wide, 8 long) is reserved at 20 and `low` (2 wide, 9 long)
+  // at 2. Both fit beside each other now, so `high` starts first and `low` after it.
   const JobSpec high = gang("req-high", 1, 1, 8);
   const JobSpec low = gang("req-low", 1, 2, 9);
   Reservations r{{high.job_id, testing::reserved(20, 28)}, {low.job_id, testing::reserved(2, 11)}};
@@ -46,14 +45,14 @@
             (std::vector<std::string>{"req-high", "req-low"}));
 }
 
-// Figure 3: after an early finish only jobs that can begin now are moved; F's planned start stays,
-// though it could be improved, and the hole remains.
+// Figure 3: after an early end, only jobs that can start now are moved. F keeps its planned start
+// although an earlier one is possible, and the hole remains.
 TEST(DelayedCompression, LeavesHolesInWhichNoJobCanStartNow) {
   const JobSpec d = gang("req-d", 1, 1, 10);
   const JobSpec f = gang("req-f", 1, 3, 10);
   Reservations r{{d.job_id, testing::reserved(6, 16)}, {f.job_id, testing::reserved(16, 26)}};
   Profile p = testing::profile_of_one_machine(3);
-  p.allocate(0, TeamId("x"), {at(0), at(4), {0, 1, 0}, Owner{99}});  // C still runs until 4
+  p.allocate(0, TeamId("x"), {at(0), at(4), {0, 1, 0}, Owner{99}});  // C runs until 4
   Planner planner(std::move(p), {item(d, 1), item(f, 2)}, r, testing::no_failed_starts(), at(0),
                   testing::unlimited_budget);
   planner.restore();
@@ -62,7 +61,8 @@
   EXPECT_EQ(r.at(f.job_id).start, at(16));
 }
 
-// Section 2.2: a new job of lower priority must not take a hole that a higher one could move into.
+// Section 2.2: a new job of lower priority must not take a hole into which a job of higher priority
+// could move.
 TEST(DelayedCompression, AnArrivalMovesHigherPriorityJobsThatItCouldDelay) {
   JobSpec f = gang("req-f", 1, 3, 10);
   f.urgency = Urgency::urgent;
@@ -93,14 +93,14 @@
   EXPECT_EQ(r.at(f.job_id).start, at(16));
 }
 
-/// Two zones with room for all, and a job one of whose tasks runs in zone b already.
+/// Two zones with room for all tasks of a job that already has tasks in zone b.
 struct TwoZones {
   TwoZones() {
     profile.add_machine(machine("a1", 4, "a"));
     profile.add_machine(machine("b1", 4, "b"));
     profile.add_machine(machine("b2", 4, "b"));
   }
-  /// How many of the tasks that start now start in zone b.
+  /// Returns how many tasks start in zone b in this round.
   std::size_t started_in_b(const QueueItem& waiting, Reservations& reservations) {
     Planner planner(std::move(profile), {waiting}, reservations, testing::no_failed_starts(),
                     at(100), testing::unlimited_budget);
@@ -117,8 +117,9 @@
   Profile profile;
 };
 
-// A reservation was made while the job's tasks were elsewhere. When it is due, its zones may no
-// longer go together with those of the tasks that run: 3 of 4 replicas were started in one zone.
+// Between the time when a reservation is made and its start, the job's other tasks may have been
+// placed in other zones, so the reserved zones must be checked again. Without the check, 3 of 4
+// replicas were started in one zone.
 TEST(Compression, ADueReservationRespectsTheSpreadConstraint) {
   TwoZones zones;
   JobSpec job = batch("req-a", 4, 1, 60);
@@ -174,7 +175,7 @@
   std::vector<QueueItem> queue;
   for (std::size_t i = 0; i < jobs.size(); ++i) {
     queue.push_back(item(jobs[i], i + 1));
-    queue.back().not_before = i < 2 ? at(100) : at(0);  // the first two cannot start
+    queue.back().not_before = i < 2 ? at(100) : at(0);  // the first two can't start before 100
   }
   std::size_t cursor = 0;
   Planner first(testing::profile_of_one_machine(4), queue, r, testing::no_failed_starts(), at(0),
--- a/tests/planner_guarantee_test.cpp
+++ b/tests/planner_guarantee_test.cpp
@@ -1,5 +1,5 @@
-// Guaranteed starts: arrivals, overruns, preemption and a stream of small urgent jobs do not break
-// them.
+// Guaranteed starts hold with arrivals, overruns of other tasks, preemption and a stream of small
+// urgent jobs.
 #include <memory>
 
 #include "scheduling/planner.hpp"
@@ -40,8 +40,8 @@
   EXPECT_EQ(moved[0].to, at(8));
 }
 
-// Found by comparing schedule: with reservations that stay in the profile between rounds, a job
-// that an overrun moved by seconds was placed behind jobs that had been granted later starts.
+// Reservations stay in the profile between rounds. A job that an overrun delays by seconds must not
+// be placed behind jobs with later granted starts, whose reservations are still in the profile.
 TEST(Guarantee, ALaterReservationYieldsToAnEarlierOneThatMoves) {
   const JobSpec a = gang("req-a", 1, 2, 10);
   const JobSpec b = gang("req-b", 1, 2, 10);
@@ -53,7 +53,7 @@
   EXPECT_TRUE(before.restore().empty());
   p = before.take_profile();
   p.release(Owner{99});
-  p.allocate(0, TeamId("x"), {at(0), at(8), {0, 2, 0}, Owner{99}});  // it overruns
+  p.allocate(0, TeamId("x"), {at(0), at(8), {0, 2, 0}, Owner{99}});  // the running task overruns
   Planner after(std::move(p), {item(a, 1), item(b, 2)}, r, testing::no_failed_starts(), at(2),
                 testing::unlimited_budget);
   after.restore();
@@ -70,8 +70,8 @@
   EXPECT_GT(r.at(wide.job_id).start, at(0));
 }
 
-// Tasks were preempted for a job, and the room went to another whose place
-// was predicted elsewhere.
+// Room that preemption frees for a job must not go to another job that was planned on another
+// machine.
 TEST(Preemption, ResourcesFreedByPreemptionAreReservedForTheirJob) {
   const JobSpec wide = gang("req-wide", 1, 2, 60);
   JobSpec other = gang("req-other", 1, 1, 60);
@@ -79,8 +79,9 @@
   Profile p = testing::profile_of_one_machine(2);
   p.add_machine(machine("n", 2));
   p.allocate(0, TeamId("x"),
-             {at(0), at(6), {0, 1, 0}, Owner{98}});  // being stopped; its place is half free
-  p.allocate(1, TeamId("x"), {at(0), at(3), {0, 2, 0}, Owner{99}});  // predicted to end sooner
+             {at(0), at(6), {0, 1, 0}, Owner{98}});  // being stopped; the other GPU is idle
+  p.allocate(1, TeamId("x"),
+             {at(0), at(3), {0, 2, 0}, Owner{99}});  // estimated to end earlier than the stop
   Reservations r{{wide.job_id, testing::reserved(40, 100)},
                  {other.job_id, testing::reserved(30, 90)}};
   Planner planner(std::move(p), {item(wide, 1), item(other, 2)}, r, testing::no_failed_starts(),
@@ -92,7 +93,8 @@
   EXPECT_TRUE(planner.compress(cursor).empty());
 }
 
-/// A cluster that runs by the plan: every second a round; tasks end when they were estimated to.
+/// Simulates a cluster with one planning round a second, in which each task ends at its estimated
+/// end.
 class SimulatedSchedule {
  public:
   explicit SimulatedSchedule(int machines) {
@@ -151,8 +153,8 @@
   double now_ = 1;
 };
 
-// Small urgent jobs come without end and could take every machine as it falls free. The reservation
-// of the widest gang, and that of the longest array, keep their room.
+// A steady stream of small urgent jobs could take every machine that becomes free. The reservations
+// of the widest gang and of the longest array must hold their machines against it.
 TEST(Guarantee, TheLargestJobsStartInTimeUnderAStreamOfSmallUrgentOnes) {
   SimulatedSchedule schedule(20);
   const auto stream = [&](int n) {
@@ -168,7 +170,7 @@
   schedule.run_one_second();
   const double promised = schedule.granted("req-wide");
   while (schedule.now() < 240 && !(schedule.began("req-wide") && schedule.began("req-long"))) {
-    stream(n++);  // one a second, each of which takes a machine for over 20 s: more than there is
+    stream(n++);  // one job a second that takes a machine for at least 20 s exceeds the capacity
     schedule.run_one_second();
   }
   ASSERT_TRUE(schedule.began("req-wide"));
--- a/tests/planner_scale_test.cpp
+++ b/tests/planner_scale_test.cpp
@@ -1,4 +1,5 @@
-// Planning at the size of the largest deployment: its cost as a count of steps, never as time.
+// Planning at the size of the largest deployment. The cost is bounded as a count of examined
+// timelines instead of a time, which would depend on the machine.
 #include "scheduling/planner.hpp"
 #include "support/planner_helpers.hpp"
 
@@ -11,8 +12,8 @@
 using testing::item;
 using testing::machine;
 
-// The sanitizers' build, which is many times slower, plans a smaller cluster; the count that bounds
-// the cost is per machine and job in both.
+// Builds without NDEBUG (as with sanitizers) are many times slower and plan a smaller cluster. The
+// bound is per machine and job in both.
 #ifdef NDEBUG
 constexpr int kMachines = 4200;
 constexpr int kJobs = 1000;
@@ -63,8 +64,8 @@
   EXPECT_TRUE(planner.admit_arrivals());
   EXPECT_EQ(r.size(), jobs.size());
   const auto admitted = planner.profile().candidates_examined();
-  // A place is looked for among the machines once, not once for each moment: a few timelines per
-  // machine and job, however full the profile is.
+  // A search visits each machine a few times per job, not once for each moment that it tries,
+  // however full the profile is.
   EXPECT_LT(admitted, kMaxExamined);
   std::size_t cursor = 0;
   const auto starts = planner.compress(cursor);
--- a/tests/profile_test.cpp
+++ b/tests/profile_test.cpp
@@ -1,4 +1,4 @@
-// The profile of free resources: limits, packing and placement constraints.
+// The profile: team limits, packing and placement constraints.
 #include "scheduling/profile.hpp"
 
 #include "support/planner_helpers.hpp"
@@ -30,7 +30,7 @@
   broad.resources = {64, 8, 512};
   const std::size_t first = p.add_machine(lean);
   const std::size_t second = p.add_machine(broad);
-  // The lean one is the fuller, which would decide between equals.
+  // The lean machine is fuller and would win if neither machine's accelerators were stranded.
   p.allocate(first, TeamId("crew"), {WallTime{}, at(100), {6, 1, 24}, Owner{99}});
   JobSpec job = batch("req-a", 1, 1, 60);
   job.need = {6, 1, 48};
--- a/tests/scale_out_test.cpp
+++ b/tests/scale_out_test.cpp
@@ -1,4 +1,4 @@
-// Which machines are provisioned for the jobs that wait.
+// Which machines are provisioned for waiting jobs.
 #include "scheduling/scale_out.hpp"
 
 #include "support/helpers.hpp"
--- a/tests/service_job_plan_test.cpp
+++ b/tests/service_job_plan_test.cpp
@@ -1,10 +1,11 @@
-// Placement of a replica, which never ends, among reservations that begin later.
+// Placement of service job replicas, which have no end, on machines with later reservations.
 #include "support/planner_helpers.hpp"
 
 namespace marblevale {
 namespace {
 
-/// One machine of 100 CPUs of which 60 are in use for 50 s more, and are reserved whole after that.
+/// One machine of 100 CPUs. 60 CPUs are in use for another 50 s; after that the whole machine is
+/// reserved.
 class ServiceJobPlanTest : public ::testing::Test {
  protected:
   ServiceJobPlanTest() {
@@ -36,7 +37,7 @@
     auto starts = planner.compress(cursor);
     profile_ = planner.take_profile();
     if (!starts.empty()) {
-      // As the next round sees it: running, without an end.
+      // The next round sees the replica as running, without an end.
       started_ = true;
       reservations_.erase(replica_.job_id);
       profile_.release(Owner{1});
@@ -55,8 +56,8 @@
   bool started_ = false;
 };
 
-// An end that never comes conflicts with every reservation behind it: a replica would wait for as
-// long as anything is reserved, beside idle room.
+// A replica has no end, so it conflicts with every later reservation on its machine. Unless it may
+// displace reservations, it would wait beside idle capacity for as long as reservations exist.
 TEST_F(ServiceJobPlanTest, AReplicaDisplacesALaterReservationOfLowerUrgency) {
   const auto starts = run_round();
   ASSERT_EQ(starts.size(), 1U);
@@ -74,7 +75,8 @@
   EXPECT_EQ(reservations_.at(later_.job_id).start, testing::at(150));
 }
 
-// Where another of the same urgency keeps it out, the others' reservations are not broken in vain.
+// When a reservation of the same urgency keeps the replica from starting, reservations of lower
+// urgency must not be displaced.
 TEST_F(ServiceJobPlanTest, NoReservationIsDisplacedWhenTheReplicaStillCannotStart) {
   JobSpec equal = later_;
   equal.job_id = JobId("req-equal");
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -1,4 +1,4 @@
-// Jobs that wait although a machine fits them, and jobs that have a reason to wait.
+// Finds jobs that wait although a machine fits them, and ignores jobs that have a reason to wait.
 #include "scheduling/starvation.hpp"
 
 #include "support/helpers.hpp"
@@ -58,7 +58,7 @@
   machine("vm-1", "a");
   job(testing::gang("req-1", 2, 4, 60));
   job(testing::batch("req-2", 1, 4, 60), 10);
-  job(testing::batch("req-3", 1, 4, 60), 90);  // has not waited for long
+  job(testing::batch("req-3", 1, 4, 60), 90);  // has waited for less than 30 s
   const auto found = find();
   ASSERT_EQ(found.size(), 2U);
   EXPECT_EQ(found[0].job_id, JobId("req-1"));
--- a/tests/team_without_quota_test.cpp
+++ b/tests/team_without_quota_test.cpp
@@ -1,5 +1,5 @@
-// Jobs of teams without a quota beside those of teams which have one: order, preemption, packing
-// and scale out.
+// Jobs of teams without a quota next to jobs of teams with one: queue order, preemption, packing
+// and scale-out.
 #include "scheduling/job_queue.hpp"
 #include "scheduling/preemption.hpp"
 #include "support/leader_loop_fixture.hpp"
@@ -47,8 +47,8 @@
   records.jobs[spec.job_id] = {JobRecord{spec, at(accepted), std::nullopt}, ModRevision(1)};
 }
 
-// The work of a team without quota held the machines, and the arrays of the
-// guaranteed teams beyond their guarantee, of the same urgency, missed their deadlines.
+// If jobs of a team without a quota ranked like others of their urgency, they would hold the
+// machines, and arrays of teams with a quota that exceed it would miss their deadlines.
 TEST(TeamWithoutQuota, IsQueuedAfterTeamsWithQuota) {
   Records records;
   add_job(records, low_urgency_batch("req-guest", "guest", 10), 0);
@@ -56,7 +56,8 @@
   EXPECT_EQ(queue_order(records, 20), (std::vector<std::string>{"req-crew", "req-guest"}));
 }
 
-// It must begin some day, too: within four minutes the largest of each class.
+// A job of a team without a quota must begin, too: the largest job of each class within four
+// minutes.
 TEST(TeamWithoutQuota, IsQueuedFirstOnceOverdue) {
   Records records;
   add_job(records, low_urgency_batch("req-guest", "guest", 10), 0);
@@ -99,7 +100,8 @@
   EXPECT_EQ(room->victims[0].job_id.get(), "req-guest");
 }
 
-// CPUs that a task without accelerators takes beside idle ones make these useless to others.
+// A task without accelerators that takes CPUs beside idle accelerators makes them unusable for
+// other jobs.
 TEST(TeamWithoutQuota, TasksWithoutAcceleratorsArePackedBesideBusyOnes) {
   Profile profile;
   profile.add_machine(machine("idle", 2));
@@ -120,7 +122,8 @@
 
 using TeamWithoutQuotaScaleOutTest = testing::LeaderLoopTest;
 
-// Idle-only work: nobody set an objective for its class, and its team has no guarantee.
+// A job of a class without an objective and of a team without a guarantee uses idle machines only,
+// until it is overdue.
 TEST_F(TeamWithoutQuotaScaleOutTest, NothingIsProvisionedUntilTheJobIsOverdue) {
   Team guest;
   guest.name = TeamId("guest");
