--- a/src/scheduling/compression.hpp
+++ b/src/scheduling/compression.hpp
@@ -55,8 +55,8 @@
   void allocate_running(const QueueItem& item, const Plan& plan);
   /// Removes the started tasks from the job's remaining demand.
   void reduce_demand(QueueItem& item, const Plan& plan) const;
-  /// Keeps the latest reserved places for the tasks that did not start, and drops the earliest
-  /// ones.
+  /// Keeps the latest reserved places for the tasks that did not start, and drops the earlier
+  /// places.
   void reserve_remaining_tasks(const QueueItem& item);
   /// Makes the blocked jobs up to the position that could use the freed machines pending again.
   /// Returns the position of the first of these jobs, or the position after `position`.
--- a/src/scheduling/occupancy.cpp
+++ b/src/scheduling/occupancy.cpp
@@ -52,8 +52,8 @@
 }
 
 ImageSet Occupancy::images_at(const MachineId& machine_id, const Records& records) const {
-  // The machine's record has the images of tasks that ran there. `images_` adds the ones that are
-  // probably being fetched.
+  // The machine's record has the images of tasks that ran there. `images_` adds the images that
+  // are probably being fetched.
   ImageSet out;
   images_.add_to(out, machine_id);
   if (const auto it = records.machines.find(machine_id); it != records.machines.end()) {
--- a/src/scheduling/occupancy.hpp
+++ b/src/scheduling/occupancy.hpp
@@ -55,7 +55,7 @@
   void set_unreachable_zones(const std::set<ZoneId>& zones, const Records& records);
   /// Updates the profile for all marked machines and slices. `pending` holds slices that this
   /// controller has committed, or is about to commit, and that the records may not show yet; they
-  /// replace the recorded ones.
+  /// replace the recorded slices.
   void sync(const Records& records, const std::vector<Team>& teams, const Slices& pending,
             const std::vector<BootingMachine>& booting, WallTime now);
 
