--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -12,24 +12,24 @@
     machine_in_state("vm-" + std::to_string(100 + i), MachineState::silent);
   begin();
   run(Duration{24'000});
-  EXPECT_TRUE(cloud_.removed.empty()) << "they may be back";
+  EXPECT_TRUE(cloud_.deletion_requests.empty()) << "they may be back";
   run(Duration{8'000});
-  EXPECT_EQ(cloud_.removed.size(), 12U);
+  EXPECT_EQ(cloud_.deletion_requests.size(), 12U);
 }
 
 TEST_F(AutoscalerTest, AMachineMissingFromAStaleListIsNotDeleted) {
   settings_.list_lag = Duration{4'000};
   machine("vm-1");
-  cloud_.listing.emplace();
-  cloud_.listing->machines.push_back({MachineId("vm-1"), "", "g8", ZoneId("a"), false,
-                                      ProvisioningStatus::running, Duration{60'000}});
+  cloud_.machine_list.emplace();
+  cloud_.machine_list->machines.push_back({MachineId("vm-1"), "", "g8", ZoneId("a"), false,
+                                           ProvisioningStatus::running, Duration{60'000}});
   begin();
   run(Duration{3'000});
-  cloud_.listing->machines.clear();
+  cloud_.machine_list->machines.clear();
   run(Duration{7'000});
-  EXPECT_TRUE(cloud_.removed.empty()) << "the list may be older than the one that had it";
+  EXPECT_TRUE(cloud_.deletion_requests.empty()) << "the list may be older than the one that had it";
   run(Duration{5'000});
-  EXPECT_EQ(cloud_.removed, std::vector<MachineId>{MachineId("vm-1")});
+  EXPECT_EQ(cloud_.deletion_requests, std::vector<MachineId>{MachineId("vm-1")});
 }
 
 TEST_F(AutoscalerTest, AMachineWhoseCancelledTaskDoesNotEndIsDeleted) {
@@ -41,21 +41,21 @@
   JobRecord job{spec, time_.wall(), time_.wall()};
   store_.put(keys::job(spec.job_id), encode(job));
   run(Duration{10'000});
-  EXPECT_TRUE(cloud_.removed.empty());
+  EXPECT_TRUE(cloud_.deletion_requests.empty());
   run(Duration{15'000});
-  ASSERT_EQ(cloud_.removed.size(), 1U);
+  ASSERT_EQ(cloud_.deletion_requests.size(), 1U);
   EXPECT_EQ(machine_state("vm-1"), MachineState::gone);
 }
 
 TEST_F(AutoscalerTest, AnUnansweredDeletionIsNoEvidenceOfTermination) {
   machine("vm-1");
-  cloud_.removes = false;
+  cloud_.confirms_deletions = false;
   begin();
   run(Duration{100});
   autoscaler_.request_deletion(MachineId("vm-1"), DeletionReason::idle);
   run(Duration{3000});
   EXPECT_EQ(machine_state("vm-1"), MachineState::deleting);
-  cloud_.removes = true;
+  cloud_.confirms_deletions = true;
   run(Duration{3000});
   EXPECT_EQ(machine_state("vm-1"), MachineState::gone);
 }
@@ -79,10 +79,10 @@
   set_task("req-1", bound("vm-lost"));
   begin();
   run(Duration{10'000});
-  EXPECT_TRUE(cloud_.removed.empty());
+  EXPECT_TRUE(cloud_.deletion_requests.empty());
   run(Duration{20'000});
-  ASSERT_FALSE(cloud_.removed.empty());
-  EXPECT_EQ(cloud_.removed[0], MachineId("vm-lost"));
+  ASSERT_FALSE(cloud_.deletion_requests.empty());
+  EXPECT_EQ(cloud_.deletion_requests[0], MachineId("vm-lost"));
   EXPECT_EQ(machine_state("vm-lost"), MachineState::gone);
 }
 
@@ -98,11 +98,11 @@
   Transaction removal;
   removal.remove(keys::job(JobId("req-1")));
   store_.commit(RequestPriority::binding, removal, [](const CommitResult&) {});
-  cloud_.listing.emplace();
-  cloud_.listing->machines.push_back({MachineId("vm-late"), "", "g8", ZoneId("a"), false,
-                                      ProvisioningStatus::running, Duration{600'000}});
+  cloud_.machine_list.emplace();
+  cloud_.machine_list->machines.push_back({MachineId("vm-late"), "", "g8", ZoneId("a"), false,
+                                           ProvisioningStatus::running, Duration{600'000}});
   run(Duration{10'000});
-  EXPECT_EQ(cloud_.removed, std::vector<MachineId>{MachineId("vm-late")});
+  EXPECT_EQ(cloud_.deletion_requests, std::vector<MachineId>{MachineId("vm-late")});
 }
 
 // Guards against jobs that are released again and again to a machine that no longer exists. A late
@@ -112,10 +112,10 @@
   settings_.list_lag = Duration{4'000};
   store_.put_machine(testing::machine_record("vm-1", time_.wall() - Duration{600'000}));
   machine("vm-2", "a");  // too new to be on the list
-  cloud_.listing.emplace();
+  cloud_.machine_list.emplace();
   begin();
   run(Duration{10'000});
-  EXPECT_EQ(cloud_.removed, std::vector<MachineId>{MachineId("vm-1")});
+  EXPECT_EQ(cloud_.deletion_requests, std::vector<MachineId>{MachineId("vm-1")});
   EXPECT_EQ(machine_state("vm-1"), MachineState::gone);
 }
 
@@ -134,13 +134,14 @@
       testing::slice_record(array_in_one_zone.job_id, {bound("vm-lost"), TaskRecord{}});
   slice.tasks[0].zone = ZoneId("b");
   put_slice(store_, slice);
-  cloud_.scales_out = true;
+  cloud_.has_capacity = true;
   begin();
   run(Duration{5'000});
-  ASSERT_FALSE(cloud_.provisioned_in.empty());
-  for (const ZoneId& zone : cloud_.provisioned_in) EXPECT_EQ(zone, ZoneId("b"));
+  ASSERT_FALSE(cloud_.requested_zones.empty());
+  for (const ZoneId& zone : cloud_.requested_zones) EXPECT_EQ(zone, ZoneId("b"));
   std::size_t machine_count = 0;
-  for (const auto& [name, provisioned] : cloud_.provisioned) machine_count += provisioned.size();
+  for (const auto& [name, provisioned] : cloud_.provisioned_machines)
+    machine_count += provisioned.size();
   EXPECT_GE(machine_count, 3U) << "two for the gang, one for the array";
 }
 
--- a/tests/cancellation_outage_test.cpp
+++ b/tests/cancellation_outage_test.cpp
@@ -231,9 +231,9 @@
   store_.scripts.clear();
   cancel();
   run_workers(Duration{22'000});
-  give_shard("other", 9);
+  assign_shard("other", 9);
   run_workers(Duration{2'000});
-  give_shard("me", 7);  // it has lost its state in memory
+  assign_shard("me", 7);  // it has lost its state in memory
   watch_answers_ = false;
   EXPECT_TRUE(task_ends_in_time());
 }
@@ -259,7 +259,7 @@
   // The orders sent so far get no answer, so that no order is in flight.
   const auto unanswered_orders = std::move(workers_.sent);
   workers_.sent.clear();
-  for (const auto& order : unanswered_orders) order.then({});
+  for (const auto& order : unanswered_orders) order.reply({});
   cancellations_.merge_peer_list(peer_list());
   run(Duration{50});
   EXPECT_TRUE(sent("kill"));
--- a/tests/compact_encoding_test.cpp
+++ b/tests/compact_encoding_test.cpp
@@ -8,8 +8,8 @@
 namespace marblevale {
 namespace {
 
-using testing::kLowered;
 using testing::kLoweredBytes;
+using testing::kLoweredSize;
 using testing::largest_slice;
 
 void expect_equal(const TaskRecord& a, const TaskRecord& b) {
@@ -71,7 +71,7 @@
 TEST(CompactSlice, TheLargestFitsTheLoweredLimit) {
   const SliceRecord slice = largest_slice();
   ASSERT_GT(encode(slice).size(), kLoweredBytes);
-  const std::string text = encode(slice, kLowered);
+  const std::string text = encode(slice, kLoweredSize);
   EXPECT_LE(text.size(), kLoweredBytes);
   const auto back = read_back<SliceRecord>(text);
   ASSERT_EQ(back.tasks.size(), slice.tasks.size());
@@ -89,11 +89,11 @@
     EXPECT_GT(back.tasks[i].since + Duration{1000}, slice.tasks[i].since);
     EXPECT_NE(back.tasks[i].running, WallTime{});
   }
-  EXPECT_EQ(encode(back, kLowered), text) << "written again it changes no further";
+  EXPECT_EQ(encode(back, kLoweredSize), text) << "written again it changes no further";
 }
 
 TEST(CompactSlice, CorruptBytesAreRejected) {
-  const std::string text = encode(largest_slice(), kLowered);
+  const std::string text = encode(largest_slice(), kLoweredSize);
   const auto begin = text.find(R"("tasks":")") + 9;
   for (std::size_t i = begin; i < begin + 200; ++i) {
     std::string twisted = text;
@@ -161,7 +161,7 @@
     const MachinePage page = largest_page(blamed);
     ASSERT_GT(encode(page, {kLoweredBytes, false}).size(), kLoweredBytes)
         << "the plain form does not fit even without images";
-    const std::string text = encode(page, kLowered);
+    const std::string text = encode(page, kLoweredSize);
     EXPECT_LE(text.size(), kLoweredBytes);
     const auto back = read_back<MachinePage>(text);
     ASSERT_EQ(back.machines.size(), page.machines.size());
--- a/tests/delayed_message_test.cpp
+++ b/tests/delayed_message_test.cpp
@@ -25,8 +25,8 @@
   handle_heartbeat(1, token());
   run(Duration{600});
   const auto old_token = token();
-  give_shard("other", 9);
-  give_shard("me", 7);
+  assign_shard("other", 9);
+  assign_shard("me", 7);
   for (int i = 0; i < 5; ++i) {
     handle_heartbeat(1, old_token);  // delayed heartbeats, a newer one each time
     run(Duration{3'000});
@@ -88,7 +88,7 @@
 
 TEST_F(DelayedMessageTest, TheShardOfAnEarlierIncarnationIsReacquiredAndItsDelayedCommitsFail) {
   store_.scripts.assign(50, Script::refuse);
-  give_shard("me", 6);
+  assign_shard("me", 6);
   const auto earlier_token = token();
   EXPECT_NE(handle_heartbeat(1, 0).status, 200)
       << "the earlier incarnation may have commits in flight";
@@ -110,8 +110,8 @@
   handle_heartbeat(1, token(), task_status("running"));
   run(Duration{100});
   const auto old_token = token();
-  give_shard("other", 9);
-  give_shard("me", 7);  // the new ownership has no state of the worker
+  assign_shard("other", 9);
+  assign_shard("me", 7);  // the new ownership has no state of the worker
   ASSERT_GT(token(), old_token);
   handle_heartbeat(1, old_token);  // a duplicate that was sent before the task started
   run(Duration{200});
@@ -140,8 +140,8 @@
   run(Duration{100});
   EXPECT_EQ(machine_state(), MachineState::silent) << "known to this holder";
   const auto old_token = token();
-  give_shard("other", 9);
-  give_shard("me", 7);
+  assign_shard("other", 9);
+  assign_shard("me", 7);
   handle_heartbeat(1, old_token);
   run(Duration{100});
   EXPECT_EQ(machine_state(), MachineState::silent) << "sent under an earlier fencing token";
--- a/tests/gang_completion_test.cpp
+++ b/tests/gang_completion_test.cpp
@@ -25,7 +25,7 @@
 
   static std::string second_attempt(const std::string& id, const std::string& status,
                                     const std::string& cause = "") {
-    return part_status(id, status, cause, 2);
+    return task_status_of(id, status, cause, 2);
   }
 
   [[nodiscard]] TaskState state_of(std::size_t index) const {
--- a/tests/job_api_cancel_test.cpp
+++ b/tests/job_api_cancel_test.cpp
@@ -39,7 +39,7 @@
   text.replace(text.find("[\"g8\"]"), 6, types + "]");
   ASSERT_EQ(submit(text).status, 201);
   store_.announce_limits(2048, 5);
-  store_.enforces_announced = true;
+  store_.enforces_announced_limits = true;
   const UserAnswer answer = cancel("req-000412");
   EXPECT_EQ(answer.status, 200);
   EXPECT_NE(answer.body.find("\"cancelled\""), std::string::npos);
--- a/tests/leader_failover_test.cpp
+++ b/tests/leader_failover_test.cpp
@@ -57,30 +57,32 @@
   begin();
   store_.put(keys::job(cancelled.job_id), encode(JobRecord{cancelled, time_.wall(), time_.wall()}));
   run(Duration{1'000});
-  cloud_.removes = false;  // the first requests get no answer
+  cloud_.confirms_deletions = false;  // the first requests get no answer
   outage(Duration{28'000});
-  EXPECT_TRUE(cloud_.removed.empty()) << "its holder does not say that the task is there";
+  EXPECT_TRUE(cloud_.deletion_requests.empty()) << "its holder does not say that the task is there";
   overdue = {MachineId("vm-1")};
   outage(Duration{2'000});
-  ASSERT_FALSE(cloud_.removed.empty());
-  cloud_.removes = true;
+  ASSERT_FALSE(cloud_.deletion_requests.empty());
+  cloud_.confirms_deletions = true;
   outage(Duration{2'000});
-  const std::size_t requests_before = cloud_.removed.size();
+  const std::size_t requests_before = cloud_.deletion_requests.size();
   outage(Duration{15'000});
-  EXPECT_EQ(cloud_.removed.size(), requests_before) << "once it was answered, that is enough";
-  for (const MachineId& machine_id : cloud_.removed) EXPECT_EQ(machine_id, MachineId("vm-1"));
+  EXPECT_EQ(cloud_.deletion_requests.size(), requests_before)
+      << "once it was answered, that is enough";
+  for (const MachineId& machine_id : cloud_.deletion_requests)
+    EXPECT_EQ(machine_id, MachineId("vm-1"));
   EXPECT_EQ(tasks("req-1").at(0).state, TaskState::bound) << "what is not recorded is no proof";
   EXPECT_EQ(machine_state("vm-1"), MachineState::up);
   run(Duration{3'000});
   EXPECT_EQ(machine_state("vm-1"), MachineState::gone);
-  EXPECT_GT(cloud_.removed.size(), requests_before)
+  EXPECT_GT(cloud_.deletion_requests.size(), requests_before)
       << "after it was recorded, the deletion is asked again";
   EXPECT_EQ(machine_state("vm-2"), MachineState::up);
 }
 
 TEST_F(LeaderFailoverTest, AProvisioningAnswerWithoutALeaderIsNotCommitted) {
   settings_.peers = {{NodeId("n1"), ZoneId("b"), {}}, {NodeId("n2"), ZoneId("b"), {}}};
-  cloud_.scales_out = cloud_.hold_provisioning = true;
+  cloud_.has_capacity = cloud_.hold_provisioning = true;
   begin();
   run(Duration{1'000});
   ASSERT_TRUE(election_.is_established_leader());
@@ -116,7 +118,7 @@
   provisioning_request.how_many = 2;
   provisioning_request.asked = time_.wall();
   store_.put(keys::provisioning_request(provisioning_request.name), encode(provisioning_request));
-  cloud_.scales_out = true;
+  cloud_.has_capacity = true;
   begin();
   run(Duration{2'000});
   EXPECT_EQ(cloud_.provisioning_requests, std::vector<std::string>{"h-5-1"});
@@ -141,7 +143,7 @@
   store_.deliver_held_answers();
   run(Duration{3'000});
   EXPECT_EQ(machine_state("vm-1"), MachineState::up);
-  EXPECT_TRUE(cloud_.removed.empty());
+  EXPECT_TRUE(cloud_.deletion_requests.empty());
 }
 
 TEST_F(LeaderFailoverTest, JobsAreReleasedOnceThroughTenFailovers) {
--- a/tests/leader_process_pause_test.cpp
+++ b/tests/leader_process_pause_test.cpp
@@ -65,12 +65,12 @@
   pause_process(Duration{60'000});
   run_without_watch(Duration{2'500});
   EXPECT_EQ(commits_since(), 0U);
-  EXPECT_TRUE(cloud_.removed.empty());
+  EXPECT_TRUE(cloud_.deletion_requests.empty());
   silent.state = MachineState::up;  // it reported to its holder meanwhile
   store_.put_machine(silent);
   run(Duration{2'500});
   EXPECT_EQ(machine_state("vm-1"), MachineState::up);
-  EXPECT_TRUE(cloud_.removed.empty());
+  EXPECT_TRUE(cloud_.deletion_requests.empty());
 }
 
 TEST_F(LeaderProcessPauseTest, DropsAnUncommittedDeletion) {
@@ -83,21 +83,21 @@
   EXPECT_EQ(commits_since(), 0U);
   run(Duration{2'500});
   EXPECT_EQ(machine_state("vm-1"), MachineState::up) << "it may have work by now";
-  EXPECT_TRUE(cloud_.removed.empty());
+  EXPECT_TRUE(cloud_.deletion_requests.empty());
 }
 
 TEST_F(LeaderProcessPauseTest, ExecutesACommittedDeletion) {
   machine("vm-1");
   begin();
   run(Duration{1'100});
-  cloud_.removes = false;  // the cloud does not answer
+  cloud_.confirms_deletions = false;  // the cloud does not answer
   autoscaler_.request_deletion(MachineId("vm-1"), DeletionReason::silent);
   run(Duration{1'100});
   ASSERT_EQ(machine_state("vm-1"), MachineState::deleting);
-  cloud_.removed.clear();
+  cloud_.deletion_requests.clear();
   pause_process();
   run_without_watch(Duration{1'500});
-  EXPECT_FALSE(cloud_.removed.empty()) << "a cancelled task may be on it";
+  EXPECT_FALSE(cloud_.deletion_requests.empty()) << "a cancelled task may be on it";
   EXPECT_EQ(commits_since(), 0U);
 }
 
--- a/tests/misrouted_heartbeats_test.cpp
+++ b/tests/misrouted_heartbeats_test.cpp
@@ -8,7 +8,7 @@
 class MisroutedHeartbeatsTest : public testing::ShardHolderTest {};
 
 TEST_F(MisroutedHeartbeatsTest, WorkersThatKeepReturningMarkTheirZoneAsMisrouted) {
-  give_shard("other", 9);
+  assign_shard("other", 9);
   for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
   EXPECT_TRUE(holder_.misrouted_zones().empty());
   run(Duration{6'500});
@@ -21,7 +21,7 @@
 // holder kept its shard for 17 s of a lease of 24 s, because only the third heartbeat of a
 // returning worker counted as evidence.
 TEST_F(MisroutedHeartbeatsTest, TheSecondHeartbeatOfUnansweredWorkersMarksTheirZoneAsMisrouted) {
-  give_shard("other", 9);
+  assign_shard("other", 9);
   for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
   run(Duration{5'000});  // redirected to the holder: 4 s without an answer, then 1 s more
   for (const char* machine_id : {"vm-1", "vm-2"}) handle_heartbeat(1, 0, "", machine_id);
@@ -29,7 +29,7 @@
 }
 
 TEST_F(MisroutedHeartbeatsTest, WorkersOfAnEndedHolderDoNotMarkTheirZoneAsMisrouted) {
-  give_shard("other", 9);
+  assign_shard("other", 9);
   // The ended holder refuses connections, so the workers try the next controller a second later.
   // The holder's lease expires after 4 s at the latest.
   for (int attempt = 0; attempt < 5; ++attempt) {
--- a/tests/service_job_test.cpp
+++ b/tests/service_job_test.cpp
@@ -209,9 +209,10 @@
   set_task("req-2", bound("vm-2"));
   submit(testing::batch("req-2", 1, 1, 600));
   run(lease_over - Duration{1'000});
-  EXPECT_TRUE(cloud_.removed.empty()) << "until then it may come back, its replica running";
+  EXPECT_TRUE(cloud_.deletion_requests.empty())
+      << "until then it may come back, its replica running";
   run(Duration{3'500});
-  EXPECT_EQ(cloud_.removed, std::vector<MachineId>{MachineId("vm-1")});
+  EXPECT_EQ(cloud_.deletion_requests, std::vector<MachineId>{MachineId("vm-1")});
 }
 
 TEST(Evacuation, WaitsWhileAnotherReplicaIsDown) {
--- a/tests/shard_holder_test.cpp
+++ b/tests/shard_holder_test.cpp
@@ -10,7 +10,7 @@
 
 TEST_F(ShardHolderTest, OnlyTheHolderAnswers200) {
   EXPECT_EQ(handle_heartbeat(1, 0).status, 200);
-  give_shard("other", 9);
+  assign_shard("other", 9);
   const auto answer = handle_heartbeat(1, 0);
   EXPECT_EQ(answer.status, 421);
   EXPECT_NE(answer.body.find("\"steward\":\"other\""), std::string::npos);
@@ -70,7 +70,7 @@
 
 TEST_F(ShardHolderTest, AnUnansweredStartIsRetriedOnTheSameMachine) {
   bind_and_start();
-  workers_.sent.back().then(HttpReply::no_answer());
+  workers_.sent.back().reply(HttpReply::no_answer());
   run(Duration{3000});
   const auto answer = handle_heartbeat(1, token());
   EXPECT_NE(answer.body.find("\"start\""), std::string::npos);
@@ -79,7 +79,7 @@
 
 TEST_F(ShardHolderTest, ACancelledTaskIsFreedOnlyWhenNoDelayedStartCanArrive) {
   bind_and_start();
-  workers_.sent.back().then(HttpReply::no_answer());
+  workers_.sent.back().reply(HttpReply::no_answer());
   cancel();
   const auto old_token = token();
   run(Duration{50});
--- a/tests/store_limit_reduction_test.cpp
+++ b/tests/store_limit_reduction_test.cpp
@@ -8,8 +8,8 @@
 namespace marblevale {
 namespace {
 
-using testing::kLowered;
 using testing::kLoweredBytes;
+using testing::kLoweredSize;
 using testing::largest_slice;
 
 TEST(StoreLimits, OperationsFitCurrentAndAnnouncedLimits) {
@@ -90,7 +90,7 @@
 
 TEST_F(StoreLimitReductionTest, ALargeRecordIsRewrittenOnceLimitsAreLowered) {
   bind_large_slice();
-  store_.enforces_announced = true;
+  store_.enforces_announced_limits = true;
   end_first_task();
   EXPECT_EQ(store_.refused_for_size, 1)
       << "what was refused for its size is not sent again as it is";
@@ -102,7 +102,7 @@
   bind_large_slice();
   store_.put(keys::node(NodeId("other")), R"({"v":1,"node":"other","nonce":3,"permit":9})");
   run(Duration{100});
-  store_.enforces_announced = true;
+  store_.enforces_announced_limits = true;
   end_first_task();
   EXPECT_GT(stored_slice().size(), kLoweredBytes);
   EXPECT_EQ(task().state, TaskState::bound) << "nothing was lost: it waits";
@@ -117,7 +117,7 @@
   bind_large_slice();
   SliceRecord slice = largest_slice();
   slice.job_id = JobId("req-2");
-  store_.put(keys::slice(slice.job_id, slice.number), encode(slice, kLowered));
+  store_.put(keys::slice(slice.job_id, slice.number), encode(slice, kLoweredSize));
   run(Duration{50});
   EXPECT_TRUE(cache_.record_size().compact_allowed);
   EXPECT_EQ(cache_.record_size().max_bytes, kLoweredBytes);
@@ -142,7 +142,7 @@
   const ReleaseId id = releases.add(request, cache.records());
   EXPECT_EQ(releases.mark_sent(id, RecordSize{}).puts.front().value, encode(slice));
   releases.on_commit_answer(id, {}, time.steady());
-  const Transaction retry = releases.mark_sent(id, kLowered);
+  const Transaction retry = releases.mark_sent(id, kLoweredSize);
   EXPECT_LE(retry.puts.front().value.size(), kLoweredBytes);
   EXPECT_EQ(retry.guards, request.txn.guards);
 }
--- a/tests/support/fake_time.hpp
+++ b/tests/support/fake_time.hpp
@@ -15,12 +15,14 @@
 /// order.
 class FakeTime : public Clock, public TimerQueue {
  public:
-  [[nodiscard]] SteadyTime steady() const override { return SteadyTime{Duration{now_}}; }
-  [[nodiscard]] WallTime wall() const override { return from_unix_milliseconds(now_ + 1'000'000); }
+  [[nodiscard]] SteadyTime steady() const override { return SteadyTime{Duration{now_ms_}}; }
+  [[nodiscard]] WallTime wall() const override {
+    return from_unix_milliseconds(now_ms_ + 1'000'000);
+  }
 
   void arm(Timer& timer, Duration after) override {
     disarm(timer);
-    due_.emplace(std::make_pair(now_ + after.count(), serial_++), &timer);
+    due_.emplace(std::make_pair(now_ms_ + after.count(), serial_++), &timer);
   }
   void disarm(Timer& timer) override {
     std::erase_if(due_, [&](const auto& entry) { return entry.second == &timer; });
@@ -31,21 +33,21 @@
   }
 
   void advance(Duration by) {
-    const std::int64_t until = now_ + by.count();
+    const std::int64_t until = now_ms_ + by.count();
     while (!due_.empty() && due_.begin()->first.first <= until) {
-      now_ = std::max(now_, due_.begin()->first.first);
+      now_ms_ = std::max(now_ms_, due_.begin()->first.first);
       Timer* timer = due_.begin()->second;
       due_.erase(due_.begin());
       timer->fire();
     }
-    now_ = until;
+    now_ms_ = until;
   }
 
   /// The process is paused: the clocks run on and no timer fires, so that all of them are overdue.
-  void pause_process(Duration duration) { now_ += duration.count(); }
+  void pause_process(Duration duration) { now_ms_ += duration.count(); }
 
  private:
-  std::int64_t now_ = 10'000'000;
+  std::int64_t now_ms_ = 10'000'000;
   std::uint64_t serial_ = 0;
   std::map<std::pair<std::int64_t, std::uint64_t>, Timer*> due_;
 };
--- a/tests/support/job_api_fixture.hpp
+++ b/tests/support/job_api_fixture.hpp
@@ -118,9 +118,9 @@
 
   /// The holder of the last task ends the job with the revision that it knows of the job's record.
   /// Where that conflicts with a cancellation, it reads again and ends the job as cancelled.
-  void end_job(const std::string& job_id, ModRevision known) {
+  void end_job(const std::string& job_id, ModRevision expected_revision) {
     const std::string key = keys::job(JobId(job_id));
-    commit_end(job_id, FinalState::done, known);
+    commit_end(job_id, FinalState::done, expected_revision);
     if (const auto entry = store_.get(key)) {
       commit_end(job_id, FinalState::cancelled, entry->mod_revision);
     }
@@ -166,14 +166,15 @@
   std::unique_ptr<JobApi> api_;
 
  private:
-  void commit_end(const std::string& job_id, FinalState state, std::optional<ModRevision> known) {
+  void commit_end(const std::string& job_id, FinalState state,
+                  std::optional<ModRevision> expected_revision) {
     FinalRecord record;
     record.job_id = JobId(job_id);
     record.state = state;
     record.task_count = 2;
     record.ended = clock_.wall();
     Transaction txn;
-    if (known) txn.guard(keys::job(record.job_id), *known);
+    if (expected_revision) txn.guard(keys::job(record.job_id), *expected_revision);
     txn.put(keys::final_job(record.job_id), encode(record, kValueBytes))
         .remove(keys::job(record.job_id));
     store_.commit(RequestPriority::binding, txn, [](const CommitResult&) {});
--- a/tests/support/large_records.hpp
+++ b/tests/support/large_records.hpp
@@ -8,7 +8,7 @@
 namespace marblevale::testing {
 
 inline constexpr std::size_t kLoweredBytes = 2048;
-inline constexpr RecordSize kLowered{kLoweredBytes, true};
+inline constexpr RecordSize kLoweredSize{kLoweredBytes, true};
 
 /// A slice of the largest size: each task is placed, has failed before, and is being preempted.
 inline SliceRecord largest_slice() {
--- a/tests/support/scripted_cloud.hpp
+++ b/tests/support/scripted_cloud.hpp
@@ -13,7 +13,7 @@
 namespace marblevale::testing {
 
 /// Answers at once, or when the test lets it; records what it was asked for. Without capacity
-/// unless `scales_out` is set.
+/// unless `has_capacity` is set.
 class ScriptedCloud : public Cloud {
  public:
   void list_machine_types(
@@ -22,14 +22,14 @@
   }
   void list_machines(const std::optional<MachineId>&,
                      std::function<void(std::optional<MachineList>)> then) override {
-    then(listing);
+    then(machine_list);
   }
   void provision(const ProvisioningRequest& request,
                  std::function<void(ProvisioningResult)> then) override {
     provisioning_requests.push_back(request.name);
-    provisioned_in.push_back(request.zone);
-    std::vector<MachineId>& machine_ids = provisioned[request.name];
-    while (scales_out && machine_ids.size() < request.how_many) {
+    requested_zones.push_back(request.zone);
+    std::vector<MachineId>& machine_ids = provisioned_machines[request.name];
+    while (has_capacity && machine_ids.size() < request.how_many) {
       machine_ids.emplace_back("vm-" + request.name + "-" + std::to_string(machine_ids.size()));
     }
     const ProvisioningOutcome outcome =
@@ -41,8 +41,8 @@
   }
   void delete_machines(const std::vector<MachineId>& machine_ids,
                        std::function<void(DeletionOutcome)> then) override {
-    removed.insert(removed.end(), machine_ids.begin(), machine_ids.end());
-    then(removes ? DeletionOutcome::deleted : DeletionOutcome::unknown);
+    deletion_requests.insert(deletion_requests.end(), machine_ids.begin(), machine_ids.end());
+    then(confirms_deletions ? DeletionOutcome::deleted : DeletionOutcome::unknown);
   }
   void answer_provisioning() {
     while (!held_provisioning.empty()) {
@@ -52,14 +52,14 @@
     }
   }
   std::vector<std::string> provisioning_requests;
-  std::vector<ZoneId> provisioned_in;
-  bool scales_out = false;
-  std::map<std::string, std::vector<MachineId>> provisioned;  // by the request's name
+  std::vector<ZoneId> requested_zones;
+  bool has_capacity = false;
+  std::map<std::string, std::vector<MachineId>> provisioned_machines;  // by the request's name
   bool hold_provisioning = false;
   std::deque<std::function<void()>> held_provisioning;
-  std::vector<MachineId> removed;
-  bool removes = true;
-  std::optional<MachineList> listing;                     // none: no answer
+  std::vector<MachineId> deletion_requests;
+  bool confirms_deletions = true;
+  std::optional<MachineList> machine_list;                // none: no answer
   std::optional<std::vector<MachineType>> machine_types;  // none: no answer
 };
 
--- a/tests/support/scripted_store.hpp
+++ b/tests/support/scripted_store.hpp
@@ -43,7 +43,7 @@
 
   void range(const std::string& prefix, const std::string& after,
              std::function<void(std::optional<RangePage>)> then) override {
-    ranges.push_back(after);
+    range_requests.push_back(after);
     const bool fails = unavailable || failing_ranges > 0;
     if (failing_ranges > 0) --failing_ranges;
     if (fails) {
@@ -53,7 +53,7 @@
     RangePage result;
     for (const auto& [key, entry] : data_) {
       if (key.compare(0, prefix.size(), prefix) != 0 || key <= after) continue;
-      result.has_next = result.entries.size() >= page;
+      result.has_next = result.entries.size() >= page_size;
       if (result.has_next) break;
       result.entries.push_back({key, entry.value, entry.mod_revision});
     }
@@ -63,7 +63,7 @@
 
   void commit(RequestPriority, Transaction txn, std::function<void(CommitResult)> then) override {
     commits.push_back(txn);
-    if (enforces_announced && too_large(txn)) {
+    if (enforces_announced_limits && too_large(txn)) {
       ++refused_for_size;
       if (exceeds_announced_value_limit(txn, limits_)) lower_limits(LimitsEvidence::refused_commit);
       CommitResult refusal;
@@ -98,7 +98,7 @@
   }
 
   void create_lease(Duration, std::function<void(LeaseResult)> then) override {
-    const LeaseId lease_id(++leases_);
+    const LeaseId lease_id(++last_lease_id_);
     deliver([then = std::move(then), lease_id] { then({Outcome::done, lease_id}); });
   }
 
@@ -115,10 +115,10 @@
     limits_.txn_ops = limits_.next->txn_ops;
     limits_.next.reset();
   }
-  /// Announces lower limits, which are in force once `enforces_announced` is set.
+  /// Announces lower limits, which are in force once `enforces_announced_limits` is set.
   void announce_limits(std::size_t value_bytes, std::size_t txn_ops) {
-    announced_ = AnnouncedLimits{1e6, 1e6, value_bytes, txn_ops};
-    limits_.next = announced_;
+    announced_limits_ = AnnouncedLimits{1e6, 1e6, value_bytes, txn_ops};
+    limits_.next = announced_limits_;
   }
   [[nodiscard]] double write_slack() override { return slack; }
 
@@ -198,15 +198,15 @@
   bool unavailable = false;
   bool hold_answers = false;
   int reads = 0;
-  std::size_t page = 1000;          // items in one answer to a range
-  int failing_ranges = 0;           // how many of the next are not answered
-  std::vector<std::string> ranges;  // that were asked, by what they begin after
-  std::deque<Script> scripts;       // of the next commits, whatever they write
+  std::size_t page_size = 1000;             // items in one answer to a range
+  int failing_ranges = 0;                   // how many of the next are not answered
+  std::vector<std::string> range_requests;  // that were asked, by what they begin after
+  std::deque<Script> scripts;               // of the next commits, whatever they write
   std::map<std::string, std::deque<Script>> key_scripts;  // of the next commits that write the key
   std::deque<Transaction> delayed;
   std::deque<std::function<void()>> held_answers;
   std::vector<Transaction> commits;
-  bool enforces_announced = false;  // the announced limits have come
+  bool enforces_announced_limits = false;  // the announced limits have come
   int refused_for_size = 0;
 
  private:
@@ -234,9 +234,9 @@
   }
 
   [[nodiscard]] bool too_large(const Transaction& txn) const {
-    if (txn.puts.size() + txn.deletes.size() > announced_.txn_ops) return true;
+    if (txn.puts.size() + txn.deletes.size() > announced_limits_.txn_ops) return true;
     return std::any_of(txn.puts.begin(), txn.puts.end(), [this](const Put& put) {
-      return put.value.size() > announced_.value_bytes;
+      return put.value.size() > announced_limits_.value_bytes;
     });
   }
 
@@ -282,10 +282,10 @@
   std::map<std::string, StoredValue> data_;
   std::vector<Change> log_;
   std::uint64_t revision_ = 0;
-  std::uint64_t leases_ = 0;
+  std::uint64_t last_lease_id_ = 0;
   std::set<LeaseId> expired_leases_;
   std::vector<Watch> watches_;
-  AnnouncedLimits announced_;
+  AnnouncedLimits announced_limits_;
   StoreLimits limits_{1e6, 1e6, kValueBytes, 16, 3, {}};  // no pace: tests move time themselves
 };
 
--- a/tests/support/scripted_workers.hpp
+++ b/tests/support/scripted_workers.hpp
@@ -13,15 +13,15 @@
 /// that it does not answer stays in flight.
 class ScriptedWorkers : public OrderSender {
  public:
-  struct Sent {
+  struct SentOrder {
     std::string address;
     std::string body;
-    HttpHandler then;
+    HttpHandler reply;
   };
   void send(const std::string& address, std::string body, HttpHandler then) override {
     sent.push_back({address, std::move(body), std::move(then)});
   }
-  std::vector<Sent> sent;
+  std::vector<SentOrder> sent;
 };
 
 }  // namespace marblevale::testing
--- a/tests/support/shard_holder_fixture.hpp
+++ b/tests/support/shard_holder_fixture.hpp
@@ -22,7 +22,7 @@
     election_.begin();
     holder_.begin();
     run(Duration{10});
-    give_shard("me", 7);
+    assign_shard("me", 7);
   }
 
   static Settings holder_settings() {
@@ -31,7 +31,7 @@
     return settings;
   }
 
-  void give_shard(const std::string& node, std::uint64_t incarnation) {
+  void assign_shard(const std::string& node, std::uint64_t incarnation) {
     put_shard("a", node, incarnation);
     run(Duration{20});
   }
@@ -40,27 +40,27 @@
     return store_.get(keys::shard(ZoneId("a")))->mod_revision.get();
   }
 
-  /// The text of a worker's heartbeat, with the next sequence number. `parts` is the inside of its
-  /// list of tasks, as `task_status` builds it.
+  /// The text of a worker's heartbeat, with the next sequence number. `task_entries` is the inside
+  /// of its list of tasks, as `task_status` builds it.
   std::string heartbeat_text(std::uint64_t epoch, std::uint64_t seen_token,
-                             const std::string& parts = "",
+                             const std::string& task_entries = "",
                              const std::string& machine_id = "vm-1") {
     return R"({"host":")" + machine_id + R"(","address":"10.1.0.1:9000","build":"g8",)" +
            R"("district":"a","loaners":false,"tenure":)" + std::to_string(epoch) + R"(,"tally":)" +
            std::to_string(++sequence_) + R"(,"warrant":)" + std::to_string(seen_token) +
-           R"(,"recall_s":null,"parts":[)" + parts + "]}";
+           R"(,"recall_s":null,"parts":[)" + task_entries + "]}";
   }
 
   HeartbeatReply handle_heartbeat(std::uint64_t epoch, std::uint64_t seen_token,
-                                  const std::string& parts = "",
+                                  const std::string& task_entries = "",
                                   const std::string& machine_id = "vm-1") {
-    return holder_.handle_heartbeat(heartbeat_text(epoch, seen_token, parts, machine_id));
+    return holder_.handle_heartbeat(heartbeat_text(epoch, seen_token, task_entries, machine_id));
   }
 
   /// One entry of a heartbeat's list of tasks.
-  static std::string part_status(const std::string& id, const std::string& status,
-                                 const std::string& cause = "", std::uint64_t attempt = 1) {
-    return R"({"part":")" + id + R"(","try":)" + std::to_string(attempt) + R"(,"status":")" +
+  static std::string task_status_of(const std::string& task_id, const std::string& status,
+                                    const std::string& cause = "", std::uint64_t attempt = 1) {
+    return R"({"part":")" + task_id + R"(","try":)" + std::to_string(attempt) + R"(,"status":")" +
            status + R"(","cause":")" + cause + R"("})";
   }
 
@@ -72,10 +72,10 @@
   }
 
   /// vm-1 answers its unanswered orders, one after the other, each with a newer heartbeat.
-  void answer_orders(int status, std::uint64_t epoch = 1, const std::string& parts = "") {
+  void answer_orders(int status, std::uint64_t epoch = 1, const std::string& task_entries = "") {
     for (; answered_orders_ < workers_.sent.size(); ++answered_orders_) {
-      const auto then = workers_.sent[answered_orders_].then;
-      then(HttpReply::answer(status, heartbeat_text(epoch, token(), parts)));
+      const auto reply = workers_.sent[answered_orders_].reply;
+      reply(HttpReply::answer(status, heartbeat_text(epoch, token(), task_entries)));
     }
   }
 
--- a/tests/support/simulated_cluster.hpp
+++ b/tests/support/simulated_cluster.hpp
@@ -68,7 +68,7 @@
   SimulatedCloud cloud;
   Autoscaler autoscaler;
   LeaderLoop leader_loop;
-  ShardAssigner guarantee_records;
+  ShardAssigner shard_assigner;
   ShardHolder holder;
 };
 
@@ -103,8 +103,8 @@
     settings.node = NodeId(node);
     settings.zone = ZoneId(zone);
     settings.zones = {ZoneId("a"), ZoneId("b")};
-    for (const auto& [peer, at] : {std::pair{"n1", "a"}, {"n2", "b"}, {"n3", "a"}}) {
-      if (node != peer) settings.peers.push_back({NodeId(peer), ZoneId(at), {}});
+    for (const auto& [peer, peer_zone] : {std::pair{"n1", "a"}, {"n2", "b"}, {"n3", "a"}}) {
+      if (node != peer) settings.peers.push_back({NodeId(peer), ZoneId(peer_zone), {}});
     }
     settings.workers = {Duration{1'000}, Duration{12'000}, Duration{20'000}, Duration{4'000},
                         Duration{30'000}};
@@ -235,14 +235,14 @@
       cloud(cluster),
       autoscaler(loop, cluster.time, settings, cache, election, cloud),
       leader_loop(loop, cluster.time, settings, cache, election, autoscaler),
-      guarantee_records(loop, cluster.time, settings, cache, election),
+      shard_assigner(loop, cluster.time, settings, cache, election),
       holder(loop, cluster.time, settings, cache, election, network, cancellations) {
   if (cluster.offers_releases) leader_loop.offer_releases_through(network);
   cache.begin();
   election.begin();
   autoscaler.begin();
   leader_loop.begin();
-  guarantee_records.begin();
+  shard_assigner.begin();
   holder.begin();
 }
 
@@ -272,8 +272,8 @@
   }
   const bool answered = !faulty || random.chance(0.85);
   cluster_.events.after(random.span(2, 20), [deliver, answer, answered] {
-    const bool taken = deliver();
-    if (answered) answer(taken ? OfferOutcome::accepted : OfferOutcome::declined);
+    const bool accepted = deliver();
+    if (answered) answer(accepted ? OfferOutcome::accepted : OfferOutcome::declined);
   });
   if (!answered) {
     cluster_.events.after(Duration{1'000}, [answer] { answer(OfferOutcome::unknown); });
--- a/tests/support/simulated_worker.hpp
+++ b/tests/support/simulated_worker.hpp
@@ -92,13 +92,13 @@
     for (const auto& order : json::list(doc, "orders")->GetArray()) {
       const std::pair id{*json::text(order, "part"), *json::count(order, "try")};
       const std::string verb = *json::text(order, "verb");
-      const auto known = tasks_.find(id);
-      if (verb == "start" && known == tasks_.end()) {
+      const auto it = tasks_.find(id);
+      if (verb == "start" && it == tasks_.end()) {
         tasks_[id] = {false, "", now + random.span(1'000, 5'000)};
-      } else if (verb == "kill" && known != tasks_.end() && !known->second.ended) {
-        known->second = {true, "halted", now};
-      } else if (verb == "clear" && known != tasks_.end() && known->second.ended) {
-        tasks_.erase(known);
+      } else if (verb == "kill" && it != tasks_.end() && !it->second.ended) {
+        it->second = {true, "halted", now};
+      } else if (verb == "clear" && it != tasks_.end() && it->second.ended) {
+        tasks_.erase(it);
       }
     }
   }
--- a/tests/suspect_machines_test.cpp
+++ b/tests/suspect_machines_test.cpp
@@ -59,8 +59,8 @@
   machine("vm-3");
   set_running("req-2", "vm-3");
   run(Duration{7'000});
-  ASSERT_EQ(cloud_.removed.size(), 1U) << "long before the suspicion lapses";
-  EXPECT_EQ(cloud_.removed[0], MachineId("vm-1"));
+  ASSERT_EQ(cloud_.deletion_requests.size(), 1U) << "long before the suspicion lapses";
+  EXPECT_EQ(cloud_.deletion_requests[0], MachineId("vm-1"));
 }
 
 TEST_F(SuspectMachinesTest, AMachineOnWhichTwoJobsFailedIsRemovedAfterATimeout) {
@@ -68,8 +68,8 @@
   run(Duration{30'000});
   EXPECT_EQ(state(), MachineState::suspect);
   run(Duration{20'000});
-  ASSERT_EQ(cloud_.removed.size(), 1U);
-  EXPECT_EQ(cloud_.removed[0], MachineId("vm-1"));
+  ASSERT_EQ(cloud_.deletion_requests.size(), 1U);
+  EXPECT_EQ(cloud_.deletion_requests[0], MachineId("vm-1"));
 }
 
 // Guards against clearing a faulty machine. A task that fails twice on the same machine is no
@@ -102,8 +102,8 @@
   set_task("req-1", task);
   begin();
   run(Duration{10'000});
-  ASSERT_EQ(cloud_.removed.size(), 1U);
-  EXPECT_EQ(cloud_.removed[0], MachineId("vm-1"));
+  ASSERT_EQ(cloud_.deletion_requests.size(), 1U);
+  EXPECT_EQ(cloud_.deletion_requests[0], MachineId("vm-1"));
 }
 
 }  // namespace
--- a/tests/team_without_quota_test.cpp
+++ b/tests/team_without_quota_test.cpp
@@ -128,7 +128,7 @@
   Team guest;
   guest.name = TeamId("guest");
   settings_.teams.push_back(guest);
-  cloud_.scales_out = true;
+  cloud_.has_capacity = true;
   begin();
   submit(low_urgency_batch("req-1", "guest", 100));
   run(Duration{60'000});
@@ -146,7 +146,7 @@
   objective.job_class = "solve";
   objective.within = from_seconds(400);
   settings_.objectives = {objective};
-  cloud_.scales_out = true;
+  cloud_.has_capacity = true;
   begin();
   submit(low_urgency_batch("req-1", "guest", 100));
   run(Duration{60'000});
--- a/tests/watch_cache_test.cpp
+++ b/tests/watch_cache_test.cpp
@@ -12,7 +12,7 @@
   testing::FakeTime time;
   Loop loop(&time);
   testing::ScriptedStore store;
-  store.page = 10;
+  store.page_size = 10;
   for (int i = 0; i < 35; ++i) {
     testing::put_job(store, testing::gang("req-" + std::to_string(100 + i), 1, 1, 100), WallTime{});
   }
@@ -25,7 +25,7 @@
   time.advance(Duration{3000});
   EXPECT_TRUE(cache.ready());
   EXPECT_EQ(cache.records().jobs.size(), 35U);
-  EXPECT_EQ(store.ranges.size(), 5U) << "four pages, one of them twice";
+  EXPECT_EQ(store.range_requests.size(), 5U) << "four pages, one of them twice";
 }
 
 }  // namespace
--- a/tests/wide_gang_release_test.cpp
+++ b/tests/wide_gang_release_test.cpp
@@ -14,7 +14,7 @@
 
   void begin_with_wide_gang() {
     store_.announce_limits(kLoweredBytes, 5);
-    store_.enforces_announced = true;
+    store_.enforces_announced_limits = true;
     set_limit(1000);
     for (int i = 0; i < 60; ++i) machine("vm-" + std::to_string(1000 + i));
     begin();
--- a/tests/worker_partition_test.cpp
+++ b/tests/worker_partition_test.cpp
@@ -31,7 +31,7 @@
   /// vm-1 answers the latest order.
   void answer_latest_order(int status) {
     const auto order = workers_.sent.back();
-    order.then(HttpReply::answer(status, heartbeat_text(1, token())));
+    order.reply(HttpReply::answer(status, heartbeat_text(1, token())));
     run(Duration{50});
   }
 
@@ -245,8 +245,8 @@
   machine.machine_type = "g8";
   machine.zone = ZoneId("a");
   store_.put_machine(machine);
-  give_shard("other", 9);
-  give_shard("me", 7);
+  assign_shard("other", 9);
+  assign_shard("me", 7);
   answer_orders(409);
   run(Duration{500});
   answer_orders(200);
@@ -254,10 +254,10 @@
   run(Duration{600});
   EXPECT_EQ(task().state, TaskState::bound) << "it has had no time to report";
 
-  give_shard("other", 9);
+  assign_shard("other", 9);
   machine.state = MachineState::silent;
   store_.put_machine(machine);
-  give_shard("me", 7);
+  assign_shard("me", 7);
   answer_orders(200);
   run(Duration{600});
   answer_orders(200);
@@ -274,7 +274,7 @@
   handle_heartbeat(1, token(), "", "vm-2");
   const auto before = workers_.sent.size();
   heartbeats_lost_for(Duration{12'000}, 1,
-                      task_status("running") + "," + part_status("req-9/0", "running", "", 1));
+                      task_status("running") + "," + task_status_of("req-9/0", "running", "", 1));
   EXPECT_TRUE(sent_since(before, R"("verb":"kill","part":"req-9/0")"));
 }
 
@@ -283,8 +283,8 @@
   handle_heartbeat(1, token(), task_status("running"));
   run(Duration{100});
   const auto old_token = token();
-  give_shard("other", 9);
-  give_shard("me", 7);
+  assign_shard("other", 9);
+  assign_shard("me", 7);
   const auto heartbeat_for_both = [&](Duration duration) {
     for (std::int64_t at = 0; at < duration.count(); at += 3000) {
       // Either the end of the task is lost, or this heartbeat is old.
