--- a/tests/support/controller_fixture.hpp
+++ b/tests/support/controller_fixture.hpp
@@ -1,5 +1,5 @@
-// What the tests of the leader and of a shard holder share: one controller's election and copy of
-// the records, with a fake clock and a scripted state service.
+// Fixture that the tests of the leader and of the shard holder share: the election and the watch
+// cache of one controller, with a fake clock and a scripted state service.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 
 namespace marblevale::testing {
 
-/// The controller `me` of zone `a`, incarnation 7, with machines of the type `g8`.
+/// The controller `me` in zone `a`, with incarnation 7. The only machine type is `type`.
 class ControllerTest : public ::testing::Test {
  protected:
   ControllerTest(Settings settings, const MachineType& type)
@@ -45,24 +45,25 @@
     return type;
   }
 
-  /// Advances the clock. The watch delivers what has changed, unless `watch_answers_` is off.
+  /// Advances the clock in steps and delivers watch events after each step, unless
+  /// `watch_answers_` is false.
   void run(Duration duration) {
     advance_in_steps(time_, duration, [this] {
       if (watch_answers_) store_.deliver_watch_events();
     });
   }
 
-  /// Advances the clock while the open watch is not answered.
+  /// Advances the clock without delivering watch events.
   void run_without_watch(Duration duration) { time_.advance(duration); }
 
-  /// Stores the leader's record as another controller does.
+  /// Stores the leader's record with the given holder, as another controller would.
   void put_leader(const std::string& node, std::uint64_t incarnation) {
     store_.put(keys::kLeader, encode(LeaderRecord{NodeId(node), ProcessIncarnation(incarnation)}));
   }
   void remove_leader() { remove(keys::kLeader); }
   void delete_job(const JobId& job_id) { remove(keys::job(job_id)); }
 
-  /// Stores the shard of the zone with this holder.
+  /// Stores the shard record of the zone with the given holder; returns the record's revision.
   ModRevision put_shard(const std::string& zone, const std::string& node, std::uint64_t incarnation,
                         std::uint64_t serial = 1) {
     return store_.put(
--- a/tests/support/event_queue.hpp
+++ b/tests/support/event_queue.hpp
@@ -1,4 +1,4 @@
-// Events of a simulation that are due later, and the seeded generator that decides about faults.
+// Delayed events of a simulation, and the seeded random generator that decides about faults.
 #pragma once
 
 #include <cstdint>
@@ -10,8 +10,8 @@
 
 namespace marblevale::testing {
 
-/// Actions in the order in which they are due by the fake clock. Messages in flight are such
-/// actions.
+/// Runs actions when their delay has passed by the fake clock, in the order of their due times.
+/// Simulations deliver messages through it, so that messages stay in flight for a while.
 class EventQueue {
  public:
   explicit EventQueue(const Clock& clock) : clock_(clock) {}
@@ -32,7 +32,8 @@
   std::multimap<std::int64_t, std::function<void()>> events_;
 };
 
-/// Draws from a generator with a given seed, so that a run repeats exactly.
+/// Random values from a seeded generator, so that a run with the same seed repeats exactly. The
+/// bounds of `between` and `span` are inclusive.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : random_(seed) {}
--- a/tests/support/fake_time.hpp
+++ b/tests/support/fake_time.hpp
@@ -11,8 +11,8 @@
 
 namespace marblevale::testing {
 
-/// Both clocks advance only when the test advances them; timers that fall due on the way fire in
-/// order.
+/// A steady clock and a wall clock that advance only when the test advances them. While they
+/// advance, timers fire in the order of their due times.
 class FakeTime : public Clock, public TimerQueue {
  public:
   [[nodiscard]] SteadyTime steady() const override { return SteadyTime{Duration{now_ms_}}; }
@@ -43,7 +43,8 @@
     now_ms_ = until;
   }
 
-  /// The process is paused: the clocks run on and no timer fires, so that all of them are overdue.
+  /// Simulates a paused process: the clocks advance, but no timer fires. Timers that became due
+  /// in the meantime are overdue and fire in the next `advance`.
   void pause_process(Duration duration) { now_ms_ += duration.count(); }
 
  private:
@@ -52,7 +53,7 @@
   std::map<std::pair<std::int64_t, std::uint64_t>, Timer*> due_;
 };
 
-/// Advances the clock by `duration` in steps of 10 ms and calls `after_step` after each of them.
+/// Advances the clock by `duration` in steps of 10 ms and calls `after_step` after each step.
 template <typename Action>
 void advance_in_steps(FakeTime& time, Duration duration, const Action& after_step) {
   constexpr Duration kStep{10};
--- a/tests/support/faulty_store.hpp
+++ b/tests/support/faulty_store.hpp
@@ -1,4 +1,4 @@
-// One controller's connection to the state service, with faults.
+// One controller's connection to the state service, with simulated faults.
 #pragma once
 
 #include <functional>
@@ -11,10 +11,16 @@
 
 namespace marblevale::testing {
 
-/// Delays every answer, and refuses, loses or delays requests according to its condition. Several
-/// of them share one `ScriptedStore`, so that each controller meets its own faults.
+/// Delays every answer except those of watches. Depending on `condition`, it also refuses or delays
+/// requests or loses their answers. Each controller has its own `FaultyStore` with its own faults,
+/// and all of them share one `ScriptedStore`. A commit that is in flight when the `FaultyStore` is
+/// destroyed is still executed, but its answer is dropped.
 class FaultyStore : public Store {
  public:
+  /// `refusing`: all requests fail, and watches are not answered. `losing`: most commits are
+  /// answered with `unknown` after 2 s and executed up to 12 s after the request. `out_of_budget`:
+  /// commits are refused after 2.5 s in the controller's request queue. Commits with the priority
+  /// `lease` are neither lost nor refused for lack of budget.
   enum class Condition { good, refusing, losing, out_of_budget };
 
   FaultyStore(ScriptedStore& store, EventQueue& events, RandomSource& random)
@@ -38,7 +44,7 @@
       case Condition::refusing:
         return answer(then, CommitResult{Outcome::refused, {}, {}});
       case Condition::out_of_budget:
-        // The own queue drops it after a while.
+        // The controller's own request queue drops a commit that has waited too long.
         if (priority == RequestPriority::lease) break;
         return answer(then, CommitResult{Outcome::refused, {}, {}}, Duration{2'500});
       case Condition::losing:
--- a/tests/support/helpers.hpp
+++ b/tests/support/helpers.hpp
@@ -1,4 +1,4 @@
-// Jobs, machines and queue items for tests, in one line each.
+// Functions that build jobs, machines and queue items for tests.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -10,12 +10,13 @@
 
 namespace marblevale::testing {
 
-/// A time of day in seconds.
+/// The wall time that is `seconds` after the Unix epoch.
 inline WallTime at(double seconds) {
   return from_unix_milliseconds(static_cast<std::int64_t>(seconds * 1000));
 }
 
-/// A gang of the team `crew`: its tasks start together, each on the given GPUs.
+/// A gang of the team `crew`: its tasks start together, and each task needs `gpus` GPUs. The
+/// estimated run time is `seconds`.
 inline JobSpec gang(const std::string& job_id, std::uint32_t task_count, double gpus,
                     double seconds) {
   JobSpec job;
@@ -32,7 +33,7 @@
   return job;
 }
 
-/// An array of the team `crew`: its tasks start independently.
+/// An array of the team `crew`: its tasks start independently of each other.
 inline JobSpec batch(const std::string& job_id, std::uint32_t task_count, double gpus,
                      double seconds) {
   JobSpec job = gang(job_id, task_count, gpus, seconds);
@@ -40,7 +41,7 @@
   return job;
 }
 
-/// A service job, which has no checkpoints: its replicas run until it is cancelled.
+/// A service job, which has no checkpoints. Its replicas run until the job is cancelled.
 inline JobSpec service_job(const std::string& job_id, std::uint32_t replicas, double gpus) {
   JobSpec job = batch(job_id, replicas, gpus, 90'000'000);
   job.shape = JobShape::service;
@@ -50,7 +51,7 @@
   return job;
 }
 
-/// A machine as the planner knows it, with the image of the jobs above in its cache.
+/// A machine in the planner's profile, with the image of the jobs above in its cache.
 inline PlanMachine machine(const std::string& machine_id, double gpus,
                            const std::string& zone = "a") {
   PlanMachine m;
@@ -62,7 +63,7 @@
   return m;
 }
 
-/// The job's entry in the queue, with all its tasks waiting.
+/// The job's queue item, with all tasks of the job waiting. `accepted` is in seconds, as for `at`.
 inline QueueItem item(const JobSpec& job, std::uint64_t owner, double accepted = 0) {
   QueueItem out;
   out.job_id = job.job_id;
@@ -75,7 +76,8 @@
   return out;
 }
 
-/// For a planner of a single round: no start has failed before.
+/// An empty table of failed starts, for a planner that runs a single round. All calls share one
+/// table, and each call clears it.
 inline FailedStarts& no_failed_starts() {
   static FailedStarts none;
   none.clear();
--- a/tests/support/job_api_fixture.hpp
+++ b/tests/support/job_api_fixture.hpp
@@ -1,4 +1,4 @@
-// The users' interface with a scripted state service and a fake clock.
+// Fixture of the users' API, with a scripted state service and a fake clock.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 
 namespace marblevale::testing {
 
-/// A valid submission: a gang of two tasks, with a field that the program does not know.
+/// A valid submission: a gang of two tasks. It has an unknown field, `unheard_of`.
 inline const char* const kJobBody =
     R"({"uid":"req-000412","workclass":"train","crew":"vision","shape":"ensemble",
         "urgency":"urgent","parts":2,"cpus":8.0,"accelerators":1.0,"memory_gb":64.0,
@@ -33,12 +33,13 @@
   return text.replace(at, from.size(), to);
 }
 
-/// What a user can ask of the interface.
+/// The requests that a user can send to the API.
 enum class UserRequest { status, submit, cancel, explain };
 inline constexpr std::array kUserRequests{UserRequest::status, UserRequest::submit,
                                           UserRequest::cancel, UserRequest::explain};
 
-/// One controller's interface. Its team `vision` has a limit of four GPUs, and there is one zone.
+/// The users' API of one controller. The only team, `vision`, has a limit of four GPUs, and the
+/// only machine type exists in zone `a` alone.
 class JobApiTest : public ::testing::Test {
  protected:
   JobApiTest() : cache_(loop_, clock_, store_, 1), cancellations_(clock_, cache_) {
@@ -55,7 +56,7 @@
     api_ = std::make_unique<JobApi>(loop_, clock_, settings_, store_, cache_, cancellations_);
   }
 
-  /// The state of an answer that has not come: its status is 0.
+  /// Placeholder for an answer that has not arrived yet: its status is 0.
   static UserAnswer unanswered() {
     UserAnswer out;
     out.status = 0;
@@ -71,11 +72,12 @@
   UserAnswer status_of(const std::string& job_id) { return send(UserRequest::status, job_id); }
   UserAnswer cancel(const std::string& job_id) { return send(UserRequest::cancel, job_id); }
 
-  /// Lets the watch answer until the request is answered.
+  /// Delivers watch events until the request is answered, at most 20 times.
   void wait_for_answer(const UserAnswer& out) {
     for (int i = 0; i < 20 && out.status == 0; ++i) answer_watch();
   }
 
+  /// Sends the request to `to`, or to this fixture's API when `to` is null.
   void send(UserRequest request, const std::string& job_id, AnswerHandler then,
             JobApi* to = nullptr) {
     JobApi& api = to == nullptr ? *api_ : *to;
@@ -108,7 +110,7 @@
     return json::text(doc, "status").value_or("");
   }
 
-  /// Another controller accepts the job.
+  /// Stores the job as if another controller had accepted it; returns its record's revision.
   ModRevision accept_on_peer(const std::string& job_id,
                              std::optional<WallTime> cancelled = std::nullopt) {
     json::Document doc;
@@ -116,8 +118,9 @@
     return put_job(store_, std::get<JobSpec>(parse_job(doc)), clock_.wall(), cancelled);
   }
 
-  /// The holder of the last task ends the job with the revision that it knows of the job's record.
-  /// Where that conflicts with a cancellation, it reads again and ends the job as cancelled.
+  /// Ends the job as the holder of its last task does, if the job's record still has
+  /// `expected_revision`. If the commit conflicts with a cancellation, the holder reads the record
+  /// again and ends the job as cancelled.
   void end_job(const std::string& job_id, ModRevision expected_revision) {
     const std::string key = keys::job(JobId(job_id));
     commit_end(job_id, FinalState::done, expected_revision);
@@ -126,7 +129,7 @@
     }
   }
 
-  /// Ends req-000412 whatever the revision of its record.
+  /// Ends req-000412 without a guard on the revision of its record.
   void finish(FinalState state) { commit_end("req-000412", state, std::nullopt); }
 
   [[nodiscard]] std::string final_state(const std::string& job_id) const {
@@ -135,13 +138,13 @@
     return record->state == FinalState::done ? "done" : "cancelled";
   }
 
-  /// The open watch answers, one interval later.
+  /// Advances the clock by 50 ms and then delivers watch events.
   void answer_watch() {
     clock_.advance(Duration{50});
     store_.deliver_watch_events();
   }
 
-  /// One event: an answer of the state service that is held back, or else the watch's next answer.
+  /// Delivers the oldest held answer of the state service, or watch events when none is held.
   void step() {
     if (store_.held_answers.empty()) {
       answer_watch();
@@ -152,7 +155,7 @@
     next();
   }
 
-  /// Lets this controller's copy of the records take up what others have written.
+  /// Updates this controller's watch cache with the writes of other controllers.
   void update_cache() {
     for (int i = 0; i < 3; ++i) step();
   }
--- a/tests/support/large_records.hpp
+++ b/tests/support/large_records.hpp
@@ -1,4 +1,5 @@
-// Records at the largest size that a deployment writes, and the lowered limit that they must fit.
+// Records of the largest size that a deployment writes, and the lowered limit on the size of a
+// value that the compact forms of these records must fit.
 #pragma once
 
 #include <string>
@@ -10,7 +11,7 @@
 inline constexpr std::size_t kLoweredBytes = 2048;
 inline constexpr RecordSize kLoweredSize{kLoweredBytes, true};
 
-/// A slice of the largest size: each task is placed, has failed before, and is being preempted.
+/// A slice of the largest size: each task is bound, has failed before, and is being preempted.
 inline SliceRecord largest_slice() {
   SliceRecord slice;
   slice.job_id = JobId("req-" + std::string(32, 'x'));
--- a/tests/support/leader_loop_fixture.hpp
+++ b/tests/support/leader_loop_fixture.hpp
@@ -1,4 +1,4 @@
-// A leader with a scripted state service, a scripted cloud and a fake clock.
+// Fixture of the leader, with a scripted state service, a scripted cloud and a fake clock.
 #pragma once
 
 #include <map>
@@ -12,8 +12,8 @@
 
 namespace marblevale::testing {
 
-/// The only controller of its cluster: it leads once `begin` has run. Its only team, `crew`, has a
-/// limit of two GPUs.
+/// The controller is the only one of its cluster, so that it is the leader after `begin`. The only
+/// team, `crew`, has a limit of two GPUs.
 class LeaderLoopTest : public ControllerTest {
  protected:
   LeaderLoopTest()
@@ -47,7 +47,7 @@
 
   void set_limit(double gpus) { settings_.teams[0].gpus = settings_.teams[0].gpus_max = gpus; }
 
-  /// Adds zone `b`, for which machines can be provisioned as well.
+  /// Adds zone `b`, in which machines can be provisioned as well.
   void use_two_zones() {
     settings_.zones = {ZoneId("a"), ZoneId("b")};
     MachineType type = leader_machine_type();
@@ -67,7 +67,7 @@
     store_.put_machine(machine);
   }
 
-  /// A machine under suspicion, because a task of the job has failed on it.
+  /// Stores a machine that is suspect because a task of `blamed_job` has failed on it.
   void suspect_machine(const std::string& machine_id, const std::string& blamed_job) {
     MachineRecord machine = machine_record(machine_id, time_.wall());
     machine.state = MachineState::suspect;
@@ -81,8 +81,8 @@
     return stored_tasks(store_, job_id);
   }
 
-  /// GPUs of the jobs' tasks that are released or bound, as the state service has them. The jobs
-  /// are given with the GPUs that each of their tasks needs.
+  /// GPUs of the released and bound tasks of the jobs, by the records in the state service.
+  /// `gpus_by_job` gives for each job the GPUs that each of its tasks needs.
   [[nodiscard]] double gpus_in_use(const std::map<std::string, double>& gpus_by_job) const {
     double sum = 0;
     for (const auto& [job_id, gpus] : gpus_by_job) {
--- a/tests/support/planner_helpers.hpp
+++ b/tests/support/planner_helpers.hpp
@@ -10,7 +10,7 @@
 
 namespace marblevale::testing {
 
-/// The budget of a planning round that nothing exhausts.
+/// The `budget_spent` check of a planning round whose budget is never used up.
 inline bool unlimited_budget(double) { return false; }
 
 inline Profile profile_of_one_machine(double gpus) {
@@ -19,7 +19,8 @@
   return profile;
 }
 
-/// A reservation of one place on each of the machines, as an earlier round has left it.
+/// A reservation from an earlier round that has not changed since, with one place on each of the
+/// machines. `start` and `end` are in seconds, as for `at`.
 inline Reservation reserved(double start, double end,
                             const std::vector<std::string>& machine_ids = {"m"}) {
   Reservation out;
--- a/tests/support/scripted_cloud.hpp
+++ b/tests/support/scripted_cloud.hpp
@@ -12,8 +12,9 @@
 
 namespace marblevale::testing {
 
-/// Answers at once, or when the test lets it; records what it was asked for. Without capacity
-/// unless `has_capacity` is set.
+/// Records the requests and answers them at once. While `hold_provisioning` is set, provisioning
+/// requests are answered by `answer_provisioning` instead. The cloud provisions machines only if
+/// `has_capacity` is set.
 class ScriptedCloud : public Cloud {
  public:
   void list_machine_types(
@@ -44,6 +45,7 @@
     deletion_requests.insert(deletion_requests.end(), machine_ids.begin(), machine_ids.end());
     then(confirms_deletions ? DeletionOutcome::deleted : DeletionOutcome::unknown);
   }
+  /// Answers all held provisioning requests.
   void answer_provisioning() {
     while (!held_provisioning.empty()) {
       const auto next = std::move(held_provisioning.front());
@@ -51,16 +53,16 @@
       next();
     }
   }
-  std::vector<std::string> provisioning_requests;
-  std::vector<ZoneId> requested_zones;
+  std::vector<std::string> provisioning_requests;  // their names
+  std::vector<ZoneId> requested_zones;             // of the provisioning requests
   bool has_capacity = false;
-  std::map<std::string, std::vector<MachineId>> provisioned_machines;  // by the request's name
+  std::map<std::string, std::vector<MachineId>> provisioned_machines;  // by the name of the request
   bool hold_provisioning = false;
   std::deque<std::function<void()>> held_provisioning;
-  std::vector<MachineId> deletion_requests;
-  bool confirms_deletions = true;
-  std::optional<MachineList> machine_list;                // none: no answer
-  std::optional<std::vector<MachineType>> machine_types;  // none: no answer
+  std::vector<MachineId> deletion_requests;  // one entry per machine and request
+  bool confirms_deletions = true;            // false: the outcome of each deletion is `unknown`
+  std::optional<MachineList> machine_list;   // none: requests for the list fail
+  std::optional<std::vector<MachineType>> machine_types;  // none: requests for the types fail
 };
 
 }  // namespace marblevale::testing
--- a/tests/support/scripted_store.hpp
+++ b/tests/support/scripted_store.hpp
@@ -1,5 +1,5 @@
-// A state service in memory, as the published protocol describes it: guards, revisions, leases,
-// watches. A test scripts what becomes of the next commits and when they are answered.
+// A state service in memory that follows the published protocol: guards, revisions, leases and
+// watches. A test scripts how the next commits fail and when requests are answered.
 #pragma once
 
 #include <algorithm>
@@ -15,16 +15,21 @@
 
 namespace marblevale::testing {
 
-/// The largest value that the state service accepts unless a test announces another limit.
+/// The largest value that the state service accepts, unless a test announces a lower limit.
 inline constexpr std::size_t kValueBytes = 8192;
 
-/// The state service of a test, which reads and writes it directly as well, in the place of other
-/// controllers. Open watches are answered by `deliver_watch_events`.
+/// The state service of a test. Tests also read and write it directly, to act as other controllers.
+/// Open watches are answered only by `deliver_watch_events`.
 class ScriptedStore : public Store {
  public:
-  /// What becomes of a commit: executed; refused; lost before it is executed; executed without an
-  /// answer; executed without an answer when the test calls `apply_delayed`.
-  enum class Script { normal, refuse, drop_request, drop_answer, delay };
+  /// The treatment of a commit. The outcome of a commit without an answer is `unknown`.
+  enum class Script {
+    normal,        // executed and answered
+    refuse,        // answered with `refused`, not executed
+    drop_request,  // neither executed nor answered
+    drop_answer,   // executed, but not answered
+    delay          // not answered, and executed by `apply_delayed`
+  };
 
   void read(const std::string& key, std::function<void(ReadResult)> then) override {
     ++reads;
@@ -115,14 +120,15 @@
     limits_.txn_ops = limits_.next->txn_ops;
     limits_.next.reset();
   }
-  /// Announces lower limits, which are in force once `enforces_announced_limits` is set.
+  /// Announces lower limits. Commits that exceed them are refused once
+  /// `enforces_announced_limits` is set.
   void announce_limits(std::size_t value_bytes, std::size_t txn_ops) {
     announced_limits_ = AnnouncedLimits{1e6, 1e6, value_bytes, txn_ops};
     limits_.next = announced_limits_;
   }
   [[nodiscard]] double write_slack() override { return slack; }
 
-  /// Answers each open watch with the changes since the revision from which it watches.
+  /// Answers each open watch with the changes after the revision that the watch started from.
   void deliver_watch_events() {
     std::vector<Watch> open;
     open.swap(watches_);
@@ -141,21 +147,21 @@
     }
   }
 
-  /// Executes the transaction that has been delayed longest.
+  /// Executes the oldest delayed transaction.
   CommitResult apply_delayed() {
     const Transaction txn = delayed.front();
     delayed.pop_front();
     return apply(txn);
   }
 
-  /// Writes as another controller does.
+  /// Writes a value as another controller would; returns its revision.
   ModRevision put(const std::string& key, const std::string& value) {
     Transaction txn;
     txn.put(key, value);
     return ModRevision(apply(txn).revision.get());
   }
 
-  /// Writes a machine's record into its page, beside the records that the page has already.
+  /// Writes a machine's record into its page, and keeps the records of the page's other machines.
   void put_machine(const MachineRecord& machine) {
     const std::string key = keys::machine_page(machine.zone, machine.machine_id);
     MachinePage page;
@@ -166,9 +172,10 @@
     put(key, encode(page, RecordSize{limits_.value_bytes, false}));
   }
 
+  /// Lets renewals of the lease and puts bound to it fail. Keys that are bound to it stay.
   void expire_lease(LeaseId lease_id) { expired_leases_.insert(lease_id); }
 
-  /// Lets the lease of the key expire: all keys that are bound to it are deleted.
+  /// Expires the lease to which the key is bound, and deletes all keys that are bound to it.
   void expire_lease_of(const std::string& key) {
     const LeaseId lease_id = data_.at(key).lease_id;
     expire_lease(lease_id);
@@ -185,7 +192,7 @@
     return Entry{key, it->second.value, it->second.mod_revision};
   }
 
-  /// Delivers the answers that were kept back while `hold_answers` is set.
+  /// Delivers the answers that were held while `hold_answers` was set.
   void deliver_held_answers() {
     while (!held_answers.empty()) {
       const auto next = std::move(held_answers.front());
@@ -194,20 +201,21 @@
     }
   }
 
-  double slack = 1;
+  double slack = 1;  // of the write budget, from 0 to 1
   bool unavailable = false;
   bool hold_answers = false;
   int reads = 0;
-  std::size_t page_size = 1000;             // items in one answer to a range
-  int failing_ranges = 0;                   // how many of the next are not answered
-  std::vector<std::string> range_requests;  // that were asked, by what they begin after
-  std::deque<Script> scripts;               // of the next commits, whatever they write
-  std::map<std::string, std::deque<Script>> key_scripts;  // of the next commits that write the key
+  std::size_t page_size = 1000;             // entries in one page of a range read
+  int failing_ranges = 0;                   // number of the next range reads that fail
+  std::vector<std::string> range_requests;  // the `after` key of each range read
+  std::deque<Script> scripts;               // for the next commits, with any keys
+  /// For the next commits that put the key; these commits use up none of `scripts`.
+  std::map<std::string, std::deque<Script>> key_scripts;
   std::deque<Transaction> delayed;
   std::deque<std::function<void()>> held_answers;
   std::vector<Transaction> commits;
-  bool enforces_announced_limits = false;  // the announced limits have come
-  int refused_for_size = 0;
+  bool enforces_announced_limits = false;  // true: commits over the announced limits are refused
+  int refused_for_size = 0;  // commits refused because they exceed the announced limits
 
  private:
   struct StoredValue {
@@ -286,7 +294,7 @@
   std::set<LeaseId> expired_leases_;
   std::vector<Watch> watches_;
   AnnouncedLimits announced_limits_;
-  StoreLimits limits_{1e6, 1e6, kValueBytes, 16, 3, {}};  // no pace: tests move time themselves
+  StoreLimits limits_{1e6, 1e6, kValueBytes, 16, 3, {}};  // no throttling: tests advance time
 };
 
 using Script = ScriptedStore::Script;
--- a/tests/support/scripted_workers.hpp
+++ b/tests/support/scripted_workers.hpp
@@ -1,4 +1,4 @@
-// The connection from a shard holder to its workers, with answers that a test scripts.
+// The channel of orders from a shard holder to its workers, whose answers a test scripts.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace marblevale::testing {
 
-/// Keeps the orders that are sent to workers. A test answers one by calling its `then`; an order
-/// that it does not answer stays in flight.
+/// Records the orders that are sent to workers. A test answers an order by calling its `reply`. An
+/// order without an answer stays in flight.
 class ScriptedWorkers : public OrderSender {
  public:
   struct SentOrder {
--- a/tests/support/shard_holder_fixture.hpp
+++ b/tests/support/shard_holder_fixture.hpp
@@ -1,4 +1,4 @@
-// The holder of a shard with a scripted state service, scripted workers and a fake clock.
+// Fixture of a shard holder, with a scripted state service, scripted workers and a fake clock.
 #pragma once
 
 #include <string>
@@ -10,8 +10,8 @@
 
 namespace marblevale::testing {
 
-/// The controller holds the shard of zone `a`. Its machines exist by their heartbeats alone, which
-/// a test sends with `handle_heartbeat`.
+/// The controller holds the shard of zone `a`. No machine has a record at first: machines become
+/// known by their heartbeats, which a test sends with `handle_heartbeat`.
 class ShardHolderTest : public ControllerTest {
  protected:
   ShardHolderTest()
@@ -36,12 +36,14 @@
     run(Duration{20});
   }
 
+  /// The fencing token of the shard's current holder.
   [[nodiscard]] std::uint64_t token() const {
     return store_.get(keys::shard(ZoneId("a")))->mod_revision.get();
   }
 
-  /// The text of a worker's heartbeat, with the next sequence number. `task_entries` is the inside
-  /// of its list of tasks, as `task_status` builds it.
+  /// The body of a worker's heartbeat, with the next sequence number. `seen_token` is the newest
+  /// fencing token that the worker has seen. `task_entries` are the entries of the task list,
+  /// separated by commas, as `task_status` and `task_status_of` build them.
   std::string heartbeat_text(std::uint64_t epoch, std::uint64_t seen_token,
                              const std::string& task_entries = "",
                              const std::string& machine_id = "vm-1") {
@@ -57,21 +59,22 @@
     return holder_.handle_heartbeat(heartbeat_text(epoch, seen_token, task_entries, machine_id));
   }
 
-  /// One entry of a heartbeat's list of tasks.
+  /// An entry of a heartbeat's task list for the given task.
   static std::string task_status_of(const std::string& task_id, const std::string& status,
                                     const std::string& cause = "", std::uint64_t attempt = 1) {
     return R"({"part":")" + task_id + R"(","try":)" + std::to_string(attempt) + R"(,"status":")" +
            status + R"(","cause":")" + cause + R"("})";
   }
 
-  /// One entry of a heartbeat's list of tasks: the only task of req-1.
+  /// An entry of a heartbeat's task list for the only task of req-1. `saved` is a JSON value.
   static std::string task_status(const std::string& status, const std::string& cause = "",
                                  const std::string& saved = "false", std::uint64_t attempt = 1) {
     return R"({"part":"req-1/0","try":)" + std::to_string(attempt) + R"(,"status":")" + status +
            R"(","cause":")" + cause + R"(","saved":)" + saved + "}";
   }
 
-  /// vm-1 answers its unanswered orders, one after the other, each with a newer heartbeat.
+  /// Answers all unanswered orders as vm-1 would, with the HTTP status `status`. Each answer has a
+  /// newer heartbeat as its body.
   void answer_orders(int status, std::uint64_t epoch = 1, const std::string& task_entries = "") {
     for (; answered_orders_ < workers_.sent.size(); ++answered_orders_) {
       const auto reply = workers_.sent[answered_orders_].reply;
@@ -79,7 +82,7 @@
     }
   }
 
-  /// A job of one task that the leader has released to vm-1.
+  /// Stores the job req-1 with one task, which the leader has released to vm-1.
   void release(bool gang = true) {
     release(gang ? testing::gang("req-1", 1, 1, 100) : testing::batch("req-1", 1, 1, 100));
   }
@@ -90,19 +93,20 @@
     put_slice(store_, slice_record(spec.job_id, {task}));
   }
 
-  /// The only task of req-1, as the state service has it.
+  /// The only task of req-1 by the records in the state service; a default task if there is none.
   [[nodiscard]] TaskRecord task() const {
     const auto tasks = stored_tasks(store_, "req-1");
     return tasks.empty() ? TaskRecord{} : tasks.front();
   }
 
-  /// Another controller cancels req-1.
+  /// Marks req-1 as cancelled, as another controller would.
   void cancel() {
     ASSERT_TRUE(stored_record<JobRecord>(store_, keys::job(JobId("req-1"))));
     cancel_job(store_, "req-1", time_.wall());
   }
 
-  /// Whether an order with this verb, or with this text in quotes, was sent to a worker.
+  /// True when an order whose body contains `verb`, or any other text, in quotes was sent to a
+  /// worker.
   [[nodiscard]] bool sent(const std::string& verb) const {
     return std::any_of(workers_.sent.begin(), workers_.sent.end(), [&](const auto& s) {
       return s.body.find("\"" + verb + "\"") != std::string::npos;
--- a/tests/support/simulated_cluster.hpp
+++ b/tests/support/simulated_cluster.hpp
@@ -1,6 +1,7 @@
 // A small cluster for randomised tests: controllers with their leader and shard holders, workers
-// that carry out orders, and a state service. Requests to the state service and offers between
-// controllers are refused, lost, held up and repeated by a random generator with a given seed.
+// that execute orders, and a state service. A seeded random generator decides which requests
+// to the state service are refused, delayed or lose their answers, which offers between controllers
+// are delayed, duplicated or lose their answers, and which orders to workers are late.
 #pragma once
 
 #include <functional>
@@ -28,8 +29,9 @@
 
 class SimulatedCluster;
 
-/// The network between one controller and its peers and workers: messages are delayed, and with
-/// `network_faults` also lost and duplicated.
+/// The network between one controller and its peers and workers. It delays all messages. With
+/// `network_faults` it also loses answers, delivers messages after the sender's timeout, and
+/// delivers some offers twice.
 class ControllerNetwork : public OfferChannel, public OrderSender {
  public:
   explicit ControllerNetwork(SimulatedCluster& cluster) : cluster_(cluster) {}
@@ -42,7 +44,8 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-/// A cloud provider without capacity for more machines, which replaces those that are deleted.
+/// A cloud provider that has no capacity for more machines, but replaces each deleted machine by a
+/// new one.
 class SimulatedCloud : public ScriptedCloud {
  public:
   explicit SimulatedCloud(SimulatedCluster& cluster) : cluster_(cluster) {}
@@ -72,11 +75,12 @@
   ShardHolder holder;
 };
 
-/// Three controllers in two zones, six machines and their workers, on one fake clock and one state
-/// service. `step` advances all of them; faults come from the seeded `random`.
+/// Three controllers in two zones and six machines with their workers, which share one fake clock
+/// and one state service. `step` advances all of them. The seeded `random` decides about faults.
 class SimulatedCluster {
  public:
-  /// `offers`: leaders offer releases to holders; otherwise they commit them first.
+  /// With `offers`, leaders offer releases to shard holders. Without them, leaders commit all
+  /// releases themselves.
   SimulatedCluster(std::uint64_t seed, bool offers) : random(seed), offers_releases(offers) {
     MachineType type;
     type.name = "g8";
@@ -84,7 +88,8 @@
     type.boot = Duration{30'000};
     type.zones = {ZoneId("a"), ZoneId("b")};
     store.put(keys::kTypes, encode(std::vector<MachineType>{type}));
-    // Small machines in both zones: an array's tasks go to several holders.
+    // The machines are small and in both zones, so that the tasks of an array belong to several
+    // shard holders.
     for (int i = 1; i <= 6; ++i) add_machine("vm-" + std::to_string(i), i % 2 == 0 ? "a" : "b");
     for (const auto& [name, zone] : {std::pair{"n1", "a"}, {"n2", "b"}, {"n3", "a"}}) {
       start_controller(name, zone);
@@ -162,7 +167,8 @@
     return it == controllers.end() ? nullptr : it->second.get();
   }
 
-  /// GPUs of the team's tasks that are released or bound, as the state service has them.
+  /// GPUs of the team's released and bound tasks, by the records in the state service. Ended jobs
+  /// do not count.
   [[nodiscard]] double gpus_by_records(const std::string& team) const {
     double sum = 0;
     for (const auto& [job_id, spec] : specs) {
@@ -176,7 +182,7 @@
     return sum;
   }
 
-  /// GPUs of the team's tasks that workers have not ended.
+  /// GPUs of the team's tasks that are running on the workers.
   [[nodiscard]] double gpus_at_workers(const std::string& team) const {
     double sum = 0;
     for (const auto& [name, worker] : workers) {
@@ -189,7 +195,7 @@
     return sum;
   }
 
-  /// A task that runs on two machines at this moment; empty when there is none.
+  /// The ID of a task that is running on two machines; empty when there is none.
   [[nodiscard]] std::string running_twice() const {
     std::set<std::string> running;
     for (const auto& [name, worker] : workers) {
@@ -265,7 +271,7 @@
   };
   const bool faulty = cluster_.network_faults;
   if (faulty && random.chance(0.2)) {
-    // Delayed until long after the sender has given up.
+    // The offer arrives after the sender's timeout of 1 s.
     cluster_.events.after(random.span(1'000, 10'000), [deliver] { deliver(); });
     cluster_.events.after(Duration{1'000}, [answer] { answer(OfferOutcome::unknown); });
     return;
@@ -278,7 +284,7 @@
   if (!answered) {
     cluster_.events.after(Duration{1'000}, [answer] { answer(OfferOutcome::unknown); });
   }
-  // Every message can be delivered twice.
+  // The same offer arrives a second time.
   if (faulty && random.chance(0.3)) {
     cluster_.events.after(random.span(300, 8'000), [deliver] { deliver(); });
   }
@@ -296,7 +302,7 @@
     if (!alive.expired()) then(reply);
   };
   if (cluster_.network_faults && cluster_.random.chance(0.15)) {
-    // Executed late, without an answer.
+    // The order is executed after the sender's timeout of 2 s, and its answer is lost.
     cluster_.events.after(cluster_.random.span(2'000, 12'000), [execute] { execute(); });
     cluster_.events.after(Duration{2'000}, [answer] { answer(HttpReply::no_answer()); });
     return;
--- a/tests/support/simulated_worker.hpp
+++ b/tests/support/simulated_worker.hpp
@@ -1,4 +1,4 @@
-// A worker as the published protocol describes it: session, lease, orders, heartbeats.
+// A worker that follows the published protocol: sessions, leases, orders and heartbeats.
 #pragma once
 
 #include <map>
@@ -11,14 +11,15 @@
 
 namespace marblevale::testing {
 
-/// The worker of one machine. It obeys its holder's orders, drops those with an old fencing token,
-/// and ends all its tasks under a new session when its lease has expired.
+/// The worker of one machine. It executes its holder's orders and rejects orders with an old
+/// fencing token or for another session. When its lease expires, it drops all tasks and begins a
+/// new session.
 class SimulatedWorker {
  public:
   struct Task {
     bool ended = false;
     std::string cause;
-    SteadyTime until;
+    SteadyTime until;  // planned end while the task runs, actual end afterwards
   };
 
   SimulatedWorker(std::string name, std::string zone)
@@ -64,7 +65,7 @@
     execute(doc, now, random);
   }
 
-  /// The answer's status to a direct order.
+  /// Executes a direct order; returns the HTTP status of the answer.
   int on_order(const std::string& body, SteadyTime now, RandomSource& random) {
     json::Document doc;
     if (!json::parse(doc, body)) return 400;
--- a/tests/support/stored_records.hpp
+++ b/tests/support/stored_records.hpp
@@ -1,4 +1,4 @@
-// Records as tests write them to the scripted state service and read them back.
+// Functions that build records, write them to the scripted state service and read them back.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 namespace marblevale::testing {
 
-/// The record in `text`; none where it cannot be decoded.
+/// Decodes the record in `text`; returns none if that fails.
 template <typename Record>
 std::optional<Record> decode_record(const std::string& text) {
   json::Document doc;
@@ -21,7 +21,8 @@
   return record;
 }
 
-/// The record under the key in the state service; none where there is none.
+/// The record under the key in the state service; none if the key does not exist or its value can't
+/// be decoded.
 template <typename Record>
 std::optional<Record> stored_record(const ScriptedStore& store, const std::string& key) {
   const auto entry = store.get(key);
@@ -40,7 +41,7 @@
   return slice;
 }
 
-/// A machine of the type `g8`, up unless a test says otherwise.
+/// A machine of the type `g8` in the state `up`.
 inline MachineRecord machine_record(const std::string& machine_id, WallTime since,
                                     const std::string& zone = "a") {
   MachineRecord machine;
@@ -51,7 +52,7 @@
   return machine;
 }
 
-/// The first attempt of a task, placed on the machine.
+/// A task in its first attempt that is placed on the machine.
 inline TaskRecord placed_task(const std::string& machine_id, TaskState state) {
   TaskRecord task;
   task.state = state;
@@ -61,7 +62,7 @@
   return task;
 }
 
-/// A task bound to the machine under the worker's first epoch.
+/// A task that is bound to the machine under the worker's first epoch.
 inline TaskRecord bound_task(const std::string& machine_id) {
   TaskRecord task = placed_task(machine_id, TaskState::bound);
   task.epoch = WorkerEpoch(1);
@@ -77,13 +78,13 @@
   store.put(keys::slice(slice.job_id, slice.number), encode(slice));
 }
 
-/// The tasks of a job's first slice; none where it has no slice.
+/// The tasks of the job's first slice; empty if the job has no slice.
 inline std::vector<TaskRecord> stored_tasks(const ScriptedStore& store, const std::string& job_id) {
   const auto slice = stored_record<SliceRecord>(store, keys::slice(JobId(job_id), 0));
   return slice ? slice->tasks : std::vector<TaskRecord>{};
 }
 
-/// Marks the job as cancelled, as another controller does it.
+/// Marks the job as cancelled, as another controller would. Does nothing if the job has no record.
 inline void cancel_job(ScriptedStore& store, const std::string& job_id, WallTime at) {
   const std::string key = keys::job(JobId(job_id));
   auto job = stored_record<JobRecord>(store, key);
