--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -17,7 +17,7 @@
 
 constexpr Duration kExplanationDeadline{5'000};
 
-Settings load_given_settings(const std::string& path) {
+Settings load_required_settings(const std::string& path) {
   if (path.empty()) throw SettingsError("--config", "missing");
   return load_settings(path);
 }
@@ -49,7 +49,7 @@
 }  // namespace
 
 int serve(const ServeCommand& command, const std::string& version) {
-  Settings settings = load_given_settings(command.settings_path);
+  Settings settings = load_required_settings(command.settings_path);
   settings.tuning = command.tuning;
   // A peer that closes its connection must not end the process.
   std::signal(SIGPIPE, SIG_IGN);  // NOLINT(performance-no-int-to-ptr): the system's own macro
@@ -58,14 +58,15 @@
   const SystemClock clock;
   Service service(loop, clock, settings, incarnation);
   spdlog::info("service: starting version={} node={} zone={} users_at={}:{}", version,
-               settings.node.get(), settings.zone.get(), settings.users.host, settings.users.port);
+               settings.node.get(), settings.zone.get(), settings.user_address.host,
+               settings.user_address.port);
   service.begin();
   loop.run();
   return 0;
 }
 
 int check_settings(const CheckSettingsCommand& command) {
-  load_given_settings(command.settings_path);
+  load_required_settings(command.settings_path);
   std::cout << "settings are valid\n";
   return 0;
 }
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -20,13 +20,13 @@
     : metrics_(loop.metrics()),
       clock_(clock),
       settings_(settings),
-      store_(loop, clock, settings.state, settings.store),
+      store_(loop, clock, settings.state_service_address, settings.store),
       cache_(loop, clock, store_, incarnation.get()),
       startup_times_(clock, settings, cache_, incarnation),
       cancellations_(clock, cache_),
       cancellation_freshness_(settings.clock_error),
       election_(loop, clock, settings, store_, cache_, incarnation),
-      cloud_(loop, clock, settings.cloud, settings.cloud_rps),
+      cloud_(loop, clock, settings.cloud_address, settings.cloud_rps),
       autoscaler_(loop, clock, settings, cache_, election_, cloud_),
       leader_loop_(loop, clock, settings, cache_, election_, autoscaler_),
       shard_assigner_(loop, clock, settings, cache_, election_),
@@ -40,13 +40,13 @@
           [this](const PeerHeartbeat& heartbeat, PeerHeartbeatDelivery delivery) {
             on_peer_heartbeat(heartbeat, delivery);
           }),
-      peer_server_(loop, settings.peers_at,
+      peer_server_(loop, settings.peer_address,
                    [this](const HttpRequest& request, const ResponderPtr& responder) {
                      serve_peer(request, responder);
                    }),
       user_router_(loop.metrics(), job_api_, shard_holder_, startup_times_,
                    [this] { return update_readiness(); }),
-      user_server_(loop, settings.users,
+      user_server_(loop, settings.user_address,
                    [this](const HttpRequest& request, const ResponderPtr& responder) {
                      user_router_.serve(request, responder);
                    }),
--- a/src/app/startup_times.cpp
+++ b/src/app/startup_times.cpp
@@ -30,38 +30,38 @@
       settings_(settings),
       cache_(cache),
       incarnation_(incarnation),
-      started_(clock.steady()),
-      started_wall_(clock.wall()) {
+      started_at_(clock.steady()),
+      started_at_wall_(clock.wall()) {
   cache_.listen([this](RecordKind kind, const std::string& key) {
     if (kind == RecordKind::slice) on_slice_changed(key);
     if (kind == RecordKind::shard) on_shard_changed(ZoneId(key));
   });
 }
 
-std::optional<Duration> StartupTimes::after(StartupMilestone milestone) const {
-  return reached_.at(static_cast<std::size_t>(milestone));
+std::optional<Duration> StartupTimes::time_to(StartupMilestone milestone) const {
+  return milestone_times_.at(static_cast<std::size_t>(milestone));
 }
 
-void StartupTimes::reach(StartupMilestone milestone, const std::string& details) {
-  auto& reached = reached_.at(static_cast<std::size_t>(milestone));
-  if (reached) return;
-  reached = clock_.steady() - started_;
-  spdlog::info("startup: {} after_ms={}{}", name_of(milestone), reached->count(), details);
+void StartupTimes::record_milestone(StartupMilestone milestone, const std::string& details) {
+  auto& milestone_time = milestone_times_.at(static_cast<std::size_t>(milestone));
+  if (milestone_time) return;
+  milestone_time = clock_.steady() - started_at_;
+  spdlog::info("startup: {} after_ms={}{}", name_of(milestone), milestone_time->count(), details);
 }
 
-void StartupTimes::user_answered(int status) {
+void StartupTimes::on_user_answered(int status) {
   if (status >= kFirstServerError) return;
-  reach(StartupMilestone::user_answered);
+  record_milestone(StartupMilestone::user_answered);
 }
 
-bool StartupTimes::held_here(const ZoneId& zone) const {
+bool StartupTimes::held_by_this_process(const ZoneId& zone) const {
   const auto shard = cache_.records().shards.find(zone);
   return shard != cache_.records().shards.end() && shard->second.record.holder == settings_.node &&
          shard->second.record.incarnation == incarnation_;
 }
 
 void StartupTimes::on_slice_changed(const std::string& key) {
-  if (after(StartupMilestone::task_bound)) return;
+  if (time_to(StartupMilestone::task_bound)) return;
   const auto slash = key.find('/');
   const auto number = static_cast<std::uint32_t>(std::stoul(key.substr(slash + 1)));
   const auto* slice = cache_.records().slice(JobId(key.substr(0, slash)), number);
@@ -69,9 +69,10 @@
   const auto& tasks = slice->record.tasks;
   // The first load of the records also reports bindings from before the start.
   const bool bound = std::any_of(tasks.begin(), tasks.end(), [this](const TaskRecord& task) {
-    return task.state == TaskState::bound && task.since >= started_wall_ && held_here(task.zone);
+    return task.state == TaskState::bound && task.since >= started_at_wall_ &&
+           held_by_this_process(task.zone);
   });
-  if (bound) reach(StartupMilestone::task_bound);
+  if (bound) record_milestone(StartupMilestone::task_bound);
 }
 
 bool StartupTimes::all_shards_held() const {
@@ -84,8 +85,8 @@
 }
 
 void StartupTimes::on_shard_changed(const ZoneId& zone) {
-  if (!held_here(zone) || !all_shards_held()) return;
-  reach(StartupMilestone::last_shard_held, " zone=" + zone.get());
+  if (!held_by_this_process(zone) || !all_shards_held()) return;
+  record_milestone(StartupMilestone::last_shard_held, " zone=" + zone.get());
 }
 
 }  // namespace marblevale
--- a/src/app/startup_times.hpp
+++ b/src/app/startup_times.hpp
@@ -14,7 +14,7 @@
 
 /// Reached once in a process, or never.
 enum class StartupMilestone { user_answered, task_bound, last_shard_held };
-inline constexpr std::size_t kStartupMilestones = 3;
+inline constexpr std::size_t kStartupMilestoneCount = 3;
 
 /// Logs each milestone when it is reached. It learns of bindings and of shards from the watched
 /// records, of answers from whoever gives them.
@@ -24,25 +24,25 @@
                ProcessIncarnation incarnation);
 
   /// An answer was given to a user; one with a server error reaches nothing.
-  void user_answered(int status);
+  void on_user_answered(int status);
   /// Time from the start of this process; absent until the milestone is reached.
-  [[nodiscard]] std::optional<Duration> after(StartupMilestone milestone) const;
+  [[nodiscard]] std::optional<Duration> time_to(StartupMilestone milestone) const;
 
  private:
   /// Logs the milestone, with `details`, unless it was reached before.
-  void reach(StartupMilestone milestone, const std::string& details = "");
+  void record_milestone(StartupMilestone milestone, const std::string& details = "");
   void on_slice_changed(const std::string& key);
   void on_shard_changed(const ZoneId& zone);
-  [[nodiscard]] bool held_here(const ZoneId& zone) const;
+  [[nodiscard]] bool held_by_this_process(const ZoneId& zone) const;
   [[nodiscard]] bool all_shards_held() const;
 
   const Clock& clock_;
   const Settings& settings_;
   WatchCache& cache_;
   const ProcessIncarnation incarnation_;
-  const SteadyTime started_;
-  const WallTime started_wall_;
-  std::array<std::optional<Duration>, kStartupMilestones> reached_;
+  const SteadyTime started_at_;
+  const WallTime started_at_wall_;
+  std::array<std::optional<Duration>, kStartupMilestoneCount> milestone_times_;
 };
 
 }  // namespace marblevale
--- a/src/app/user_router.cpp
+++ b/src/app/user_router.cpp
@@ -36,12 +36,12 @@
 }
 
 UserRouter::UserRouter(Metrics& metrics, JobApi& job_api, ShardHolder& shard_holder,
-                       StartupTimes& startup_times, ReadinessCheck ready)
+                       StartupTimes& startup_times, ReadinessCheck check_readiness)
     : metrics_(metrics),
       job_api_(job_api),
       shard_holder_(shard_holder),
       startup_times_(startup_times),
-      ready_(std::move(ready)) {}
+      check_readiness_(std::move(check_readiness)) {}
 
 void UserRouter::serve(const HttpRequest& request, const ResponderPtr& responder) {
   if (request.path == kWorkerHeartbeatPath) {
@@ -65,35 +65,35 @@
 
 void UserRouter::serve_readiness_probe(const HttpRequest& request, Responder& responder) {
   if (!require_method(EVHTTP_REQ_GET, request, responder)) return;
-  responder.reply(ready_() ? 200 : 503, "{}");
+  responder.reply(check_readiness_() ? 200 : 503, "{}");
 }
 
 void UserRouter::serve_submission(const HttpRequest& request, const ResponderPtr& responder) {
-  const auto timed = metrics_.time(Duty::users);
+  const auto timer = metrics_.time(Duty::users);
   if (!require_method(EVHTTP_REQ_POST, request, *responder)) return;
-  job_api_.submit(request.body, answer_through(responder));
+  job_api_.submit(request.body, make_answer_handler(responder));
 }
 
 void UserRouter::serve_job(const JobPath& path, const HttpRequest& request,
                            const ResponderPtr& responder) {
-  const auto timed = metrics_.time(Duty::users);
+  const auto timer = metrics_.time(Duty::users);
   if (!path.action) {
     if (!require_method(EVHTTP_REQ_GET, request, *responder)) return;
-    job_api_.status(path.job_id, answer_through(responder));
+    job_api_.status(path.job_id, make_answer_handler(responder));
   } else if (*path.action == kCancelAction) {
     if (!require_method(EVHTTP_REQ_POST, request, *responder)) return;
-    job_api_.cancel(path.job_id, answer_through(responder));
+    job_api_.cancel(path.job_id, make_answer_handler(responder));
   } else if (*path.action == kExplainAction) {
     if (!require_method(EVHTTP_REQ_GET, request, *responder)) return;
-    job_api_.explain(path.job_id, answer_through(responder));
+    job_api_.explain(path.job_id, make_answer_handler(responder));
   } else {
     reply_no_such_path(*responder);
   }
 }
 
-AnswerHandler UserRouter::answer_through(const ResponderPtr& responder) {
+AnswerHandler UserRouter::make_answer_handler(const ResponderPtr& responder) {
   return [this, responder](const UserAnswer& answer) {
-    startup_times_.user_answered(answer.status);
+    startup_times_.on_user_answered(answer.status);
     const auto retry_after = answer.retry_after.value_or(std::chrono::seconds{0});
     responder->reply(answer.status, answer.body, static_cast<int>(retry_after.count()));
   };
--- a/src/app/user_router.hpp
+++ b/src/app/user_router.hpp
@@ -28,7 +28,7 @@
   using ReadinessCheck = std::function<bool()>;
 
   UserRouter(Metrics& metrics, JobApi& job_api, ShardHolder& shard_holder,
-             StartupTimes& startup_times, ReadinessCheck ready);
+             StartupTimes& startup_times, ReadinessCheck check_readiness);
 
   void serve(const HttpRequest& request, const ResponderPtr& responder);
 
@@ -37,13 +37,13 @@
   void serve_readiness_probe(const HttpRequest& request, Responder& responder);
   void serve_submission(const HttpRequest& request, const ResponderPtr& responder);
   void serve_job(const JobPath& path, const HttpRequest& request, const ResponderPtr& responder);
-  [[nodiscard]] AnswerHandler answer_through(const ResponderPtr& responder);
+  [[nodiscard]] AnswerHandler make_answer_handler(const ResponderPtr& responder);
 
   Metrics& metrics_;
   JobApi& job_api_;
   ShardHolder& shard_holder_;
   StartupTimes& startup_times_;
-  ReadinessCheck ready_;
+  ReadinessCheck check_readiness_;
 };
 
 }  // namespace marblevale
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -16,7 +16,7 @@
 constexpr double kUnlimited = 1e12;
 constexpr double kBytesPerKib = 1024;
 
-[[noreturn]] void fail_address(const std::string& key) {
+[[noreturn]] void throw_invalid_address(const std::string& key) {
   throw SettingsError(key, "not in the form ADDRESS:PORT");
 }
 
@@ -36,10 +36,10 @@
 Team read_team(const TomlSection& section) {
   Team team;
   team.name = TeamId(section.text("name"));
-  team.cpus = section.number("cpus", 0);
-  team.gpus = section.number("gpus", 0);
-  team.cpus_max = section.number("cpus_max", 0);
-  team.gpus_max = section.number("gpus_max", 0);
+  team.guaranteed_cpus = section.number("cpus", 0);
+  team.guaranteed_gpus = section.number("gpus", 0);
+  team.max_cpus = section.number("cpus_max", 0);
+  team.max_gpus = section.number("gpus_max", 0);
   return team;
 }
 
@@ -105,13 +105,13 @@
 }
 
 /// A limit that is not announced stays as it is.
-AnnouncedLimits read_announced_limits(const TomlSection& state, const StoreLimits& now) {
+AnnouncedLimits read_announced_limits(const TomlSection& state, const StoreLimits& current) {
   const TomlSection announced = state.section("next");
-  AnnouncedLimits next{now.rps, now.write_rps, now.value_bytes, now.txn_ops};
+  AnnouncedLimits next{current.rps, current.write_rps, current.value_bytes, current.txn_ops};
   if (announced.contains("rps")) next.rps = announced.positive("rps");
   if (announced.contains("write_rps")) next.write_rps = announced.positive("write_rps");
   if (announced.contains("value_kb")) next.value_bytes = read_value_bytes(announced);
-  next.txn_ops = announced.count("txn_ops", now.txn_ops);
+  next.txn_ops = announced.count("txn_ops", current.txn_ops);
   return next;
 }
 
@@ -131,12 +131,12 @@
 void read_node(const TomlSection& root, Settings& settings) {
   settings.node = NodeId(root.text("node"));
   settings.zone = ZoneId(root.text("site"));
-  settings.users = read_address(root, "serve_on");
-  settings.peers_at = read_address(root, "peer_bind");
+  settings.user_address = read_address(root, "serve_on");
+  settings.peer_address = read_address(root, "peer_bind");
   settings.peers = read_peers(root);
   const TomlSection endpoints = root.section("endpoints");
-  settings.cloud = read_address(endpoints, "cloud");
-  settings.state = read_address(endpoints, "state");
+  settings.cloud_address = read_address(endpoints, "cloud");
+  settings.state_service_address = read_address(endpoints, "state");
 }
 
 /// What all controllers of the cluster share.
@@ -153,7 +153,7 @@
   settings.list_lag = from_seconds(cloud.number("list_lag_s"));
 
   const TomlSection limits = cluster.section("machine_limits");
-  settings.ram_mb = limits.number("ram_mb", 0);
+  settings.machine_memory_mb = limits.number("ram_mb", 0);
   settings.max_sockets = static_cast<int>(limits.number("max_sockets", 0));
 }
 
@@ -170,12 +170,13 @@
 }  // namespace
 
 Resources Team::limit() const {
-  return {cpus_max > 0 ? cpus_max : kUnlimited, gpus_max > 0 ? gpus_max : kUnlimited, kUnlimited};
+  return {max_cpus > 0 ? max_cpus : kUnlimited, max_gpus > 0 ? max_gpus : kUnlimited, kUnlimited};
 }
 
 Resources Team::guarantee() const {
-  if (cpus <= 0 && gpus <= 0) return {0, 0, kUnlimited};
-  return {cpus > 0 ? cpus : kUnlimited, gpus > 0 ? gpus : kUnlimited, kUnlimited};
+  if (guaranteed_cpus <= 0 && guaranteed_gpus <= 0) return {0, 0, kUnlimited};
+  return {guaranteed_cpus > 0 ? guaranteed_cpus : kUnlimited,
+          guaranteed_gpus > 0 ? guaranteed_gpus : kUnlimited, kUnlimited};
 }
 
 const Team* Settings::team(const TeamId& name) const {
@@ -186,13 +187,13 @@
 
 Address parse_address(const std::string& text, const std::string& key) {
   const auto colon = text.rfind(':');
-  if (colon == std::string::npos || colon == 0) fail_address(key);
+  if (colon == std::string::npos || colon == 0) throw_invalid_address(key);
   Address address;
   address.host = text.substr(0, colon);
   const char* begin = text.data() + colon + 1;
   const char* end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(begin, end, address.port);
-  if (error != std::errc{} || stop != end || address.port == 0) fail_address(key);
+  const auto [parsed_end, error] = std::from_chars(begin, end, address.port);
+  if (error != std::errc{} || parsed_end != end || address.port == 0) throw_invalid_address(key);
   return address;
 }
 
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -24,17 +24,17 @@
 /// A team with its quota: the guaranteed minimum and the limit.
 struct Team {
   TeamId name;
-  double cpus = 0;      // guaranteed
-  double gpus = 0;      // guaranteed
-  double cpus_max = 0;  // 0: unlimited, as in the settings file
-  double gpus_max = 0;  // 0: unlimited, as in the settings file
+  double guaranteed_cpus = 0;  // guaranteed
+  double guaranteed_gpus = 0;  // guaranteed
+  double max_cpus = 0;         // 0: unlimited, as in the settings file
+  double max_gpus = 0;         // 0: unlimited, as in the settings file
 
   /// The most that the team's tasks may use at a time.
   [[nodiscard]] Resources limit() const;
   /// What the team's tasks are entitled to; a resource without a guarantee doesn't restrict one
   /// that has one.
   [[nodiscard]] Resources guarantee() const;
-  [[nodiscard]] bool has_guarantee() const { return cpus > 0 || gpus > 0; }
+  [[nodiscard]] bool has_guarantee() const { return guaranteed_cpus > 0 || guaranteed_gpus > 0; }
 };
 
 /// A service-level objective for a class of jobs.
@@ -70,11 +70,11 @@
 struct Settings {
   NodeId node;
   ZoneId zone;
-  Address users;     // serves users and workers
-  Address peers_at;  // serves the other controllers
+  Address user_address;  // serves users and workers
+  Address peer_address;  // serves the other controllers
   std::vector<Peer> peers;
-  Address cloud;  // the machine provider's API
-  Address state;  // the state service
+  Address cloud_address;          // the machine provider's API
+  Address state_service_address;  // the state service
   std::vector<ZoneId> zones;
   Duration clock_error{};  // by which wall clocks of two machines differ at most
   std::vector<Team> teams;
@@ -82,9 +82,9 @@
   WorkerTimes workers;
   StoreLimits store;
   double cloud_rps = 1;
-  Duration list_lag{};  // by which the cloud's list of machines may be behind
-  double ram_mb = 0;    // of the controller's machine; 0: unknown
-  int max_sockets = 0;  // of the controller's process; 0: unknown
+  Duration list_lag{};           // by which the cloud's list of machines may be behind
+  double machine_memory_mb = 0;  // of the controller's machine; 0: unknown
+  int max_sockets = 0;           // of the controller's process; 0: unknown
   Tuning tuning;
 
   /// Null for an unknown team.
--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -24,21 +24,21 @@
 }  // namespace
 
 void Metrics::add_time(Duty duty, std::chrono::microseconds time) {
-  DutyTime& spent = duties_.at(static_cast<std::size_t>(duty));
-  ++spent.times;
-  spent.total += time;
-  spent.longest = std::max(spent.longest, time);
+  DutyTime& duty_time = duties_.at(static_cast<std::size_t>(duty));
+  ++duty_time.times;
+  duty_time.total += time;
+  duty_time.longest = std::max(duty_time.longest, time);
 }
 
 std::string Metrics::summary() {
   std::string line;
   for (std::size_t i = 0; i < duties_.size(); ++i) {
-    const DutyTime& spent = duties_.at(i);
-    if (spent.times == 0) continue;
+    const DutyTime& duty_time = duties_.at(i);
+    if (duty_time.times == 0) continue;
     append_item(line, std::string(kDutyNames.at(i)) +
-                          " total_ms=" + whole_milliseconds(spent.total) +
-                          " times=" + std::to_string(spent.times) +
-                          " longest_ms=" + whole_milliseconds(spent.longest));
+                          " total_ms=" + whole_milliseconds(duty_time.total) +
+                          " times=" + std::to_string(duty_time.times) +
+                          " longest_ms=" + whole_milliseconds(duty_time.longest));
   }
   for (const auto& [event, count] : events_) append_item(line, event + "=" + std::to_string(count));
   duties_ = {};
--- a/src/core/resources.hpp
+++ b/src/core/resources.hpp
@@ -41,12 +41,12 @@
 }
 
 /// The smaller of the two amounts of each resource.
-inline Resources least(const Resources& a, const Resources& b) {
+inline Resources min_per_resource(const Resources& a, const Resources& b) {
   return {std::min(a.cpus, b.cpus), std::min(a.gpus, b.gpus), std::min(a.memory_gb, b.memory_gb)};
 }
 
 /// The largest share of `whole` that `amount` takes of any resource that `whole` has.
-inline double share_of(const Resources& amount, const Resources& whole) {
+inline double dominant_share(const Resources& amount, const Resources& whole) {
   double share = 0;
   if (whole.cpus > 0) share = std::max(share, amount.cpus / whole.cpus);
   if (whole.gpus > 0) share = std::max(share, amount.gpus / whole.gpus);
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -23,7 +23,7 @@
 
   explicit Connection(HttpClient& client)
       : owner(client), deadline(client.loop_, [this] {
-          owner.finish(*this, HttpReply::no_answer(), Ending::timed_out);
+          owner.finish(*this, HttpReply::no_answer(), RequestEnd::timed_out);
         }) {}
   ~Connection() { close(); }
   Connection(const Connection&) = delete;
@@ -48,7 +48,7 @@
     : loop_(loop),
       server_(std::move(server)),
       queue_limit_(queue_limit),
-      pump_timer_(loop, [this] { pump(); }) {
+      dispatch_timer_(loop, [this] { dispatch_queue(); }) {
   for (std::size_t i = 0; i < connections; ++i) {
     connections_.push_back(std::make_unique<Connection>(*this));
   }
@@ -69,7 +69,7 @@
         connections_.begin(), connections_.end(),
         [](const auto& connection) { return connection->state != Connection::State::busy; });
     if (available != connections_.end()) {
-      begin(**available, call, std::move(handler));
+      send_on(**available, call, std::move(handler));
       return;
     }
   }
@@ -81,14 +81,14 @@
   auto entry = std::prev(queue_.end());
   // The deadline runs while the request waits for a connection, too.
   entry->deadline = std::make_unique<Timer>(loop_, [this, entry] {
-    HttpHandler expired = std::move(entry->handler);
+    HttpHandler expired_handler = std::move(entry->handler);
     queue_.erase(entry);
-    expired(HttpReply::never_sent());
+    expired_handler(HttpReply::never_sent());
   });
   entry->deadline->start(entry->call.deadline);
 }
 
-void HttpClient::begin(Connection& connection, const HttpCall& call, HttpHandler handler) {
+void HttpClient::send_on(Connection& connection, const HttpCall& call, HttpHandler handler) {
   connection.open();
   connection.state = Connection::State::busy;
   connection.handler = std::move(handler);
@@ -106,7 +106,7 @@
   connection.deadline.start(call.deadline);
   if (evhttp_make_request(connection.connection, request, call.method, call.path.c_str()) != 0) {
     // evhttp took the request off the connection and will call nothing back for it.
-    finish(connection, HttpReply::never_sent(), Ending::broken);
+    finish(connection, HttpReply::never_sent(), RequestEnd::broken);
   }
 }
 
@@ -114,44 +114,44 @@
   // evhttp passes no request, or one without a response code, when the connection failed.
   const int status = request == nullptr ? 0 : evhttp_request_get_response_code(request);
   if (status == 0) {
-    connection.owner.finish(connection, HttpReply::no_answer(), Ending::broken);
+    connection.owner.finish(connection, HttpReply::no_answer(), RequestEnd::broken);
     return;
   }
   HttpReply reply = HttpReply::answer(status, {});
   evbuffer* body = evhttp_request_get_input_buffer(request);
   reply.body.resize(evbuffer_get_length(body));
   evbuffer_copyout(body, reply.body.data(), reply.body.size());
-  connection.owner.finish(connection, reply, Ending::answered);
+  connection.owner.finish(connection, reply, RequestEnd::answered);
 }
 
-void HttpClient::finish(Connection& connection, const HttpReply& reply, Ending ending) {
+void HttpClient::finish(Connection& connection, const HttpReply& reply, RequestEnd end) {
   if (connection.state != Connection::State::busy) return;
   connection.deadline.stop();
-  switch (ending) {
-    case Ending::answered:
+  switch (end) {
+    case RequestEnd::answered:
       connection.state = Connection::State::idle;
       break;
-    case Ending::broken:
+    case RequestEnd::broken:
       connection.state = Connection::State::broken;
       break;
-    case Ending::timed_out:
+    case RequestEnd::timed_out:
       connection.close();
       break;
   }
   HttpHandler handler = std::move(connection.handler);
   connection.handler = nullptr;
-  if (!queue_.empty()) pump_timer_.start(Duration{0});
+  if (!queue_.empty()) dispatch_timer_.start(Duration{0});
   handler(reply);
 }
 
-void HttpClient::pump() {
+void HttpClient::dispatch_queue() {
   for (auto& connection : connections_) {
     if (queue_.empty()) return;
     if (connection->state == Connection::State::busy) continue;
     QueuedRequest next = std::move(queue_.front());
     queue_.pop_front();
     next.deadline.reset();
-    begin(*connection, next.call, std::move(next.handler));
+    send_on(*connection, next.call, std::move(next.handler));
   }
 }
 
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -63,19 +63,19 @@
     HttpHandler handler;
     std::unique_ptr<Timer> deadline;
   };
-  enum class Ending { answered, broken, timed_out };
+  enum class RequestEnd { answered, broken, timed_out };
 
-  void begin(Connection& connection, const HttpCall& call, HttpHandler handler);
+  void send_on(Connection& connection, const HttpCall& call, HttpHandler handler);
   static void finish_response(evhttp_request* request, Connection& connection);
-  void finish(Connection& connection, const HttpReply& reply, Ending ending);
-  void pump();
+  void finish(Connection& connection, const HttpReply& reply, RequestEnd end);
+  void dispatch_queue();
 
   Loop& loop_;
   Address server_;
   std::size_t queue_limit_;
   std::list<std::unique_ptr<Connection>> connections_;
   std::list<QueuedRequest> queue_;
-  Timer pump_timer_;
+  Timer dispatch_timer_;
 };
 
 }  // namespace marblevale
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -35,8 +35,8 @@
   if (queue_ != nullptr) queue_->disarm(*this);
 }
 
-void Timer::start(Duration after) {
-  const std::int64_t ms = after.count() < 0 ? 0 : after.count();
+void Timer::start(Duration delay) {
+  const std::int64_t ms = delay.count() < 0 ? 0 : delay.count();
   if (queue_ != nullptr) {
     queue_->arm(*this, Duration{ms});
     return;
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -23,7 +23,7 @@
 class TimerQueue {
  public:
   virtual ~TimerQueue() = default;
-  virtual void arm(Timer& timer, Duration after) = 0;
+  virtual void arm(Timer& timer, Duration delay) = 0;
   virtual void disarm(Timer& timer) = 0;
   [[nodiscard]] virtual bool armed(const Timer& timer) const = 0;
 };
@@ -53,7 +53,7 @@
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
   /// Replaces an earlier start; a negative delay counts as none.
-  void start(Duration after);
+  void start(Duration delay);
   void stop();
   [[nodiscard]] bool pending() const;
   void fire() { action_(); }
--- a/src/net/rate_limit.hpp
+++ b/src/net/rate_limit.hpp
@@ -40,9 +40,10 @@
   /// How long until `take` of this much could succeed.
   Duration wait(SteadyTime now, double amount, double reserve = 0) {
     refill(now);
-    const double lacking = std::min(amount, burst_ - reserve) + reserve - tokens_;
-    return lacking <= 0 ? Duration{0}
-                        : Duration{static_cast<std::int64_t>(lacking / per_second_ * 1000) + 1};
+    const double missing_tokens = std::min(amount, burst_ - reserve) + reserve - tokens_;
+    return missing_tokens <= 0
+               ? Duration{0}
+               : Duration{static_cast<std::int64_t>(missing_tokens / per_second_ * 1000) + 1};
   }
 
  private:
--- a/src/scheduling/placement_score.cpp
+++ b/src/scheduling/placement_score.cpp
@@ -34,9 +34,9 @@
   // accelerators. This counts on on-demand machines only, because jobs that don't allow spot
   // machines depend on these.
   const bool may_strand = !machine.spot && job.need.gpus > 0 && machine.resources.gpus > 0;
-  const double excess_share =
-      may_strand ? share_of(job.need, machine.resources) - job.need.gpus / machine.resources.gpus
-                 : 0;
+  const double excess_share = may_strand ? dominant_share(job.need, machine.resources) -
+                                               job.need.gpus / machine.resources.gpus
+                                         : 0;
   // A task without accelerators takes CPUs that the machine's free accelerators need, so it prefers
   // a machine whose accelerators are in use.
   const bool takes_no_gpus = job.need.gpus <= 0 && machine.resources.gpus > 0;
@@ -60,8 +60,8 @@
       demand.preferred_zone && *demand.preferred_zone != m.zone ? kOtherZoneSeconds : 0;
   return zone_penalty + kStrandedSeconds * stranded_share(job, m, free) +
          to_seconds(fetch) * (job.deadline ? kDeadlineFetchWeight : 1.0) +
-         price_weight(profile, share_of(job.need, m.resources), m) +
-         share_of(free, m.resources) * (job.gang() ? kGangFullnessWeight : 1.0) +
+         price_weight(profile, dominant_share(job.need, m.resources), m) +
+         dominant_share(free, m.resources) * (job.gang() ? kGangFullnessWeight : 1.0) +
          static_cast<double>(tie_break) / 1e5;
 }
 
@@ -70,7 +70,7 @@
   double cost = 0;
   for (const Placement& placement : plan.placements) {
     const PlanMachine& m = profile.machines()[placement.machine];
-    cost += price_weight(profile, share_of(demand.job->need, m.resources), m) / demand.tasks;
+    cost += price_weight(profile, dominant_share(demand.job->need, m.resources), m) / demand.tasks;
   }
   const std::uint64_t tie_break =
       mix_bits(std::hash<JobId>{}(demand.job->job_id) ^ std::hash<ZoneId>{}(zone)) % 997;
--- a/src/scheduling/scale_out.cpp
+++ b/src/scheduling/scale_out.cpp
@@ -101,7 +101,7 @@
       for (const bool spot : {true, false}) {
         const MachineOffering offering{type.name, zone, spot};
         if (!is_suitable(demand, type, offering)) continue;
-        const double cost = share_of(demand.job->need, type.resources) * type.price_of(spot);
+        const double cost = dominant_share(demand.job->need, type.resources) * type.price_of(spot);
         offerings.push_back({cost + kZoneLoadWeight * zone_load(zone), offering});
       }
     }
--- a/src/shards/order_sender.cpp
+++ b/src/shards/order_sender.cpp
@@ -44,7 +44,7 @@
   // this controller, each over its own connection.
   if (settings.max_sockets <= 0) return kDefaultConnections;
   const auto by_sockets = static_cast<std::size_t>(settings.max_sockets) / 4;
-  const auto by_memory = static_cast<std::size_t>(settings.ram_mb * kConnectionsPerMb);
+  const auto by_memory = static_cast<std::size_t>(settings.machine_memory_mb * kConnectionsPerMb);
   return std::max(kMinConnections, by_memory > 0 ? std::min(by_sockets, by_memory) : by_sockets);
 }
 
--- a/tests/leader_loop_test.cpp
+++ b/tests/leader_loop_test.cpp
@@ -182,7 +182,7 @@
 }
 
 TEST_F(LeaderLoopTest, AGangRestartsOnlyAfterAllItsTasksHaveTerminated) {
-  settings_.teams[0].gpus_max = 8;
+  settings_.teams[0].max_gpus = 8;
   machine("vm-1");
   machine("vm-2");
   JobSpec spec = testing::gang("req-1", 2, 1, 60);
--- a/tests/occupancy_test.cpp
+++ b/tests/occupancy_test.cpp
@@ -27,7 +27,7 @@
     records_.types = Versioned<std::vector<MachineType>>{{type}, ModRevision(1)};
     Team team;
     team.name = TeamId("crew");
-    team.gpus_max = 200;
+    team.max_gpus = 200;
     teams_ = {team};
   }
 
--- a/tests/open_releases_test.cpp
+++ b/tests/open_releases_test.cpp
@@ -249,7 +249,7 @@
   Settings settings;
   Team team;
   team.name = TeamId("crew");
-  team.gpus_max = 2;
+  team.max_gpus = 2;
   settings.teams = {team};
   const JobSpec fits_without = testing::gang("req-2", 1, 2, 60);
   const JobSpec too_large = testing::gang("req-3", 1, 3, 60);
--- a/tests/order_delivery_test.cpp
+++ b/tests/order_delivery_test.cpp
@@ -13,7 +13,7 @@
   EXPECT_EQ(max_order_connections(settings), 32U);
   settings.max_sockets = 20'000;
   EXPECT_EQ(max_order_connections(settings), 5000U);
-  settings.ram_mb = 56;
+  settings.machine_memory_mb = 56;
   EXPECT_EQ(max_order_connections(settings), 896U) << "an idle connection takes memory, too";
 }
 
--- a/tests/release_offer_test.cpp
+++ b/tests/release_offer_test.cpp
@@ -101,7 +101,7 @@
 // because their holders had no write budget left, and the leader's own releases cost as many writes
 // again.
 TEST_F(ReleaseOfferTest, OffersInFlightToAHolderAreBounded) {
-  settings_.teams[0].gpus_max = 1000;
+  settings_.teams[0].max_gpus = 1000;
   for (int i = 0; i < 10; ++i) machine("vm-" + std::to_string(10 + i));
   begin_offering();
   for (int i = 0; i < 40; ++i) submit(testing::gang("req-" + std::to_string(i), 1, 1, 60));
--- a/tests/startup_times_test.cpp
+++ b/tests/startup_times_test.cpp
@@ -56,21 +56,21 @@
 };
 
 TEST_F(StartupTimesTest, A503IsNotTheFirstAnswer) {
-  times_->user_answered(503);
-  EXPECT_FALSE(times_->after(StartupMilestone::user_answered));
-  times_->user_answered(404);
-  EXPECT_EQ(times_->after(StartupMilestone::user_answered), Duration{1'000});
+  times_->on_user_answered(503);
+  EXPECT_FALSE(times_->time_to(StartupMilestone::user_answered));
+  times_->on_user_answered(404);
+  EXPECT_EQ(times_->time_to(StartupMilestone::user_answered), Duration{1'000});
   run(Duration{500});
-  times_->user_answered(200);
-  EXPECT_EQ(times_->after(StartupMilestone::user_answered), Duration{1'000}) << "timed once";
+  times_->on_user_answered(200);
+  EXPECT_EQ(times_->time_to(StartupMilestone::user_answered), Duration{1'000}) << "timed once";
 }
 
 TEST_F(StartupTimesTest, ABindingFromBeforeTheProcessStartDoesNotCount) {
-  EXPECT_FALSE(times_->after(StartupMilestone::task_bound));
+  EXPECT_FALSE(times_->time_to(StartupMilestone::task_bound));
   run(Duration{500});
   bind_task(time_.wall());
   run(Duration{100});
-  EXPECT_EQ(times_->after(StartupMilestone::task_bound), Duration{1'600});
+  EXPECT_EQ(times_->time_to(StartupMilestone::task_bound), Duration{1'600});
 }
 
 TEST_F(StartupTimesTest, ABindingByAnotherHolderDoesNotCount) {
@@ -78,22 +78,22 @@
   run(Duration{100});
   bind_task(time_.wall());
   run(Duration{100});
-  EXPECT_FALSE(times_->after(StartupMilestone::task_bound));
+  EXPECT_FALSE(times_->time_to(StartupMilestone::task_bound));
 }
 
 TEST_F(StartupTimesTest, TheLastShardIsTimedByItsHolderOnceAllHoldersAreAlive) {
-  EXPECT_FALSE(times_->after(StartupMilestone::last_shard_held));
+  EXPECT_FALSE(times_->time_to(StartupMilestone::last_shard_held));
   give_shard("b", "n2", 3);  // an earlier incarnation
   run(Duration{100});
   give_shard("a", "me");
   run(Duration{100});
-  EXPECT_FALSE(times_->after(StartupMilestone::last_shard_held));
+  EXPECT_FALSE(times_->time_to(StartupMilestone::last_shard_held));
   give_shard("b", "n2");
   run(Duration{100});
-  EXPECT_FALSE(times_->after(StartupMilestone::last_shard_held)) << "n2 logs it";
+  EXPECT_FALSE(times_->time_to(StartupMilestone::last_shard_held)) << "n2 logs it";
   give_shard("a", "me");
   run(Duration{100});
-  EXPECT_EQ(times_->after(StartupMilestone::last_shard_held), Duration{1'400});
+  EXPECT_EQ(times_->time_to(StartupMilestone::last_shard_held), Duration{1'400});
 }
 
 }  // namespace
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -15,7 +15,7 @@
     records_.types = Versioned<std::vector<MachineType>>{{type}, ModRevision(1)};
     Team team;
     team.name = TeamId("crew");
-    team.gpus_max = 8;
+    team.max_gpus = 8;
     settings_.teams = {team};
   }
 
@@ -94,7 +94,7 @@
   place("req-1", "vm-1", "a");
   job(testing::gang("req-2", 1, 4, 60));
   EXPECT_TRUE(find().empty());
-  settings_.teams[0].gpus_max = 10;
+  settings_.teams[0].max_gpus = 10;
   EXPECT_EQ(find().size(), 1U);
 }
 
--- a/tests/support/job_api_fixture.hpp
+++ b/tests/support/job_api_fixture.hpp
@@ -45,7 +45,7 @@
   JobApiTest() : cache_(loop_, clock_, store_, 1), cancellations_(clock_, cache_) {
     Team team;
     team.name = TeamId("vision");
-    team.gpus_max = 4;
+    team.max_gpus = 4;
     settings_.teams.push_back(team);
     MachineType type;
     type.name = "g8";
--- a/tests/support/leader_loop_fixture.hpp
+++ b/tests/support/leader_loop_fixture.hpp
@@ -25,8 +25,8 @@
     Settings settings = controller_settings();
     Team team;
     team.name = TeamId("crew");
-    team.gpus = 2;
-    team.gpus_max = 2;
+    team.guaranteed_gpus = 2;
+    team.max_gpus = 2;
     settings.teams = {team};
     return settings;
   }
@@ -45,7 +45,9 @@
     run(Duration{20});
   }
 
-  void set_limit(double gpus) { settings_.teams[0].gpus = settings_.teams[0].gpus_max = gpus; }
+  void set_limit(double gpus) {
+    settings_.teams[0].guaranteed_gpus = settings_.teams[0].max_gpus = gpus;
+  }
 
   /// Adds zone `b`, in which machines can be provisioned as well.
   void use_two_zones() {
--- a/tests/support/simulated_cluster.hpp
+++ b/tests/support/simulated_cluster.hpp
@@ -99,7 +99,7 @@
   static Team team(const std::string& name, double gpus) {
     Team out;
     out.name = TeamId(name);
-    out.gpus = out.gpus_max = gpus;
+    out.guaranteed_gpus = out.max_gpus = gpus;
     return out;
   }
 
--- a/tests/team_without_quota_test.cpp
+++ b/tests/team_without_quota_test.cpp
@@ -19,7 +19,7 @@
   settings.zones = {ZoneId("a")};
   Team crew;
   crew.name = TeamId("crew");
-  crew.gpus = 1;
+  crew.guaranteed_gpus = 1;
   Team guest;
   guest.name = TeamId("guest");
   settings.teams = {crew, guest};
--- a/tests/user_router_test.cpp
+++ b/tests/user_router_test.cpp
@@ -6,7 +6,7 @@
 namespace marblevale {
 namespace {
 
-TEST(UserRouter, APathNamesAJobAndWhatIsAskedForIt) {
+TEST(UserRouter, APathNamesAJobAndAnAction) {
   const auto job = parse_job_path("/api/jobs/req-1");
   ASSERT_TRUE(job);
   EXPECT_EQ(job->job_id, "req-1");
@@ -17,7 +17,7 @@
   EXPECT_EQ(cancellation->action, "abort");
 }
 
-TEST(UserRouter, WhatFollowsTheSecondSlashIsTheAction) {
+TEST(UserRouter, TextAfterTheSecondSlashIsTheAction) {
   EXPECT_EQ(parse_job_path("/api/jobs/req-1/")->action, "") << "not the job itself";
   EXPECT_EQ(parse_job_path("/api/jobs/req-1/why/more")->action, "why/more");
   EXPECT_EQ(parse_job_path("/api/jobs//why")->job_id, "");
