--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// More than any machine, team or task has of a resource.
+/// Stands for "no limit": more than any machine, team or task has of a resource.
 constexpr double kUnlimited = 1e12;
 constexpr double kBytesPerKib = 1024;
 
@@ -59,7 +59,7 @@
   return std::nullopt;
 }
 
-/// Absent for a kind that a later version of the settings defines.
+/// Returns nothing for an unknown kind, which a later version of the settings may define.
 std::optional<Objective> read_objective(const TomlSection& section) {
   const auto kind = parse_objective_kind(section.text("kind"));
   if (!kind) return std::nullopt;
@@ -104,7 +104,7 @@
   return static_cast<std::size_t>(section.positive("value_kb") * kBytesPerKib);
 }
 
-/// A limit that is not announced stays as it is.
+/// A limit without an announced value keeps its current value.
 AnnouncedLimits read_announced_limits(const TomlSection& state, const StoreLimits& current) {
   const TomlSection announced = state.section("next");
   AnnouncedLimits next{current.rps, current.write_rps, current.value_bytes, current.txn_ops};
@@ -127,7 +127,7 @@
   return limits;
 }
 
-/// This controller and its peers.
+/// Reads the settings of this controller, its peers, and the services that it calls.
 void read_node(const TomlSection& root, Settings& settings) {
   settings.node = NodeId(root.text("node"));
   settings.zone = ZoneId(root.text("site"));
@@ -139,7 +139,7 @@
   settings.state_service_address = read_address(endpoints, "state");
 }
 
-/// What all controllers of the cluster share.
+/// Reads the settings that all controllers of the cluster share.
 void read_cluster(const TomlSection& cluster, Settings& settings) {
   settings.zones = read_zones(cluster);
   settings.clock_error = from_seconds(cluster.number("clock_error_ms", 0) / 1000);
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,4 +1,6 @@
-// The settings file that the platform provides, and the operators' own settings.
+// The configuration of a controller: the settings file that the platform provides, and the tuning
+// settings that operators may override. Loaded settings have every required key, with a value in
+// its range.
 #pragma once
 
 #include <optional>
@@ -18,21 +20,22 @@
 struct Peer {
   NodeId node;
   ZoneId zone;
-  Address address;  // for controllers, not for users
+  Address address;  // serves controllers, not users
 };
 
-/// A team with its quota: the guaranteed minimum and the limit.
+/// A team and its quota: the guaranteed minimum and the limit.
 struct Team {
   TeamId name;
-  double guaranteed_cpus = 0;  // guaranteed
-  double guaranteed_gpus = 0;  // guaranteed
+  double guaranteed_cpus = 0;  // 0: no guarantee
+  double guaranteed_gpus = 0;  // 0: no guarantee
   double max_cpus = 0;         // 0: unlimited, as in the settings file
   double max_gpus = 0;         // 0: unlimited, as in the settings file
 
-  /// The most that the team's tasks may use at a time.
+  /// The maximum that the team's tasks may use at a time.
   [[nodiscard]] Resources limit() const;
-  /// What the team's tasks are entitled to; a resource without a guarantee doesn't restrict one
-  /// that has one.
+  /// The amounts that the team's tasks are entitled to. If only CPUs or only GPUs are guaranteed,
+  /// the other amount is unlimited, so that it doesn't restrict the guaranteed one. Without any
+  /// guarantee, both are 0.
   [[nodiscard]] Resources guarantee() const;
   [[nodiscard]] bool has_guarantee() const { return guaranteed_cpus > 0 || guaranteed_gpus > 0; }
 };
@@ -41,55 +44,55 @@
 struct Objective {
   enum class Kind { wait, finished, deadline, guarantee };
   Kind kind = Kind::wait;
-  std::string job_class;  // empty: any
-  Duration within{};      // unused for a deadline, which each job brings along
+  std::string job_class;  // empty: every class
+  Duration within{};      // unused for `deadline` (each job states its own) and `guarantee`
 };
 
 /// Intervals and timeouts of the worker protocol.
 struct WorkerTimes {
-  Duration heartbeat{};  // between two heartbeats of a worker
+  Duration heartbeat{};  // interval between two heartbeats of a worker
   Duration lease{};      // a worker stops its tasks when no heartbeat is answered for this long
-  Duration gang_wait{};
-  Duration gang_peer{};
-  Duration cancel{};  // within which a cancelled job's tasks have stopped; more than `lease`
+  Duration gang_wait{};  // read and checked, but not used by the controller
+  Duration gang_peer{};  // read and checked, but not used by the controller
+  Duration cancel{};     // a cancelled job's tasks must stop within this time; longer than `lease`
 };
 
-/// Heartbeat intervals without a heartbeat after which a worker counts as silent.
+/// A worker counts as silent after this many heartbeat intervals without a heartbeat.
 inline constexpr double kSilentHeartbeats = 2.5;
 
-/// The operators' own settings, from flags and environment variables.
+/// Settings that operators may override by flags and environment variables.
 struct Tuning {
-  Duration round_budget{120};  // time that one round of the leader's decisions may take
-  Duration shard_lease{30'000};
-  Duration session_lease{4'000};
+  Duration round_budget{120};          // time limit of one round of the leader's decisions
+  Duration shard_lease{30'000};        // lease under which a controller holds shards
+  Duration session_lease{4'000};       // lease for a controller's liveness and leadership
   Duration idle_return{90'000};        // a machine idle for this long is returned to the cloud
-  std::uint32_t max_open_jobs = 5000;  // unfinished jobs, above which none is accepted
+  std::uint32_t max_open_jobs = 5000;  // unfinished jobs at which no further job is accepted
 };
 
-/// All that a controller is told about itself and the cluster.
+/// The configuration of one controller and of its cluster.
 struct Settings {
   NodeId node;
   ZoneId zone;
   Address user_address;  // serves users and workers
   Address peer_address;  // serves the other controllers
   std::vector<Peer> peers;
-  Address cloud_address;          // the machine provider's API
-  Address state_service_address;  // the state service
+  Address cloud_address;  // the machine provider's API
+  Address state_service_address;
   std::vector<ZoneId> zones;
-  Duration clock_error{};  // by which wall clocks of two machines differ at most
+  Duration clock_error{};  // maximum difference between the wall clocks of two machines
   std::vector<Team> teams;
   std::vector<Objective> objectives;
   WorkerTimes workers;
   StoreLimits store;
-  double cloud_rps = 1;
-  Duration list_lag{};           // by which the cloud's list of machines may be behind
-  double machine_memory_mb = 0;  // of the controller's machine; 0: unknown
-  int max_sockets = 0;           // of the controller's process; 0: unknown
+  double cloud_rps = 1;          // requests per second to the cloud's API
+  Duration list_lag{};           // maximum staleness of the cloud's list of machines
+  double machine_memory_mb = 0;  // memory of the controller's machine; 0: unknown
+  int max_sockets = 0;           // sockets that the controller's process may open; 0: unknown
   Tuning tuning;
 
-  /// Null for an unknown team.
+  /// Returns null for an unknown team.
   [[nodiscard]] const Team* team(const TeamId& name) const;
-  /// Controllers of the cluster, this one included.
+  /// The number of controllers of the cluster, including this one.
   [[nodiscard]] std::size_t node_count() const { return peers.size() + 1; }
 };
 
--- a/src/config/settings_error.hpp
+++ b/src/config/settings_error.hpp
@@ -1,4 +1,5 @@
-// The error for settings that can't be used.
+// The error for invalid settings. Its message names the setting, so that an operator can correct
+// it.
 #pragma once
 
 #include <optional>
@@ -10,9 +11,9 @@
 /// A setting that is missing or invalid, or a settings file that can't be read.
 class SettingsError : public std::runtime_error {
  public:
-  /// The whole file is at fault.
+  /// For a problem that belongs to no single key.
   explicit SettingsError(const std::string& problem) : std::runtime_error(problem) {}
-  /// `key`: the key's path in the settings file, or the flag. The message begins with it.
+  /// `key`: the key's path in the settings file, or the flag. The message begins with `key`.
   SettingsError(const std::string& key, const std::string& problem)
       : std::runtime_error(key + ": " + problem), key_(key) {}
 
--- a/src/config/store_limits.hpp
+++ b/src/config/store_limits.hpp
@@ -1,4 +1,5 @@
-// Rates and sizes that the state service accepts.
+// Request rates and sizes that the state service accepts, now and after an announced change.
+// Records and transactions that fit both need no change when the announced limits take effect.
 #pragma once
 
 #include <cstddef>
@@ -6,7 +7,7 @@
 
 namespace marblevale {
 
-/// Limits that the state service has announced. They come into force at some moment, without
+/// Limits that the state service has announced. They take effect at an unknown time, without
 /// further notice.
 struct AnnouncedLimits {
   double rps = 100;
@@ -17,16 +18,16 @@
 
 /// Limits that are in force.
 struct StoreLimits {
-  double rps = 100;                // requests per second, of all controllers together
-  double write_rps = 50;           // of those, writes
-  std::size_t value_bytes = 8192;  // of one value
-  std::size_t txn_ops = 16;        // puts and deletes of one transaction
+  double rps = 100;                // requests per second by all controllers together
+  double write_rps = 50;           // writes per second, which also count in `rps`
+  std::size_t value_bytes = 8192;  // maximum size of one value
+  std::size_t txn_ops = 16;        // maximum puts and deletes in one transaction
   std::size_t nodes = 3;           // controllers that share the rates
   std::optional<AnnouncedLimits> next;
 
-  /// Puts and deletes of one transaction that fit now and under the announced limits.
+  /// Maximum puts and deletes in one transaction under both the current and the announced limits.
   [[nodiscard]] std::size_t max_operations() const;
-  /// Bytes of one value that fit now and under the announced limits.
+  /// Maximum bytes of one value under both the current and the announced limits.
   [[nodiscard]] std::size_t lasting_value_bytes() const;
 };
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,5 @@
-// The settings file: values, defaults, announced limits, and errors that name their field.
+// Parsing of the settings file: values, ignored unknown keys, announced limits, and errors that
+// name the key.
 #include "config/settings.hpp"
 
 #include <gtest/gtest.h>
