--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// By the order of `Duty`.
+/// Names in the log, in the order of `Duty`.
 constexpr std::array<const char*, kDutyCount> kDutyNames{
     "round",     "profile_sync",          "queue",  "restore",   "arrivals", "compress",
     "preempt",   "provisioning_requests", "holder", "heartbeat", "watch",    "users",
--- a/src/core/metrics.hpp
+++ b/src/core/metrics.hpp
@@ -1,5 +1,5 @@
-// Counters that operators read in the log: where the controller's time goes, by duty, and how often
-// named events happen. Used by one thread, without locks.
+// Metrics that operators read in the log: the time that the controller spends on each duty, and the
+// number of named events. Not thread-safe, because the controller runs on one thread.
 #pragma once
 
 #include <array>
@@ -11,8 +11,8 @@
 
 namespace marblevale {
 
-/// What the controller's thread spends time on. `round` is the whole of one round of the leader's
-/// decisions; the duties up to `provisioning_requests` are its steps.
+/// Activities of the controller's thread whose time is measured. `round` is one whole round of the
+/// leader's decisions. `profile_sync` to `provisioning_requests` are the steps of a round.
 enum class Duty {
   round,
   profile_sync,
@@ -30,7 +30,7 @@
 };
 inline constexpr std::size_t kDutyCount = 13;
 
-/// Accumulates between two calls of `summary`.
+/// Accumulates times and counts between two calls of `summary`.
 class Metrics {
  public:
   /// Adds the time from its construction to its destruction to a duty.
@@ -54,10 +54,10 @@
   };
 
   [[nodiscard]] ScopedTimer time(Duty duty) { return {*this, duty}; }
-  /// Counts events by name; names appear in the log as they are.
+  /// Adds to the count of the named event. The name appears unchanged in the log.
   void count(const std::string& event, std::uint64_t increment = 1) { events_[event] += increment; }
 
-  /// One line about what was added since the last call, and starts anew.
+  /// Returns one line with the times and counts since the last call, and clears them.
   [[nodiscard]] std::string summary();
 
  private:
--- a/src/core/resources.hpp
+++ b/src/core/resources.hpp
@@ -5,7 +5,7 @@
 
 namespace marblevale {
 
-/// One amount of each resource.
+/// An amount of each resource.
 struct Resources {
   double cpus = 0;
   double gpus = 0;
@@ -30,7 +30,7 @@
   }
 };
 
-/// The rounding error that sums of decimal amounts may have.
+/// The rounding error that is allowed in sums of decimal amounts.
 inline constexpr double kResourceTolerance = 1e-6;
 
 /// True when `need` fits into `have`, up to the tolerance.
@@ -45,7 +45,8 @@
   return {std::min(a.cpus, b.cpus), std::min(a.gpus, b.gpus), std::min(a.memory_gb, b.memory_gb)};
 }
 
-/// The largest share of `whole` that `amount` takes of any resource that `whole` has.
+/// The largest fraction that `amount` takes of any resource in `whole`. Ignores resources of which
+/// `whole` has none.
 inline double dominant_share(const Resources& amount, const Resources& whole) {
   double share = 0;
   if (whole.cpus > 0) share = std::max(share, amount.cpus / whole.cpus);
--- a/src/core/time.hpp
+++ b/src/core/time.hpp
@@ -1,5 +1,5 @@
-// Durations and points in time. Local waits use the steady clock; times that cross machines use the
-// wall clock. The clock is an interface, so that tests run on a fake one.
+// Durations and points in time. Local waits use the steady clock. Times that are exchanged between
+// machines use the wall clock. `Clock` is an interface, so that tests can use a fake clock.
 #pragma once
 
 #include <chrono>
@@ -9,7 +9,7 @@
 
 using Duration = std::chrono::milliseconds;
 
-// NOLINTBEGIN(readability-identifier-naming): the names that the standard asks of a clock.
+// NOLINTBEGIN(readability-identifier-naming): names that the standard requires of a clock.
 
 /// The clock of `SteadyTime`: monotonic, and meaningless to another process.
 struct SteadyClock {
@@ -20,8 +20,8 @@
   static constexpr bool is_steady = true;
 };
 
-/// The clock of `WallTime`: the time of day, which differs between machines by the settings'
-/// `clock_error` at most.
+/// The clock of `WallTime`: the time of day. The clocks of two machines differ by at most
+/// `Settings::clock_error`.
 struct WallClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -35,10 +35,11 @@
 using SteadyTime = SteadyClock::time_point;
 using WallTime = WallClock::time_point;
 
-/// Earlier than any reading of the steady clock: what was last done then is due.
+/// Earlier than any reading of the steady clock. As the time of the last run of a repeated action,
+/// it makes the first run due at once.
 inline constexpr SteadyTime kLongAgo{Duration{-1'000'000}};
 
-/// Cut to whole milliseconds.
+/// Truncates to whole milliseconds.
 constexpr Duration from_seconds(double seconds) {
   return Duration{static_cast<std::int64_t>(seconds * 1000.0)};
 }
@@ -47,35 +48,35 @@
   return static_cast<double>(duration.count()) / 1000.0;
 }
 
-/// Cut to whole seconds.
+/// Truncates to whole seconds.
 constexpr std::int64_t whole_seconds(Duration duration) { return duration.count() / 1000; }
 
-/// A multiple of a duration, cut to whole milliseconds.
+/// Multiplies a duration by `factor` and truncates to whole milliseconds.
 constexpr Duration scaled(Duration duration, double factor) {
   return Duration{static_cast<std::int64_t>(static_cast<double>(duration.count()) * factor)};
 }
 
-/// The form in which wall-clock times are stored and sent.
+/// Milliseconds since the Unix epoch, the form in which wall-clock times are stored and sent.
 constexpr std::int64_t unix_milliseconds(WallTime time) { return time.time_since_epoch().count(); }
 
 constexpr WallTime from_unix_milliseconds(std::int64_t milliseconds) {
   return WallTime{Duration{milliseconds}};
 }
 
-/// The least multiple of `step` that is no shorter.
+/// The smallest multiple of `step` that is at least `duration`.
 constexpr Duration round_up(Duration duration, Duration step) {
   return (duration + step - Duration{1}) / step * step;
 }
 
-/// The first multiple of `step`, counted from the Unix epoch, that is no earlier.
+/// The first multiple of `step`, counted from the Unix epoch, that is not before `time`.
 constexpr WallTime round_up(WallTime time, Duration step) {
   return WallTime{round_up(time.time_since_epoch(), step)};
 }
 
-/// Deleted: the standard library would give fractions of milliseconds. Use `scaled`.
+/// Deleted, because the standard library's operator gives fractions of milliseconds. Use `scaled`.
 Duration operator*(Duration, double) = delete;
 
-/// A source of both times.
+/// A source of steady and wall-clock times.
 class Clock {
  public:
   virtual ~Clock() = default;
