--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -12,12 +12,13 @@
 }  // namespace
 
 struct HttpClient::Connection {
-  /// `broken`: to be closed before its next use, never inside evhttp's own callback.
+  /// `broken`: the connection must be closed before its next use. It isn't closed at once, because
+  /// that must not happen inside evhttp's own callback.
   enum class State { closed, idle, busy, broken };
 
   HttpClient& owner;
   Timer deadline;
-  evhttp_connection* connection = nullptr;  // none while closed
+  evhttp_connection* connection = nullptr;  // null while closed
   State state = State::closed;
   HttpHandler handler;
 
@@ -37,7 +38,8 @@
     evhttp_connection_set_timeout(connection, kConnectionTimeoutSeconds);
   }
   void close() {
-    // The state changes first: evhttp may call back for a request that it drops.
+    // The state changes first, because evhttp may call back for a request that it drops. `finish`
+    // ignores that call when the connection is no longer busy.
     state = State::closed;
     if (connection != nullptr) evhttp_connection_free(connection);
     connection = nullptr;
@@ -79,7 +81,7 @@
   }
   queue_.push_back({std::move(call), std::move(handler), nullptr});
   auto entry = std::prev(queue_.end());
-  // The deadline runs while the request waits for a connection, too.
+  // The deadline also limits how long the request waits for a connection.
   entry->deadline = std::make_unique<Timer>(loop_, [this, entry] {
     HttpHandler expired_handler = std::move(entry->handler);
     queue_.erase(entry);
@@ -105,13 +107,13 @@
   }
   connection.deadline.start(call.deadline);
   if (evhttp_make_request(connection.connection, request, call.method, call.path.c_str()) != 0) {
-    // evhttp took the request off the connection and will call nothing back for it.
+    // evhttp has removed the request from the connection and will not call back for it.
     finish(connection, HttpReply::never_sent(), RequestEnd::broken);
   }
 }
 
 void HttpClient::finish_response(evhttp_request* request, Connection& connection) {
-  // evhttp passes no request, or one without a response code, when the connection failed.
+  // When the connection failed, evhttp passes null or a request without a response code.
   const int status = request == nullptr ? 0 : evhttp_request_get_response_code(request);
   if (status == 0) {
     connection.owner.finish(connection, HttpReply::no_answer(), RequestEnd::broken);
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -16,13 +16,13 @@
 
 namespace marblevale {
 
-/// How a request ended. After `no_answer` it may have been executed, or may still be; after
-/// `never_sent` it did not leave this process.
+/// How a request ended. With `no_answer`, the server may have executed the request or may still
+/// execute it. With `never_sent`, the request did not leave this process.
 enum class HttpOutcome { answered, no_answer, never_sent };
 
 struct HttpReply {
   HttpOutcome outcome = HttpOutcome::no_answer;
-  int status = 0;  // of the answer; only with `answered`
+  int status = 0;  // HTTP status code; 0 unless `answered`
   std::string body;
 
   [[nodiscard]] bool answered() const { return outcome == HttpOutcome::answered; }
@@ -43,8 +43,10 @@
   Duration deadline{2000};
 };
 
-/// Calls each handler once, with the answer or with what became of the request. The deadline counts
-/// from `send`, and a queue that is full refuses at once.
+/// Calls each handler once, with the answer or with the reason why there is none. The deadline of a
+/// request counts from `send`. A request that waits in the queue until its deadline ends with
+/// `never_sent`. When it gets a connection before, its deadline starts again. When the queue is
+/// full, a request ends with `never_sent` at once.
 class HttpClient {
  public:
   HttpClient(Loop& loop, Address server, std::size_t connections, std::size_t queue_limit);
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -8,8 +8,8 @@
 namespace marblevale {
 
 namespace {
-// evhttp refuses larger bodies by itself; what lies between the protocol's 64 KiB and this is
-// answered by the handler, with the status that the protocol wants.
+// evhttp itself rejects larger bodies. A body between the protocol's limit of 64 KiB and this limit
+// reaches the handler, which answers with the status that the protocol requires.
 constexpr ev_ssize_t kMaxBodyBytes = ev_ssize_t{256} * 1024;
 constexpr ev_ssize_t kMaxHeaderBytes = ev_ssize_t{16} * 1024;
 constexpr int kIdleTimeoutSeconds = 60;
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,4 +1,4 @@
-// An HTTP server on evhttp, whose handlers answer now or later through a `Responder`.
+// An HTTP server on evhttp. A handler answers its request through a `Responder`, at once or later.
 #pragma once
 
 #include <event2/http.h>
@@ -20,19 +20,19 @@
   std::string body;
 };
 
-/// Answers one request. It may outlive the connection, and where it is destroyed without an answer,
-/// it answers 503.
+/// Answers one request. A responder may outlive the connection. When it is destroyed before a
+/// reply, it answers 503.
 class Responder {
  public:
   explicit Responder(evhttp_request* request);
   ~Responder();
   Responder(const Responder&) = delete;
   Responder& operator=(const Responder&) = delete;
-  /// Later calls have no effect. A positive `retry_after_s` becomes the Retry-After header.
+  /// Only the first call has an effect. A positive `retry_after_s` becomes the Retry-After header.
   void reply(int status, std::string_view body, std::optional<int> retry_after_s = std::nullopt);
 
  private:
-  evhttp_request* request_;  // none once it is answered
+  evhttp_request* request_;  // null after the reply
 };
 
 using ResponderPtr = std::shared_ptr<Responder>;
@@ -40,7 +40,7 @@
 class HttpServer {
  public:
   using Handler = std::function<void(const HttpRequest&, ResponderPtr)>;
-  /// Throws when the address can't be bound.
+  /// Throws std::runtime_error when the address can't be bound.
   HttpServer(Loop& loop, const Address& address, Handler handler);
 
  private:
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -19,7 +19,7 @@
 
 class Timer;
 
-/// Runs timers in place of libevent; tests drive them by a fake clock.
+/// Runs timers in place of libevent, so that tests can drive them by a fake clock.
 class TimerQueue {
  public:
   virtual ~TimerQueue() = default;
@@ -28,15 +28,16 @@
   [[nodiscard]] virtual bool armed(const Timer& timer) const = 0;
 };
 
-/// One thread runs the whole controller on one loop.
+/// The event loop. One thread runs the whole controller on one loop.
 class Loop {
  public:
+  /// `timers`: runs the timers of this loop and must outlive it. Null: libevent runs them.
   explicit Loop(TimerQueue* timers = nullptr);
   [[nodiscard]] event_base* base() const { return base_.get(); }
   [[nodiscard]] TimerQueue* timers() const { return timers_; }
   /// The metrics of all components that run on this loop.
   [[nodiscard]] Metrics& metrics() { return metrics_; }
-  /// Runs until the event base is told to stop.
+  /// Runs until the event base is stopped.
   void run();
 
  private:
@@ -45,14 +46,14 @@
   Metrics metrics_;
 };
 
-/// A one-shot timer that can be started again; it never fires after its destruction.
+/// A one-shot timer that can be started again. It never fires after its destruction.
 class Timer {
  public:
   Timer(Loop& loop, std::function<void()> action);
   ~Timer();
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
-  /// Replaces an earlier start; a negative delay counts as none.
+  /// Replaces an earlier start. A negative delay counts as 0.
   void start(Duration delay);
   void stop();
   [[nodiscard]] bool pending() const;
--- a/src/net/rate_limit.hpp
+++ b/src/net/rate_limit.hpp
@@ -9,14 +9,15 @@
 
 namespace marblevale {
 
-/// A bucket of `burst` tokens that fills up at a rate. It may be overdrawn by one large `take`,
-/// which later callers wait for.
+/// A bucket that holds up to `burst` tokens and is refilled by `per_second` tokens per second. A
+/// single large `take` may overdraw the bucket. Later callers wait until it is refilled.
 class TokenBucket {
  public:
   TokenBucket(double per_second, double burst)
       : per_second_(per_second), burst_(burst), tokens_(burst) {}
 
-  /// Takes `amount` if that leaves at least `reserve`; a negative reserve is a credit.
+  /// Takes `amount` tokens and returns true if at least `reserve` tokens remain. A negative
+  /// `reserve` is a credit.
   bool take(SteadyTime now, double amount, double reserve = 0) {
     refill(now);
     // An amount larger than the bucket is taken when the bucket is full, and overdraws it.
@@ -25,19 +26,19 @@
     return true;
   }
 
-  /// The burst becomes that of one second.
+  /// Also sets the burst to the tokens of one second.
   void set_rate(double per_second) {
     per_second_ = per_second;
     burst_ = per_second;
   }
   [[nodiscard]] double rate() const { return per_second_; }
-  /// The share of the burst that is there to be taken, from 0 to 1.
+  /// The available tokens as a fraction of the burst, 0 when the bucket is overdrawn.
   double fill_ratio(SteadyTime now) {
     refill(now);
     return std::max(0.0, tokens_ / burst_);
   }
 
-  /// How long until `take` of this much could succeed.
+  /// Time until `take` with the same arguments can succeed.
   Duration wait(SteadyTime now, double amount, double reserve = 0) {
     refill(now);
     const double missing_tokens = std::min(amount, burst_ - reserve) + reserve - tokens_;
@@ -60,7 +61,8 @@
   std::optional<SteadyTime> last_refill_;
 };
 
-/// Exponential backoff with jitter: each delay is drawn between a half and all of its bound.
+/// Exponential backoff with jitter. Each delay is drawn between half of the bound and the bound,
+/// which doubles from `initial` up to `maximum`.
 class Backoff {
  public:
   Backoff(Duration initial, Duration maximum)
--- a/tests/startup_times_test.cpp
+++ b/tests/startup_times_test.cpp
@@ -1,5 +1,5 @@
-// The times that are logged once after the start of a process: what counts as the first of its
-// kind.
+// Start-up times: each milestone is timed once. Server errors, bindings from before the process
+// start, and bindings and shards of other controllers do not count.
 #include "app/startup_times.hpp"
 
 #include "support/helpers.hpp"
--- a/tests/user_router_test.cpp
+++ b/tests/user_router_test.cpp
@@ -1,4 +1,4 @@
-// Which requests of users a path names.
+// Parsing of a request path into a job and an action.
 #include "app/user_router.hpp"
 
 #include <gtest/gtest.h>
