--- a/src/app/command_line.cpp
+++ b/src/app/command_line.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Where the parser puts the operators' own settings: it reads durations as milliseconds.
+/// The targets of the tuning options. The parser reads durations as numbers of milliseconds.
 struct TuningOptions {
   Tuning tuning;
   std::int64_t round_budget_ms = tuning.round_budget.count();
@@ -26,30 +26,31 @@
 };
 
 void add_tuning_options(CLI::App& app, TuningOptions& options) {
-  app.add_option("--round-budget-ms", options.round_budget_ms, "time of one round of decisions")
+  app.add_option("--round-budget-ms", options.round_budget_ms,
+                 "time limit of one round of decisions")
       ->envname("MARBLEVALE_ROUND_BUDGET_MS")
       ->check(CLI::Range(1, 10'000));
-  app.add_option("--block-lease-ms", options.shard_lease_ms, "lease of machine blocks")
+  app.add_option("--block-lease-ms", options.shard_lease_ms, "lease of shards (blocks of machines)")
       ->envname("MARBLEVALE_BLOCK_LEASE_MS")
       ->check(CLI::Range(1'000, 600'000));
   app.add_option("--session-lease-ms", options.session_lease_ms, "lease of liveness and leadership")
       ->envname("MARBLEVALE_SESSION_LEASE_MS")
       ->check(CLI::Range(1'000, 600'000));
   app.add_option("--idle-return-ms", options.idle_return_ms,
-                 "idle time after which a machine goes back")
+                 "idle time after which a machine is returned to the cloud")
       ->envname("MARBLEVALE_IDLE_RETURN_MS")
       ->check(CLI::Range(1'000, 86'400'000));
   app.add_option("--max-open-jobs", options.tuning.max_open_jobs,
-                 "unfinished jobs that are admitted")
+                 "unfinished jobs at which no further job is accepted")
       ->envname("MARBLEVALE_MAX_OPEN_JOBS")
       ->check(CLI::Range(1, 1'000'000));
 }
 
 CLI::App* add_explain_command(CLI::App& app, ExplainJobCommand& command) {
   command.controller_address = "127.0.0.1:8080";
-  auto* subcommand = app.add_subcommand("why", "tell why a job waits, waited or was moved");
+  auto* subcommand = app.add_subcommand("why", "explain why a job waits, waited or was moved");
   subcommand->add_option("id", command.job_id, "the job")->required();
-  subcommand->add_option("--at", command.controller_address, "a controller's users' address")
+  subcommand->add_option("--at", command.controller_address, "a controller's address for users")
       ->envname("MARBLEVALE_AT");
   return subcommand;
 }
--- a/src/app/command_line.hpp
+++ b/src/app/command_line.hpp
@@ -1,4 +1,5 @@
-// The program's command line and environment variables.
+// Parses the program's command line and environment variables into one command, so that the rest of
+// the program doesn't depend on the parser.
 #pragma once
 
 #include <string>
@@ -25,7 +26,7 @@
   std::string job_id;
   std::string controller_address;
 };
-/// Nothing is left to do: help or version was printed, or a usage error.
+/// Exit without further action, because the help, the version or a usage error was printed.
 struct ExitCommand {
   int code = 0;
 };
--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -22,14 +22,14 @@
   return load_settings(path);
 }
 
-/// Drawn at random, so that no two lives of a controller's process share one. It fits into a signed
-/// 64-bit integer.
+/// Draws a random value, so that no two processes of a controller share an incarnation. The value
+/// fits into a signed 64-bit integer.
 ProcessIncarnation draw_incarnation() {
   std::random_device device;
   return ProcessIncarnation((static_cast<std::uint64_t>(device()) << 32 | device()) >> 1);
 }
 
-/// Prints the explanation, or why there is none. Returns the process's exit code.
+/// Prints the explanation, or the reason why there is none. Returns the process's exit code.
 int print_explanation(const ExplainJobCommand& command, const HttpReply& reply) {
   if (reply.status == 200) {
     std::cout << format_explanation(reply.body);
@@ -51,8 +51,8 @@
 int serve(const ServeCommand& command, const std::string& version) {
   Settings settings = load_required_settings(command.settings_path);
   settings.tuning = command.tuning;
-  // A peer that closes its connection must not end the process.
-  std::signal(SIGPIPE, SIG_IGN);  // NOLINT(performance-no-int-to-ptr): the system's own macro
+  // SIGPIPE is ignored because a peer that closes its connection must not end the process.
+  std::signal(SIGPIPE, SIG_IGN);  // NOLINT(performance-no-int-to-ptr): a macro of the system
   const ProcessIncarnation incarnation = draw_incarnation();
   Loop loop;
   const SystemClock clock;
--- a/src/app/commands.hpp
+++ b/src/app/commands.hpp
@@ -1,4 +1,4 @@
-// What the program does for each command of its command line.
+// Executes the commands of the command line.
 #pragma once
 
 #include <string>
@@ -16,7 +16,7 @@
 int check_settings(const CheckSettingsCommand& command);
 
 /// Asks a controller for the explanation of a job and prints it. Returns the process's exit code: 1
-/// when there is no explanation.
+/// when there is no explanation. Throws SettingsError when the controller's address is invalid.
 int explain_job(const ExplainJobCommand& command);
 
 }  // namespace marblevale
--- a/src/app/logging.cpp
+++ b/src/app/logging.cpp
@@ -26,7 +26,7 @@
   spdlog::set_default_logger(std::make_shared<spdlog::logger>(
       "marblevale", std::make_shared<spdlog::sinks::stderr_sink_st>()));
   spdlog::set_pattern("%H:%M:%S.%e %l %v");
-  // Read once, before there is a second thread.
+  // The variable is read once, before a second thread exists.
   const char* variable = std::getenv("LOG_LEVEL");  // NOLINT(concurrency-mt-unsafe)
   const std::string name = variable == nullptr ? "info" : variable;
   const auto level = parse_level(name);
--- a/src/app/logging.hpp
+++ b/src/app/logging.hpp
@@ -1,10 +1,10 @@
-// The process's log: standard error, one line for each event.
+// Logging of the process to standard error, one line for each event.
 #pragma once
 
 namespace marblevale {
 
-/// Sets the level that the environment variable LOG_LEVEL names (error, info or debug; info when it
-/// is unset). False, with a message on standard error, when it names no level.
+/// Sets the log level from the environment variable LOG_LEVEL: error, info or debug; info when it
+/// is unset. For any other value, prints a message to standard error and returns false.
 [[nodiscard]] bool set_up_logging();
 
 }  // namespace marblevale
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,4 +1,4 @@
-// The program: reads the command line and runs the command.
+// The main program: parses the command line and runs the command.
 #include <iostream>
 #include <variant>
 
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-/// Without an answer for this long, the state service counts as unavailable in the heartbeats to
-/// the peers.
+/// After this time without an answer from the state service, the heartbeats to the peers report it
+/// as unreachable.
 constexpr Duration kStoreOutageReportedAfter{2'500};
-/// Without an answer for this long, the readiness probe fails if a peer has answers.
+/// After this time without an answer from the state service, the readiness probe fails unless the
+/// peers report it as unreachable, too, or there are no peers.
 constexpr Duration kUnreadyAfterStoreOutage{6'000};
 constexpr Duration kSummaryInterval{30'000};
 
@@ -130,7 +131,7 @@
 void Service::on_peer_heartbeat(const PeerHeartbeat& heartbeat, PeerHeartbeatDelivery delivery) {
   cancellations_.merge_peer_list(heartbeat.cancellations);
   if (delivery != PeerHeartbeatDelivery::latest) return;
-  // A late copy from an earlier incarnation of the peer must not move a shard.
+  // A late copy of a heartbeat from an earlier incarnation of the peer must not move a shard.
   if (!cache_.records().alive(NodeId(heartbeat.node), ProcessIncarnation(heartbeat.incarnation))) {
     return;
   }
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -1,4 +1,4 @@
-// The assembly of one controller.
+// Assembles one controller from its components.
 #pragma once
 
 #include "api/job_api.hpp"
@@ -17,8 +17,8 @@
 
 namespace marblevale {
 
-/// Constructs the components of a controller, connects them, and starts them. The order of the
-/// members is the order of construction: each refers only to those before it.
+/// Constructs the components of a controller, connects them, and starts them. The members are
+/// constructed in the order of their declaration, and each refers only to members before it.
 class Service {
  public:
   Service(Loop& loop, const Clock& clock, const Settings& settings, ProcessIncarnation incarnation);
@@ -26,12 +26,12 @@
 
  private:
   void serve_peer(const HttpRequest& request, const ResponderPtr& responder);
-  /// The result of the readiness probe; logs when it changes.
+  /// Returns the result of the readiness probe. Logs when the result changes.
   bool update_readiness();
   [[nodiscard]] bool store_answered_within(Duration duration) const;
   PeerHeartbeat compose_peer_heartbeat();
-  /// Lets the shard holder act on its records for longer while the peers' lists prove that no
-  /// confirmed cancellation is missing from them.
+  /// Extends the time for which the shard holder may act on its records, as long as the peers'
+  /// cancellation lists prove that this controller knows every confirmed cancellation.
   void extend_record_freshness();
   void on_peer_heartbeat(const PeerHeartbeat& heartbeat, PeerHeartbeatDelivery delivery);
   void log_summary();
--- a/src/app/startup_times.cpp
+++ b/src/app/startup_times.cpp
@@ -67,7 +67,7 @@
   const auto* slice = cache_.records().slice(JobId(key.substr(0, slash)), number);
   if (slice == nullptr) return;
   const auto& tasks = slice->record.tasks;
-  // The first load of the records also reports bindings from before the start.
+  // The first load of the records also reports bindings from before the start of this process.
   const bool bound = std::any_of(tasks.begin(), tasks.end(), [this](const TaskRecord& task) {
     return task.state == TaskState::bound && task.since >= started_at_wall_ &&
            held_by_this_process(task.zone);
--- a/src/app/startup_times.hpp
+++ b/src/app/startup_times.hpp
@@ -1,5 +1,6 @@
-// How long after the start of this process it first served a user, bound a task, and completed the
-// set of held shards: what an outage of all controllers costs, readable from the log.
+// Measures the time from the start of this process until it first answers a user, first binds a
+// task, and takes the shard after which every shard has a live holder. Operators read from the log
+// how long the recovery from an outage of all controllers took.
 #pragma once
 
 #include <array>
@@ -12,24 +13,25 @@
 
 namespace marblevale {
 
-/// Reached once in a process, or never.
+/// Each milestone is reached at most once in a process. `last_shard_held`: every shard has a live
+/// holder, and the last shard that changed is held by this process.
 enum class StartupMilestone { user_answered, task_bound, last_shard_held };
 inline constexpr std::size_t kStartupMilestoneCount = 3;
 
-/// Logs each milestone when it is reached. It learns of bindings and of shards from the watched
-/// records, of answers from whoever gives them.
+/// Logs each milestone when it is reached. Observes task bindings and shard holders in the watched
+/// records. The router reports answers to users by `on_user_answered`.
 class StartupTimes {
  public:
   StartupTimes(const Clock& clock, const Settings& settings, WatchCache& cache,
                ProcessIncarnation incarnation);
 
-  /// An answer was given to a user; one with a server error reaches nothing.
+  /// Called for each answer to a user. A server error (status 500 and above) reaches no milestone.
   void on_user_answered(int status);
-  /// Time from the start of this process; absent until the milestone is reached.
+  /// Time from the start of this process to the milestone; absent until the milestone is reached.
   [[nodiscard]] std::optional<Duration> time_to(StartupMilestone milestone) const;
 
  private:
-  /// Logs the milestone, with `details`, unless it was reached before.
+  /// Records the time of the milestone and logs it with `details`, unless it was reached before.
   void record_milestone(StartupMilestone milestone, const std::string& details = "");
   void on_slice_changed(const std::string& key);
   void on_shard_changed(const ZoneId& zone);
--- a/src/app/user_router.cpp
+++ b/src/app/user_router.cpp
@@ -13,7 +13,7 @@
 constexpr std::string_view kCancelAction = "abort";
 constexpr std::string_view kExplainAction = "why";
 
-/// False when the request has another method, which is then answered.
+/// Returns true if the request has this method. Otherwise answers 405 and returns false.
 bool require_method(evhttp_cmd_type method, const HttpRequest& request, Responder& responder) {
   if (request.method == method) return true;
   responder.reply(405, R"({"error":"method not allowed"})");
--- a/src/app/user_router.hpp
+++ b/src/app/user_router.hpp
@@ -1,4 +1,4 @@
-// Directs the requests on the users' address to the component that serves each path.
+// Routes requests to the user address to the component that serves their path.
 #pragma once
 
 #include <functional>
@@ -13,16 +13,17 @@
 
 namespace marblevale {
 
-/// A path below `/api/jobs/`: the job, and what is asked for it.
+/// A path below `/api/jobs/`: the job and the action that is requested for it.
 struct JobPath {
   std::string job_id;
-  std::optional<std::string> action;  // absent: the job itself
+  std::optional<std::string> action;  // absent: the path names the job itself
 };
 
-/// Absent for a path that names no job.
+/// Returns nothing for a path that names no job.
 [[nodiscard]] std::optional<JobPath> parse_job_path(const std::string& path);
 
-/// One handler for each path: users' requests about jobs, workers' heartbeats, the readiness probe.
+/// Routes users' requests about jobs, workers' heartbeats, and the readiness probe. Other paths are
+/// answered with 404.
 class UserRouter {
  public:
   using ReadinessCheck = std::function<bool()>;
