--- a/src/app/startup_times.hpp
+++ b/src/app/startup_times.hpp
@@ -13,8 +13,8 @@
 
 namespace marblevale {
 
-/// Each milestone is reached at most once in a process. `last_shard_held`: every shard has a live
-/// holder, and the last shard that changed is held by this process.
+/// Each milestone is reached at most once in a process. `last_shard_held` is
+/// reached when a shard that this process holds has changed and every shard has a live holder.
 enum class StartupMilestone { user_answered, task_bound, last_shard_held };
 inline constexpr std::size_t kStartupMilestoneCount = 3;
 
--- a/src/app/user_router.hpp
+++ b/src/app/user_router.hpp
@@ -1,4 +1,4 @@
-// Routes requests to the user address to the component that serves their path.
+// Routes each request on the user address to the component that serves its path.
 #pragma once
 
 #include <functional>
--- a/src/config/toml_section.hpp
+++ b/src/config/toml_section.hpp
@@ -12,8 +12,8 @@
 namespace marblevale {
 
 /// One table of a TOML document, with the path of its keys for error messages. Refers to the
-/// document, which must outlive the section. The functions that
-/// read a value throw SettingsError when the value is missing or invalid.
+/// document, which must outlive the section. The functions that read a value throw SettingsError
+/// when the value is missing or invalid.
 class TomlSection {
  public:
   /// `path`: empty for the document itself.
