--- a/src/api/feasibility.cpp
+++ b/src/api/feasibility.cpp
@@ -25,7 +25,7 @@
 }
 
 /// True for gangs and service jobs: all their tasks run at the same time.
-bool runs_all_tasks_at_once(const JobSpec& job) { return job.gang() || job.endless(); }
+bool runs_all_tasks_at_once(const JobSpec& job) { return job.gang() || job.is_service(); }
 
 /// The size of the job's record after a cancellation, when the record is largest.
 std::size_t largest_record_bytes(const JobSpec& job) {
@@ -47,8 +47,9 @@
   // At most half of a spread job's concurrent tasks may run in one zone, so a job whose tasks all
   // run at the same time needs a second zone. The tasks of an array may run one half after the
   // other in a single zone.
-  const bool needs_second_zone = job.spread && job.task_count > 1 && runs_all_tasks_at_once(job);
-  if (needs_second_zone && (job.together || zones.size() < 2)) {
+  const bool needs_second_zone =
+      job.spread_zones && job.task_count > 1 && runs_all_tasks_at_once(job);
+  if (needs_second_zone && (job.single_zone || zones.size() < 2)) {
     return "tasks that must be spread can be in one zone only";
   }
   if (largest_record_bytes(job) > max_record_bytes) {
--- a/src/api/job_explanation.cpp
+++ b/src/api/job_explanation.cpp
@@ -52,8 +52,8 @@
     if (task.state == TaskState::done || task.progress > Duration{0}) {
       failures.any_task_progressed = true;
     }
-    if (task.faults == 0) return;
-    failures.count += task.faults;
+    if (task.failure_count == 0) return;
+    failures.count += task.failure_count;
     failures.machines.insert(task.failed_on);
   });
   if (failures.count > 0) failures.backoff = remaining_backoff(records, settings, job, now);
@@ -79,7 +79,7 @@
 }
 
 void write_guarantee(json::Writer& out, const Guarantee& guarantee, WallTime accepted) {
-  out.put("granted_start_s", to_seconds(guarantee.first - accepted))
+  out.put("granted_start_s", to_seconds(guarantee.initial_start - accepted))
       .put("planned_start_s", to_seconds(guarantee.start - accepted))
       .put("planned_end_s", to_seconds(guarantee.end - accepted));
 }
@@ -88,7 +88,7 @@
 void write_history(json::Writer& out, const std::vector<Note>& notes, WallTime accepted) {
   out.key("history").open_list();
   for (const Note& note : notes) {
-    out.open().put("after_s", to_seconds(note.at - accepted)).put("what", note.what).close();
+    out.open().put("after_s", to_seconds(note.at - accepted)).put("what", note.text).close();
   }
   out.close_list();
 }
--- a/src/autoscaler/cloud_client.cpp
+++ b/src/autoscaler/cloud_client.cpp
@@ -82,7 +82,7 @@
                             std::function<void(ProvisioningResult)> then) {
   enqueue({EVHTTP_REQ_POST, "/machines",
            write_provisioning_request(request.name, request.machine_type, request.zone,
-                                      request.spot, request.how_many),
+                                      request.spot, request.machine_count),
            kJson, kRequestDeadline},
           [then = std::move(then)](const HttpReply& reply) { then(provisioning_result(reply)); });
 }
--- a/src/autoscaler/failure_attribution.cpp
+++ b/src/autoscaler/failure_attribution.cpp
@@ -17,8 +17,9 @@
   for (auto it = records.slices.lower_bound({job_id, 0});
        it != records.slices.end() && it->first.job_id == job_id; ++it) {
     for (const TaskRecord& task : it->second.record.tasks) {
-      if (task.faults == 0) continue;
-      const bool ran_long = task.running > machine.since && now - task.running > kHealthyRunTime;
+      if (task.failure_count == 0) continue;
+      const bool ran_long =
+          task.running_since > machine.since && now - task.running_since > kHealthyRunTime;
       const bool runs_elsewhere = task.machine_id != machine.machine_id && ran_long;
       if (runs_elsewhere || task.state == TaskState::done) return FailureCause::machine;
       // A repeated failure on the suspect machine does not show that the job is the cause.
@@ -34,12 +35,12 @@
   std::map<MachineId, std::set<JobId>> failed_jobs;
   for (const auto& [machine_id, stored] : records.machines) {
     const MachineRecord& machine = stored.record;
-    if (machine.state == MachineState::suspect) failed_jobs[machine_id].insert(machine.blamed);
+    if (machine.state == MachineState::suspect) failed_jobs[machine_id].insert(machine.failed_job);
   }
   if (failed_jobs.empty()) return failed_jobs;
   for (const auto& [key, slice] : records.slices) {
     for (const TaskRecord& task : slice.record.tasks) {
-      if (task.faults == 0) continue;
+      if (task.failure_count == 0) continue;
       const auto suspect = failed_jobs.find(task.failed_on);
       if (suspect != failed_jobs.end()) suspect->second.insert(key.job_id);
     }
--- a/src/autoscaler/machine_health.cpp
+++ b/src/autoscaler/machine_health.cpp
@@ -100,7 +100,7 @@
   if (placed == records.placed.end()) return false;
   return std::any_of(placed->second.begin(), placed->second.end(), [&](const auto& entry) {
     const JobRecord* job = records.job(entry.first.job_id);
-    return job != nullptr && job->spec.endless() && !job->cancelled;
+    return job != nullptr && job->spec.is_service() && !job->cancelled;
   });
 }
 
@@ -135,7 +135,7 @@
                          }
                          current.state = state;
                          current.since = now;
-                         current.blamed = JobId{};
+                         current.failed_job = JobId{};
                          return MachineWriter::EditAction::put;
                        });
 }
--- a/src/autoscaler/provisioner.cpp
+++ b/src/autoscaler/provisioner.cpp
@@ -51,8 +51,8 @@
       if (records.machines.contains(machine_id)) continue;
       const Duration boot = catalog_.boot_time(request.machine_type);
       // A machine whose boot is late is still expected soon, until its boot times out.
-      const WallTime expected =
-          std::max(request.asked + scaled(boot, kExpectedBootFactor), now + kMinExpectedBoot);
+      const WallTime expected = std::max(request.requested_at + scaled(boot, kExpectedBootFactor),
+                                         now + kMinExpectedBoot);
       booting.push_back({machine_id, request.machine_type, request.zone, request.spot, expected});
     }
   }
@@ -65,7 +65,7 @@
   const WallTime now = clock_.wall();
   for (const auto& [name, stored] : records.provisioning_requests) {
     const ProvisioningRequest& request = stored.record;
-    if (now - request.asked <= catalog_.boot_timeout(request.machine_type)) continue;
+    if (now - request.requested_at <= catalog_.boot_timeout(request.machine_type)) continue;
     for (const MachineId& machine_id : request.machine_ids) {
       if (!records.machines.contains(machine_id)) overdue.push_back(machine_id);
     }
@@ -81,7 +81,7 @@
 bool Provisioner::any_unanswered() const {
   const auto& requests = cache_.records().provisioning_requests;
   return std::any_of(requests.begin(), requests.end(),
-                     [](const auto& entry) { return !entry.second.record.answered; });
+                     [](const auto& entry) { return !entry.second.record.has_answer; });
 }
 
 std::map<ZoneId, std::uint32_t> Provisioner::machines_by_zone() const {
@@ -94,7 +94,7 @@
 
 void Provisioner::retry_unanswered() {
   for (const auto& [name, stored] : cache_.records().provisioning_requests) {
-    if (!stored.record.answered && !in_flight_.contains(name)) {
+    if (!stored.record.has_answer && !in_flight_.contains(name)) {
       send(stored.record, stored.mod_revision);
     }
   }
@@ -128,9 +128,9 @@
       request.machine_type = offering.machine_type;
       request.zone = offering.zone;
       request.spot = offering.spot;
-      request.how_many = std::min(remaining, kMaxMachinesPerRequest);
-      request.asked = clock_.wall();
-      remaining -= request.how_many;
+      request.machine_count = std::min(remaining, kMaxMachinesPerRequest);
+      request.requested_at = clock_.wall();
+      remaining -= request.machine_count;
       requests.push_back(std::move(request));
     }
   }
@@ -170,7 +170,7 @@
   spdlog::info(
       "autoscaler: provisioning_answered request={} machine_type={} zone={} spot={} requested={} "
       "provisioned={}",
-      request.name, request.machine_type, request.zone.get(), request.spot, request.how_many,
+      request.name, request.machine_type, request.zone.get(), request.spot, request.machine_count,
       result.machine_ids.size());
   update_capacity_backoff(request, result.machine_ids.size());
   commit_answer(request, mod_revision, std::move(result.machine_ids));
@@ -179,7 +179,7 @@
 void Provisioner::update_capacity_backoff(const ProvisioningRequest& request,
                                           std::size_t provisioned) {
   const MachineOffering offering{request.machine_type, request.zone, request.spot};
-  if (provisioned >= request.how_many) {
+  if (provisioned >= request.machine_count) {
     capacity_backoffs_.erase(offering);
     return;
   }
@@ -201,7 +201,7 @@
     txn.remove(key);
   } else {
     ProvisioningRequest answered_request = request;
-    answered_request.answered = true;
+    answered_request.has_answer = true;
     answered_request.machine_ids = std::move(machine_ids);
     txn.put(key, encode(answered_request));
   }
@@ -217,13 +217,13 @@
   election_.guard(txn);
   for (const auto& [name, stored] : records.provisioning_requests) {
     const ProvisioningRequest& request = stored.record;
-    if (txn.deletes.size() >= max_operations || !request.answered) continue;
+    if (txn.deletes.size() >= max_operations || !request.has_answer) continue;
     // While a machine has no record of its own, the request is the only record of that machine and
     // is kept for longer.
     const bool needed = std::any_of(
         request.machine_ids.begin(), request.machine_ids.end(),
         [&](const MachineId& machine_id) { return !records.machines.contains(machine_id); });
-    const bool expired = now - request.asked >
+    const bool expired = now - request.requested_at >
                          catalog_.boot_timeout(request.machine_type) * kRequestRetentionTimeouts;
     if (needed && !expired) continue;
     const std::string key = keys::provisioning_request(name);
--- a/src/election/election.cpp
+++ b/src/election/election.cpp
@@ -138,7 +138,7 @@
   txn.guard(keys::node(settings_.node),
             own == nodes.end() ? ModRevision{} : own->second.mod_revision);
   txn.put(keys::node(settings_.node),
-          encode(NodeRecord{settings_.node, incarnation_, shard_lease_.id(), kReadsForms}),
+          encode(NodeRecord{settings_.node, incarnation_, shard_lease_.id(), kNewestReadableForm}),
           session_lease_.id());
   cache_.commit(RequestPriority::lease, std::move(txn), [this](const CommitResult& result) {
     registration_in_flight_ = false;
--- a/src/leader/guarantee_writer.cpp
+++ b/src/leader/guarantee_writer.cpp
@@ -20,7 +20,7 @@
 
 bool contains_text(const std::vector<Note>& notes, const std::string& text) {
   return std::any_of(notes.begin(), notes.end(),
-                     [&](const Note& note) { return note.what == text; });
+                     [&](const Note& note) { return note.text == text; });
 }
 }  // namespace
 
@@ -126,7 +126,7 @@
   std::vector<Note>& batch_notes = batch.notes[job_id];
   if (const auto queued_notes = notes_.find(job_id); queued_notes != notes_.end()) {
     batch_notes = std::move(queued_notes->second);
-    for (const Note& note : batch_notes) record.note(note.at, note.what);
+    for (const Note& note : batch_notes) record.note(note.at, note.text);
     notes_.erase(queued_notes);
   }
   // This guard keeps the guarantee record from being created again after the job has ended.
--- a/src/leader/job_cleanup.cpp
+++ b/src/leader/job_cleanup.cpp
@@ -78,7 +78,7 @@
   }
   const JobSpec& spec = job.record.spec;
   // A service job ends only when it is cancelled.
-  if (spec.endless()) return false;
+  if (spec.is_service()) return false;
   // The tasks of a gang complete together, but the ends of its slices are recorded one by one. A
   // task that is lost after the first task was done is never started again, so the gang has ended
   // once none of its tasks is placed.
--- a/src/leader/planning_state.cpp
+++ b/src/leader/planning_state.cpp
@@ -17,7 +17,7 @@
     if (stored.record.guarantees.empty()) continue;
     const Guarantee& guarantee = stored.record.guarantees.back();
     Reservation reservation;
-    reservation.granted_start = guarantee.first;
+    reservation.granted_start = guarantee.initial_start;
     reservation.start = guarantee.start;
     reservation.end = guarantee.end;
     reservation.changed = false;
--- a/src/leader/releaser.cpp
+++ b/src/leader/releaser.cpp
@@ -215,7 +215,7 @@
     task.zone = machine.zone;
     task.machine_id = machine.machine_id;
     task.since = now;
-    task.running = WallTime{};
+    task.running_since = WallTime{};
   }
   return slice;
 }
--- a/src/protocol/cloud.cpp
+++ b/src/protocol/cloud.cpp
@@ -109,14 +109,14 @@
 }
 
 std::string write_provisioning_request(const std::string& name, const std::string& machine_type,
-                                       const ZoneId& zone, bool spot, std::uint32_t how_many) {
+                                       const ZoneId& zone, bool spot, std::uint32_t machine_count) {
   json::Writer out;
   out.open()
       .put("hire", name)
       .put("build", machine_type)
       .put("district", zone.get())
       .put("loaners", spot)
-      .put("how_many", static_cast<std::uint64_t>(how_many))
+      .put("how_many", static_cast<std::uint64_t>(machine_count))
       .close();
   return out.str();
 }
--- a/src/protocol/cloud.hpp
+++ b/src/protocol/cloud.hpp
@@ -56,7 +56,7 @@
 std::optional<std::vector<MachineId>> parse_provisioned_machines(std::string_view body);
 
 std::string write_provisioning_request(const std::string& name, const std::string& machine_type,
-                                       const ZoneId& zone, bool spot, std::uint32_t how_many);
+                                       const ZoneId& zone, bool spot, std::uint32_t machine_count);
 std::string write_deletion_request(const std::vector<MachineId>& machine_ids);
 
 }  // namespace marblevale
--- a/src/protocol/job_spec.cpp
+++ b/src/protocol/job_spec.cpp
@@ -146,7 +146,8 @@
   if (fields.has("district") && !fields.read_id("district", job.required_zone.emplace())) {
     return false;
   }
-  return fields.read_flag("together", job.together) && fields.read_flag("spread", job.spread) &&
+  return fields.read_flag("together", job.single_zone) &&
+         fields.read_flag("spread", job.spread_zones) &&
          fields.read_flag("loaners", job.allows_spot);
 }
 
@@ -182,7 +183,7 @@
                      read_resources(fields, job) && read_image(fields, job) &&
                      read_placement_constraints(fields, job) && read_times(fields, job);
   if (!valid) return fields.error();
-  if (job.endless()) {
+  if (job.is_service()) {
     // It needs its resources without end and is never complete, so a deadline has no meaning.
     job.estimated_run = kServiceRunEstimate;
     job.deadline.reset();
@@ -209,8 +210,8 @@
     out.close_list();
   }
   if (job.required_zone) out.put("district", job.required_zone->get());
-  out.put("together", job.together)
-      .put("spread", job.spread)
+  out.put("together", job.single_zone)
+      .put("spread", job.spread_zones)
       .put("loaners", job.allows_spot)
       .put("expect_s", to_seconds(job.estimated_run))
       .put("snapshot_s", to_seconds(job.checkpoint_interval))
--- a/src/protocol/job_spec.hpp
+++ b/src/protocol/job_spec.hpp
@@ -37,8 +37,8 @@
   double image_gb = 0;
   std::vector<std::string> machine_types;  // empty: any
   std::optional<ZoneId> required_zone;
-  bool together = false;  // all tasks in one zone
-  bool spread = false;    // at most half of the tasks in one zone
+  bool single_zone = false;   // all tasks in one zone
+  bool spread_zones = false;  // at most half of the tasks in one zone
   bool allows_spot = false;
   Duration estimated_run{};
   Duration checkpoint_interval{};
@@ -46,12 +46,12 @@
   std::optional<Duration> deadline;
 
   [[nodiscard]] bool gang() const { return shape == JobShape::gang; }
-  [[nodiscard]] bool endless() const { return shape == JobShape::service; }
+  [[nodiscard]] bool is_service() const { return shape == JobShape::service; }
 };
 
 /// How many of the job's tasks may be in one zone at a time.
 inline std::uint32_t max_tasks_in_zone(const JobSpec& job) {
-  return job.spread ? (job.task_count + 1) / 2 : job.task_count;
+  return job.spread_zones ? (job.task_count + 1) / 2 : job.task_count;
 }
 
 /// True for an id in the form that the protocol gives ("req-" and 1 to 32 digits, letters or
--- a/src/records/keys.cpp
+++ b/src/records/keys.cpp
@@ -13,13 +13,14 @@
 }
 std::string machine_page(const ZoneId& zone, const MachineId& machine_id) {
   const std::string& name = machine_id.get();
-  std::size_t digits = name.size();
-  while (digits > 0 && name[digits - 1] >= '0' && name[digits - 1] <= '9') --digits;
+  std::size_t digits_begin = name.size();
+  while (digits_begin > 0 && name[digits_begin - 1] >= '0' && name[digits_begin - 1] <= '9')
+    --digits_begin;
   std::uint64_t number = 0;
-  const auto [end, fault] =
-      std::from_chars(name.data() + digits, name.data() + name.size(), number);
-  const bool numbered = fault == std::errc{} && end == name.data() + name.size();
-  return "mv/machines/" + zone.get() + "/" + name.substr(0, digits) +
+  const auto [end, error] =
+      std::from_chars(name.data() + digits_begin, name.data() + name.size(), number);
+  const bool numbered = error == std::errc{} && end == name.data() + name.size();
+  return "mv/machines/" + zone.get() + "/" + name.substr(0, digits_begin) +
          (numbered ? std::to_string(number / kPageMachines) : "");
 }
 std::string provisioning_request(const std::string& name) { return "mv/hires/" + name; }
--- a/src/records/machine_page_codec.cpp
+++ b/src/records/machine_page_codec.cpp
@@ -32,7 +32,7 @@
       .put("t", unix_milliseconds(r.since));
   if (r.spot) out.put("spot", true);
   if (r.reclaim_at) out.put("recall", unix_milliseconds(*r.reclaim_at));
-  if (r.blamed != JobId{}) out.put("blamed", r.blamed.get());
+  if (r.failed_job != JobId{}) out.put("blamed", r.failed_job.get());
   if (!r.images.empty() && images > 0) {
     out.key("i").open_list();
     for (std::size_t i = r.images.size() - std::min(images, r.images.size()); i < r.images.size();
@@ -56,7 +56,7 @@
   out.address = json::text(v, "a").value_or("");
   out.machine_type = json::text(v, "b").value_or("");
   out.spot = json::flag(v, "spot").value_or(false);
-  read(v, "blamed", out.blamed);
+  read(v, "blamed", out.failed_job);
   if (const json::Value* images = json::list(v, "i")) {
     for (rapidjson::SizeType i = 0; i + 1 < images->Size(); i += 2) {
       if (!(*images)[i].IsString() || !(*images)[i + 1].IsNumber()) return false;
@@ -80,12 +80,12 @@
 constexpr std::uint64_t kStateBits = 7;
 constexpr std::uint64_t kIsSpot = 8;
 constexpr std::uint64_t kHasReclaim = 16;
-constexpr std::uint64_t kHasBlamed = 32;
+constexpr std::uint64_t kHasFailedJob = 32;
 
 /// How much of a page the compact form keeps.
 struct CompactDetail {
   std::size_t images;  // of each machine
-  bool blamed;
+  bool failed_job;
 };
 
 /// A page in the compact form: texts once each, the machines as numbers.
@@ -99,18 +99,18 @@
   }
 
   void write(const MachineRecord& r, const CompactDetail& detail) {
-    const bool blamed = detail.blamed && r.blamed != JobId{};
+    const bool has_failed_job = detail.failed_job && r.failed_job != JobId{};
     auto head = static_cast<std::uint64_t>(r.state);
     if (r.spot) head |= kIsSpot;
     if (r.reclaim_at) head |= kHasReclaim;
-    if (blamed) head |= kHasBlamed;
+    if (has_failed_job) head |= kHasFailedJob;
     bytes_.put(head);
     bytes_.put(names_.number_of(r.machine_id.get()));
     bytes_.put(index_or_append(texts_, r.machine_type));
     bytes_.put(index_or_append(texts_, r.zone.get()));
     bytes_.put_signed(unix_milliseconds(r.since) - base_);
     if (r.reclaim_at) bytes_.put_signed(unix_milliseconds(*r.reclaim_at) - base_);
-    if (blamed) bytes_.put(index_or_append(texts_, r.blamed.get()));
+    if (has_failed_job) bytes_.put(index_or_append(texts_, r.failed_job.get()));
     write_images(r, detail.images);
     addresses_.push_back(r.address);
   }
@@ -128,8 +128,8 @@
   }
 
  private:
-  void write_images(const MachineRecord& r, std::size_t most) {
-    const std::size_t count = std::min(most, r.images.size());
+  void write_images(const MachineRecord& r, std::size_t max_images) {
+    const std::size_t count = std::min(max_images, r.images.size());
     bytes_.put(count);
     for (std::size_t i = r.images.size() - count; i < r.images.size(); ++i) {
       const double gb = std::round(r.images[i].gb / kImageGbStep) * kImageGbStep;
@@ -195,7 +195,7 @@
     out.since = from_unix_milliseconds(base_ + bytes_.signed_time());
     if ((head & kHasReclaim) != 0)
       out.reclaim_at = from_unix_milliseconds(base_ + bytes_.signed_time());
-    if ((head & kHasBlamed) != 0 && !read_text(out.blamed)) return false;
+    if ((head & kHasFailedJob) != 0 && !read_text(out.failed_job)) return false;
     return read_images(out) && bytes_.ok();
   }
   bool read_images(MachineRecord& out) {
--- a/src/records/record_set.cpp
+++ b/src/records/record_set.cpp
@@ -14,9 +14,9 @@
 
 const TaskRecord* Records::task(const TaskId& id) const {
   const auto* stored = slice(id.job_id, id.task_index / kSliceTasks);
-  const std::size_t at = id.task_index % kSliceTasks;
-  return stored == nullptr || at >= stored->record.tasks.size() ? nullptr
-                                                                : &stored->record.tasks[at];
+  const std::size_t index = id.task_index % kSliceTasks;
+  return stored == nullptr || index >= stored->record.tasks.size() ? nullptr
+                                                                   : &stored->record.tasks[index];
 }
 
 const MachineType* Records::type(const std::string& name) const {
--- a/src/records/records.cpp
+++ b/src/records/records.cpp
@@ -20,7 +20,7 @@
   for (const auto& item : notes->GetArray()) {
     Note note;
     if (!read(item, "at", note.at)) return false;
-    note.what = json::text(item, "what").value_or("");
+    note.text = json::text(item, "what").value_or("");
     out.push_back(std::move(note));
   }
   return true;
@@ -28,12 +28,12 @@
 
 }  // namespace
 
-void GuaranteeRecord::note(WallTime at, std::string what) {
+void GuaranteeRecord::note(WallTime at, std::string text) {
   if (notes.size() >= kMaxNotes) {
     // The first note tells what was granted at arrival; it stays.
     notes.erase(notes.begin() + 1);
   }
-  notes.push_back({at, std::move(what)});
+  notes.push_back({at, std::move(text)});
 }
 
 bool SliceRecord::all_done() const {
@@ -84,13 +84,13 @@
       .put("node", r.node.get())
       .put("nonce", r.incarnation.get())
       .put("permit", r.shard_lease_id.get())
-      .put("reads", r.reads_forms)
+      .put("reads", r.newest_readable_form)
       .close();
   return out.str();
 }
 
 bool decode(const json::Value& v, NodeRecord& out) {
-  out.reads_forms = json::count(v, "reads").value_or(1);
+  out.newest_readable_form = json::count(v, "reads").value_or(1);
   return known_format(v) && read(v, "node", out.node) && read(v, "nonce", out.incarnation) &&
          read(v, "permit", out.shard_lease_id);
 }
@@ -138,7 +138,7 @@
 void write_notes(json::Writer& out, const std::vector<Note>& notes) {
   out.key("notes").open_list();
   for (const Note& note : notes)
-    out.open().put("at", unix_milliseconds(note.at)).put("what", note.what).close();
+    out.open().put("at", unix_milliseconds(note.at)).put("what", note.text).close();
   out.close_list();
 }
 
@@ -162,7 +162,7 @@
   for (const Guarantee& g : r.guarantees) {
     out.open()
         .put("slice", static_cast<std::uint64_t>(g.slice))
-        .put("first", unix_milliseconds(g.first))
+        .put("first", unix_milliseconds(g.initial_start))
         .put("start", unix_milliseconds(g.start))
         .put("end", unix_milliseconds(g.end))
         .close();
@@ -185,7 +185,7 @@
   for (const auto& item : guarantee_records->GetArray()) {
     Guarantee g;
     const auto slice = json::count(item, "slice");
-    if (!slice || !read(item, "first", g.first) || !read(item, "start", g.start) ||
+    if (!slice || !read(item, "first", g.initial_start) || !read(item, "start", g.start) ||
         !read(item, "end", g.end)) {
       return false;
     }
@@ -203,9 +203,9 @@
       .put("build", r.machine_type)
       .put("zone", r.zone.get())
       .put("spot", r.spot)
-      .put("count", static_cast<std::uint64_t>(r.how_many))
-      .put("asked", unix_milliseconds(r.asked))
-      .put("answered", r.answered)
+      .put("count", static_cast<std::uint64_t>(r.machine_count))
+      .put("asked", unix_milliseconds(r.requested_at))
+      .put("answered", r.has_answer)
       .key("hosts")
       .open_list();
   for (const auto& machine_id : r.machine_ids) out.value(machine_id.get());
@@ -217,14 +217,14 @@
   const json::Value* machine_ids = json::list(v, "hosts");
   const auto name = json::text(v, "name");
   if (!known_format(v) || machine_ids == nullptr || !name || !read(v, "zone", out.zone) ||
-      !read(v, "asked", out.asked)) {
+      !read(v, "asked", out.requested_at)) {
     return false;
   }
   out.name = *name;
   out.machine_type = json::text(v, "build").value_or("");
   out.spot = json::flag(v, "spot").value_or(false);
-  out.how_many = static_cast<std::uint32_t>(json::count(v, "count").value_or(0));
-  out.answered = json::flag(v, "answered").value_or(false);
+  out.machine_count = static_cast<std::uint32_t>(json::count(v, "count").value_or(0));
+  out.has_answer = json::flag(v, "answered").value_or(false);
   for (const auto& machine_id : machine_ids->GetArray()) {
     if (machine_id.IsString()) out.machine_ids.emplace_back(machine_id.GetString());
   }
--- a/src/records/records.hpp
+++ b/src/records/records.hpp
@@ -26,7 +26,7 @@
 };
 
 /// The newest form of records that this version reads: 1 plain, 2 compact as well.
-inline constexpr std::uint64_t kReadsForms = 2;
+inline constexpr std::uint64_t kNewestReadableForm = 2;
 
 /// Who leads. The revision of this record is the leader's term.
 struct LeaderRecord {
@@ -39,7 +39,8 @@
   NodeId node;
   ProcessIncarnation incarnation;
   LeaseId shard_lease_id;
-  std::uint64_t reads_forms = 1;  // absent in the records of versions that read only plain ones
+  std::uint64_t newest_readable_form =
+      1;  // absent in the records of versions that read only plain ones
 };
 
 /// The holder of a shard. The revision of this record is the shard's fencing token.
@@ -60,13 +61,13 @@
 /// An event in the planning of a job, for the answer to why it waits.
 struct Note {
   WallTime at;
-  std::string what;
+  std::string text;
 };
 
 /// The reservation of a slice: its guaranteed start and end.
 struct Guarantee {
   std::uint32_t slice = 0;
-  WallTime first;  // the start guaranteed at arrival
+  WallTime initial_start;  // the start guaranteed at arrival
   WallTime start;
   WallTime end;
 };
@@ -78,7 +79,7 @@
   std::vector<Note> notes;            // the latest, bounded
 
   /// Adds a note; beyond the bound the oldest but the first is dropped.
-  void note(WallTime at, std::string what);
+  void note(WallTime at, std::string text);
 };
 
 /// `released`: the leader has placed the task; `bound`: the shard's holder has committed that it
@@ -97,12 +98,12 @@
   Attempt attempt;
   ZoneId zone;
   MachineId machine_id;
-  WorkerEpoch epoch;         // of the worker when the task was bound
-  WallTime since;            // of the release, the binding, or the last end
-  WallTime running;          // when it was first seen running; 0: not yet
-  Duration progress{};       // of the last checkpoint
-  std::uint32_t faults = 0;  // ends by error
-  MachineId failed_on;       // the machine of the last of them
+  WorkerEpoch epoch;                // of the worker when the task was bound
+  WallTime since;                   // of the release, the binding, or the last end
+  WallTime running_since;           // when it was first seen running; 0: not yet
+  Duration progress{};              // of the last checkpoint
+  std::uint32_t failure_count = 0;  // ends by error
+  MachineId failed_on;              // the machine of the last of them
   std::optional<StopOrder> stop;
 
   [[nodiscard]] bool placed() const {
@@ -161,7 +162,7 @@
   /// Images that tasks have run with there, the latest last, as far as its cache holds them. Kept
   /// here because an estimate in memory is lost when all controllers end at once.
   std::vector<CachedImage> images;
-  JobId blamed;  // of a suspect: the job whose task failed there
+  JobId failed_job;  // of a suspect: the job whose task failed there
 
   bool operator==(const MachineRecord&) const = default;
 };
@@ -186,9 +187,9 @@
   std::string machine_type;
   ZoneId zone;
   bool spot = false;
-  std::uint32_t how_many = 0;
-  WallTime asked;
-  bool answered = false;
+  std::uint32_t machine_count = 0;
+  WallTime requested_at;
+  bool has_answer = false;
   std::vector<MachineId> machine_ids;
 };
 
--- a/src/records/slice_codec.cpp
+++ b/src/records/slice_codec.cpp
@@ -18,7 +18,7 @@
 constexpr std::uint64_t kCompactSliceFormat = 3;
 /// Replaces the reasons of stops where these alone would make a slice too large; the job's notes
 /// have each of them.
-constexpr const char* kAnyReason = "stopped; the job's notes tell why";
+constexpr const char* kReasonPlaceholder = "stopped; the job's notes tell why";
 
 /// What the tasks of a slice share, so that 64 of them fit one value: the first of their times, and
 /// each zone and reason once.
@@ -37,10 +37,10 @@
   };
   out.open_list().value(static_cast<int>(task.state)).value(task.attempt.get());
   out.value(time(task.since)).value(task.progress.count());
-  out.value(static_cast<std::uint64_t>(task.faults)).value(task.failed_on.get());
+  out.value(static_cast<std::uint64_t>(task.failure_count)).value(task.failed_on.get());
   if (task.placed()) {
     out.value(index_or_append(common.zones, task.zone.get())).value(task.machine_id.get());
-    out.value(task.epoch.get()).value(time(task.running));
+    out.value(task.epoch.get()).value(time(task.running_since));
     if (task.stop) {
       out.value(task.stop->grace_period.count());
       out.value(index_or_append(common.reasons, task.stop->reason));
@@ -53,29 +53,29 @@
 class ListReader {
  public:
   explicit ListReader(const json::Value& list) : list_(list) {}
-  [[nodiscard]] bool more() const { return list_.IsArray() && at_ < list_.Size(); }
+  [[nodiscard]] bool has_more() const { return list_.IsArray() && position_ < list_.Size(); }
   [[nodiscard]] bool ok() const { return ok_; }
   std::int64_t integer() {
-    if (!more() || !list_[at_].IsInt64()) return fault<std::int64_t>();
-    return list_[at_++].GetInt64();
+    if (!has_more() || !list_[position_].IsInt64()) return fail<std::int64_t>();
+    return list_[position_++].GetInt64();
   }
   std::uint64_t count() {
-    if (!more() || !list_[at_].IsUint64()) return fault<std::uint64_t>();
-    return list_[at_++].GetUint64();
+    if (!has_more() || !list_[position_].IsUint64()) return fail<std::uint64_t>();
+    return list_[position_++].GetUint64();
   }
   std::string text() {
-    if (!more() || !list_[at_].IsString()) return fault<std::string>();
-    return list_[at_++].GetString();
+    if (!has_more() || !list_[position_].IsString()) return fail<std::string>();
+    return list_[position_++].GetString();
   }
 
  private:
   template <typename T>
-  T fault() {
+  T fail() {
     ok_ = false;
     return T{};
   }
   const json::Value& list_;
-  rapidjson::SizeType at_ = 0;
+  rapidjson::SizeType position_ = 0;
   bool ok_ = true;
 };
 
@@ -90,16 +90,16 @@
   task.attempt = Attempt(in.count());
   task.since = time(in.integer());
   task.progress = Duration{in.integer()};
-  task.faults = static_cast<std::uint32_t>(in.count());
+  task.failure_count = static_cast<std::uint32_t>(in.count());
   task.failed_on = MachineId(in.text());
   if (!task.placed()) return in.ok();
   const std::uint64_t zone = in.count();
   task.machine_id = MachineId(in.text());
   task.epoch = WorkerEpoch(in.count());
-  task.running = time(in.integer());
+  task.running_since = time(in.integer());
   if (!in.ok() || zone >= common.zones.size()) return false;
   task.zone = ZoneId(common.zones[zone]);
-  if (!in.more()) return true;
+  if (!in.has_more()) return true;
   const Duration grace_period{in.integer()};
   const std::uint64_t reason = in.count();
   if (!in.ok() || reason >= common.reasons.size()) return false;
@@ -110,7 +110,7 @@
 /// How much of a slice the compact form keeps; the first that fits is taken.
 struct CompactDetail {
   std::int64_t time_unit_ms;
-  bool every_reason;
+  bool keeps_reasons;
 };
 constexpr std::int64_t kMaxUnitMs = 1000;
 constexpr std::array<CompactDetail, 3> kCompactDetails{{{1, true}, {1000, true}, {1000, false}}};
@@ -118,7 +118,7 @@
 /// The head of a task in the compact form: its state, and which other fields follow.
 constexpr std::uint64_t kStateBits = 3;
 constexpr std::uint64_t kHasProgress = 4;
-constexpr std::uint64_t kHasFaults = 8;
+constexpr std::uint64_t kHasFailures = 8;
 constexpr std::uint64_t kHasRunning = 16;
 constexpr std::uint64_t kHasStop = 32;
 
@@ -132,15 +132,15 @@
     const bool placed = task.placed();
     auto head = static_cast<std::uint64_t>(task.state);
     if (task.progress > Duration{0}) head |= kHasProgress;
-    if (task.faults > 0) head |= kHasFaults;
-    if (placed && task.running != WallTime{}) head |= kHasRunning;
+    if (task.failure_count > 0) head |= kHasFailures;
+    if (placed && task.running_since != WallTime{}) head |= kHasRunning;
     if (placed && task.stop) head |= kHasStop;
     bytes_.put(head);
     bytes_.put(task.attempt.get());
     bytes_.put(time(task.since));
     if ((head & kHasProgress) != 0) put_duration(task.progress);
-    if ((head & kHasFaults) != 0) {
-      bytes_.put(task.faults);
+    if ((head & kHasFailures) != 0) {
+      bytes_.put(task.failure_count);
       bytes_.put(names_.number_of(task.failed_on.get()));
     }
     if (placed) write_place(task, head);
@@ -158,11 +158,11 @@
     bytes_.put(index_or_append(zones_, task.zone.get()));
     bytes_.put(names_.number_of(task.machine_id.get()));
     bytes_.put(task.epoch.get());
-    if ((head & kHasRunning) != 0) bytes_.put(time(task.running));
+    if ((head & kHasRunning) != 0) bytes_.put(time(task.running_since));
     if ((head & kHasStop) == 0) return;
     put_duration(task.stop->grace_period);
-    bytes_.put(index_or_append(reasons_,
-                               detail_.every_reason ? task.stop->reason : std::string(kAnyReason)));
+    bytes_.put(index_or_append(
+        reasons_, detail_.keeps_reasons ? task.stop->reason : std::string(kReasonPlaceholder)));
   }
   [[nodiscard]] std::uint64_t time(WallTime at) const {
     if (unix_milliseconds(at) == 0) return 0;
@@ -205,8 +205,8 @@
     task.attempt = Attempt(bytes_.number());
     task.since = time();
     if ((head & kHasProgress) != 0) task.progress = duration();
-    if ((head & kHasFaults) != 0) {
-      task.faults = static_cast<std::uint32_t>(bytes_.number());
+    if ((head & kHasFailures) != 0) {
+      task.failure_count = static_cast<std::uint32_t>(bytes_.number());
       if (!read_machine(task.failed_on)) return false;
     }
     if (!task.placed()) return bytes_.ok();
@@ -219,7 +219,7 @@
     if (zone >= zones_.size() || !read_machine(task.machine_id)) return false;
     task.zone = ZoneId(zones_[zone]);
     task.epoch = WorkerEpoch(bytes_.number());
-    if ((head & kHasRunning) != 0) task.running = time();
+    if ((head & kHasRunning) != 0) task.running_since = time();
     if ((head & kHasStop) == 0) return true;
     const Duration grace_period = duration();
     const std::uint64_t reason = bytes_.number();
@@ -251,7 +251,7 @@
 std::int64_t earliest_time(const SliceRecord& r) {
   std::int64_t base = 0;
   for (const TaskRecord& task : r.tasks) {
-    for (const WallTime at : {task.since, task.running}) {
+    for (const WallTime at : {task.since, task.running_since}) {
       if (unix_milliseconds(at) != 0 && (base == 0 || unix_milliseconds(at) < base))
         base = unix_milliseconds(at);
     }
--- a/src/scheduling/array_search.cpp
+++ b/src/scheduling/array_search.cpp
@@ -62,7 +62,7 @@
 
 bool ArraySearch::zone_is_full(const Slot& slot) {
   const JobSpec& job = *demand_.job;
-  return job.spread &&
+  return job.spread_zones &&
          tasks_in_zone_[profile_.machines()[slot.machine].zone] >= max_tasks_in_zone(job);
 }
 
--- a/src/scheduling/compression.cpp
+++ b/src/scheduling/compression.cpp
@@ -98,7 +98,7 @@
 
 std::optional<Plan> Compression::displace_reservations(const QueueItem& item) {
   const JobSpec& job = *item.demand.job;
-  if (!job.endless()) return std::nullopt;
+  if (!job.is_service()) return std::nullopt;
   Plan plan = round_.profile.fit_beside_running(item.demand, round_.now);
   if (plan.placements.empty()) return std::nullopt;
   const ResourceTimeline* team = round_.profile.team_timeline(job.team);
@@ -189,7 +189,7 @@
   item.task_indices.erase(item.task_indices.begin(), item.task_indices.begin() + count);
   item.demand.tasks -= static_cast<std::uint32_t>(count);
   const std::vector<PlanMachine>& machines = round_.profile.machines();
-  if (item.demand.job->together) item.demand.zone = machines[plan.placements[0].machine].zone;
+  if (item.demand.job->single_zone) item.demand.zone = machines[plan.placements[0].machine].zone;
   for (const Placement& placement : plan.placements) {
     count_placed_task(item.demand.placed_tasks, machines[placement.machine].zone);
   }
--- a/src/scheduling/failed_starts.cpp
+++ b/src/scheduling/failed_starts.cpp
@@ -13,7 +13,8 @@
 
 bool has_same_demand(const FailedStart& failure, const Demand& demand) {
   return failure.tasks == demand.tasks && failure.run == demand.run &&
-         failure.zone == demand.zone && demand.allowed_machines.empty() && !demand.job->spread;
+         failure.zone == demand.zone && demand.allowed_machines.empty() &&
+         !demand.job->spread_zones;
 }
 }  // namespace
 
--- a/src/scheduling/job_queue.cpp
+++ b/src/scheduling/job_queue.cpp
@@ -29,8 +29,8 @@
 /// A task that has run for this long counts as working.
 constexpr Duration kProvenRun{4'000};
 
-/// Backoff after a task's `faults`-th error. The first retry is immediate, on another machine. The
-/// backoff grows so that a job that keeps failing leaves capacity to other jobs.
+/// Backoff after a task's `failure_count`-th error. The first retry is immediate, on another
+/// machine. The backoff grows so that a job that keeps failing leaves capacity to other jobs.
 Duration retry_backoff(std::uint32_t faults) {
   switch (faults) {
     case 0:
@@ -104,16 +104,16 @@
 bool TaskScan::is_waiting(const TaskRecord* task) const {
   if (task == nullptr || task->state == TaskState::idle) return true;
   // Replicas of a service job never complete, so a record that says `done` is treated as waiting.
-  return job_.endless() && task->state == TaskState::done;
+  return job_.is_service() && task->state == TaskState::done;
 }
 
 void TaskScan::add_history(const TaskRecord& task) {
   has_begun_ = has_begun_ || task.attempt != Attempt{};
   if (task.placed()) ++placed_tasks_[task.zone];
-  const bool lasted = task.running != WallTime{} && now_ - task.running > kProvenRun;
+  const bool lasted = task.running_since != WallTime{} && now_ - task.running_since > kProvenRun;
   has_worked_ = has_worked_ || task.state == TaskState::done || task.progress > Duration{0} ||
                 (task.placed() && lasted);
-  if (task.faults > 0) failed_on_.insert(task.failed_on);
+  if (task.failure_count > 0) failed_on_.insert(task.failed_on);
 }
 
 void TaskScan::add_waiting(std::uint32_t task_index, const TaskRecord* task) {
@@ -124,14 +124,14 @@
     return;
   }
   progress_ = std::min(progress_, task->progress);
-  const WallTime retry_at = task->since + retry_backoff(task->faults);
+  const WallTime retry_at = task->since + retry_backoff(task->failure_count);
   first_retry_ = std::min(first_retry_, retry_at);
-  if (task->faults > 0) {
+  if (task->failure_count > 0) {
     last_fault_ = std::max(last_fault_, task->since);
-    if (task->faults > max_faults_) worst_task_ = task_index;
-    max_faults_ = std::max(max_faults_, task->faults);
+    if (task->failure_count > max_faults_) worst_task_ = task_index;
+    max_faults_ = std::max(max_faults_, task->failure_count);
   }
-  const bool backs_off = task->faults > 0 && retry_at > now_;
+  const bool backs_off = task->failure_count > 0 && retry_at > now_;
   (backs_off ? backing_off_ : ready_).push_back(task_index);
 }
 
@@ -224,7 +224,7 @@
   item.demand.job = &spec;
   item.demand.tasks = static_cast<std::uint32_t>(item.task_indices.size());
   item.demand.run = std::max(kMinRun, spec.estimated_run - scan.progress());
-  if (spec.together && scan.has_placed()) item.demand.zone = scan.placed_tasks().begin()->first;
+  if (spec.single_zone && scan.has_placed()) item.demand.zone = scan.placed_tasks().begin()->first;
   for (const auto& [zone, tasks] : scan.placed_tasks()) {
     item.demand.placed_tasks.push_back({zone, tasks});
   }
--- a/src/scheduling/machine_evacuation.cpp
+++ b/src/scheduling/machine_evacuation.cpp
@@ -34,7 +34,7 @@
   for (auto it = records.slices.lower_bound({job.job_id, 0});
        it != records.slices.end() && it->first.job_id == job.job_id; ++it) {
     for (const TaskRecord& task : it->second.record.tasks) {
-      if (task.placed() && !task.stop && task.running != WallTime{}) ++placed;
+      if (task.placed() && !task.stop && task.running_since != WallTime{}) ++placed;
     }
   }
   return placed == job.task_count;
@@ -53,7 +53,7 @@
       if (job == nullptr || job->cancelled) continue;
       const bool due = is_reclaimed && job->spec.checkpoint_interval > Duration{0} &&
                        *machine.record.reclaim_at - now <= job->spec.save_time + kCheckpointMargin;
-      if (due || job->spec.endless()) out.insert(id.job_id);
+      if (due || job->spec.is_service()) out.insert(id.job_id);
     }
   }
   return out;
@@ -80,7 +80,7 @@
     Evacuation evacuation{{}, spec.save_time + kGraceMargin, kReclaimedReason};
     add_tasks(evacuation, job_id, records,
               [&](const TaskRecord& task) { return spec.gang() || on_reclaimed_machine(task); });
-    if (evacuation.tasks.empty() && spec.endless() && all_replicas_running(spec, records)) {
+    if (evacuation.tasks.empty() && spec.is_service() && all_replicas_running(spec, records)) {
       evacuation.reason = kGivenUpReason;
       bool chosen = false;
       add_tasks(evacuation, job_id, records, [&](const TaskRecord& task) {
--- a/src/scheduling/occupancy.cpp
+++ b/src/scheduling/occupancy.cpp
@@ -33,7 +33,7 @@
 WallTime estimated_end(const TaskRecord& task, const JobSpec& job, const Records& records,
                        WallTime now) {
   if (task.stop) return now + std::min(task.stop->grace_period, job.save_time) + kEndTolerance;
-  WallTime begin = task.running;
+  WallTime begin = task.running_since;
   if (begin == WallTime{}) {
     const auto machine = records.machines.find(task.machine_id);
     const MachineType* type = machine == records.machines.end()
@@ -80,7 +80,7 @@
     }
     if (slice == nullptr || job == nullptr) continue;
     const TaskRecord& task = slice->record.tasks.at(id.task_index % kSliceTasks);
-    if (task.running == WallTime{}) fetching_images.insert(job->spec.image);
+    if (task.running_since == WallTime{}) fetching_images.insert(job->spec.image);
   }
   for (const auto& [image, gb] : machine->second.record.images) fetching_images.erase(image);
   return fetching_images.size();
--- a/src/scheduling/placement_search.cpp
+++ b/src/scheduling/placement_search.cpp
@@ -31,7 +31,7 @@
     const PlanMachine& properties = profile_.machines()[machine];
     const ResourceTimeline& timeline = profile_.timeline(machine);
     if (enough || properties.ready > at || timeline.no_room_beside_running(job.need, at)) return;
-    const ZoneId zone = job.together ? properties.zone : ZoneId{};
+    const ZoneId zone = job.single_zone ? properties.zone : ZoneId{};
     auto count = std::find_if(zone_counts.begin(), zone_counts.end(),
                               [&](const ZoneTaskCount& entry) { return entry.zone == zone; });
     if (count == zone_counts.end()) count = zone_counts.insert(zone_counts.end(), {zone, 0});
@@ -76,9 +76,9 @@
                              const Resources& team_free) const {
   const JobSpec& job = *demand.job;
   // Each candidate takes at least one task, so more candidates than tasks are needed only when
-  // `spread` excludes some.
+  // `spread_zones` excludes some.
   const std::size_t needed =
-      job.spread ? candidates.size() : std::min<std::size_t>(candidates.size(), demand.tasks);
+      job.spread_zones ? candidates.size() : std::min<std::size_t>(candidates.size(), demand.tasks);
   std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(needed),
                     candidates.end(),
                     [](const Candidate& a, const Candidate& b) { return a.score < b.score; });
@@ -157,7 +157,7 @@
 }
 
 std::optional<Plan> PlacementSearch::fit_at(const Demand& demand, WallTime at) const {
-  if (!demand.job->together || demand.zone) {
+  if (!demand.job->single_zone || demand.zone) {
     return fit_in_zone(demand, at, demand.zone, Completeness::all_tasks);
   }
   // All tasks need one zone. The zone with the lowest sum of run time and plan cost is chosen.
@@ -176,7 +176,7 @@
 }
 
 Plan PlacementSearch::fit_partially(const Demand& demand, WallTime at) const {
-  if (!demand.job->together || demand.zone) {
+  if (!demand.job->single_zone || demand.zone) {
     return fit_in_zone(demand, at, demand.zone, Completeness::as_many_as_fit).value_or(Plan{});
   }
   // The zone of the first tasks binds the later tasks of an array that must stay together. The zone
@@ -196,7 +196,7 @@
 }
 
 std::optional<Plan> PlacementSearch::earliest(const Demand& demand, WallTime from) const {
-  if (!demand.job->together || demand.zone) return earliest_in_zone(demand, from, demand.zone);
+  if (!demand.job->single_zone || demand.zone) return earliest_in_zone(demand, from, demand.zone);
   std::optional<Plan> best;
   double best_cost = 0;
   for (const ZoneId& zone : zones()) {
--- a/src/scheduling/placement_search.hpp
+++ b/src/scheduling/placement_search.hpp
@@ -52,7 +52,7 @@
                                                        const std::optional<ZoneId>& zone, Room room,
                                                        Duration min_run) const;
   /// Places tasks on the best candidates, until all tasks are placed or the candidates, the zone
-  /// limit of `spread` or the team's limit are used up.
+  /// limit of `spread_zones` or the team's limit are used up.
   [[nodiscard]] Plan assign(const Demand& demand, WallTime at, std::vector<Candidate> candidates,
                             const Resources& team_free) const;
   /// Plans as many tasks as fit. Each needs room for at least `min_run`.
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -50,7 +50,7 @@
   double cost = 0;
 };
 
-/// True when the zone already has as many of the job's tasks as `spread` allows.
+/// True when the zone already has as many of the job's tasks as `spread_zones` allows.
 bool zone_is_full(const Demand& demand, const ZoneId& zone) {
   return std::any_of(demand.placed_tasks.begin(), demand.placed_tasks.end(),
                      [&](const ZoneTaskCount& placed) {
@@ -155,7 +155,8 @@
                                 const MachineType& type) const {
   // The cost of a restart: the unsaved work or the time to save it, possibly another image fetch,
   // and the wait of the victim.
-  const Duration run_time = task.running == WallTime{} ? Duration{0} : now_ - task.running;
+  const Duration run_time =
+      task.running_since == WallTime{} ? Duration{0} : now_ - task.running_since;
   double loss =
       other.checkpoint_interval > Duration{0} ? to_seconds(other.save_time) : to_seconds(run_time);
   loss += (type.pull_gb_per_s > 0 ? other.image_gb / type.pull_gb_per_s : 0) * kRefetchChance;
@@ -258,7 +259,7 @@
   const Team* team = settings.team(spec.team);
   const Resources all = spec.need * static_cast<double>(tasks);
   if (team != nullptr && !fits(search.team_used() + all, team->limit())) return std::nullopt;
-  if (spec.together) return make_room_in_one_zone(candidates, settings.zones, spec.need, tasks);
+  if (spec.single_zone) return make_room_in_one_zone(candidates, settings.zones, spec.need, tasks);
   auto room = make_room(std::move(candidates), spec.need, tasks);
   if (!room || room->preemption.victims.empty()) return std::nullopt;
   return std::move(room->preemption);
--- a/src/scheduling/profile.cpp
+++ b/src/scheduling/profile.cpp
@@ -263,21 +263,21 @@
 
 bool Profile::needs_zone_check(const Demand& demand) {
   const JobSpec& job = *demand.job;
-  return !job.gang() && (job.spread || job.together);
+  return !job.gang() && (job.spread_zones || job.single_zone);
 }
 
 bool Profile::satisfies_zone_constraints(const Plan& plan, const Demand& demand) const {
   const JobSpec& job = *demand.job;
   if (!needs_zone_check(demand)) return true;
   std::map<ZoneId, std::uint32_t> counts;
-  if (job.spread) {
+  if (job.spread_zones) {
     for (const ZoneTaskCount& placed : demand.placed_tasks)
       counts.emplace(placed.zone, placed.tasks);
   }
   std::optional<ZoneId> only = demand.zone;
   for (const Placement& placement : plan.placements) {
     const ZoneId& zone = machines_[placement.machine].zone;
-    if (job.together && only && zone != *only) return false;
+    if (job.single_zone && only && zone != *only) return false;
     only = zone;
     if (++counts[zone] > max_tasks_in_zone(job)) return false;
   }
--- a/src/scheduling/profile.hpp
+++ b/src/scheduling/profile.hpp
@@ -45,9 +45,9 @@
   std::uint32_t tasks = 1;
   Duration run{};                           // estimated run time of each task
   std::vector<MachineId> allowed_machines;  // if not empty, no other machine may be used
-  std::optional<ZoneId> zone;               // the zone of the job's placed tasks, if `together`
+  std::optional<ZoneId> zone;               // the zone of the job's placed tasks, if `single_zone`
   std::optional<ZoneId> preferred_zone;     // preferred because one zone costs fewer writes
-  std::vector<ZoneTaskCount> placed_tasks;  // the job's placed tasks per zone, for `spread`
+  std::vector<ZoneTaskCount> placed_tasks;  // the job's placed tasks per zone, for `spread_zones`
 };
 
 /// The machine (by index in the profile) and the time span of one task.
@@ -119,8 +119,8 @@
   /// Plans as many tasks as have room beside the running tasks at `at`, ignoring reservations.
   [[nodiscard]] Plan fit_beside_running(const Demand& demand, WallTime at) const;
   /// True when the zones of the job's placed tasks limit the zones of its other tasks: a job with
-  /// `spread` or `together` whose tasks start one by one. False for a gang, which is placed as a
-  /// whole.
+  /// `spread_zones` or `single_zone` whose tasks start one by one. False for a gang, which is
+  /// placed as a whole.
   [[nodiscard]] static bool needs_zone_check(const Demand& demand);
   /// True when the plan's zones are allowed beside the zones of the job's placed tasks.
   [[nodiscard]] bool satisfies_zone_constraints(const Plan& plan, const Demand& demand) const;
--- a/src/scheduling/scale_out.cpp
+++ b/src/scheduling/scale_out.cpp
@@ -146,7 +146,7 @@
     if (machine == nullptr) break;
     machine->free -= job.need;
     if (team != team_resources_.end()) team->second -= job.need;
-    if (job.together) zone = machine->offering.zone;
+    if (job.single_zone) zone = machine->offering.zone;
   }
 }
 
--- a/src/scheduling/starvation.cpp
+++ b/src/scheduling/starvation.cpp
@@ -158,14 +158,14 @@
     if (!Profile::allowed(job, candidate.properties) || !fits(job.need, candidate.free)) continue;
     const ZoneId& zone = candidate.properties.zone;
     const auto& placed_tasks = waiting.placed_tasks;
-    if (job.together && !placed_tasks.empty() && !placed_tasks.contains(zone)) continue;
+    if (job.single_zone && !placed_tasks.empty() && !placed_tasks.contains(zone)) continue;
     std::uint32_t& zone_count = in_zone[zone];
     const std::uint32_t remaining_in_zone = max_in_zone - std::min(zone_count, max_in_zone);
     const std::uint32_t fitting =
         count_fitting(job.need, candidate.free, std::min(wanted, remaining_in_zone));
     zone_count += fitting;
     found += fitting;
-    if ((job.gang() && job.together ? zone_count : found) >= wanted) return &candidate;
+    if ((job.gang() && job.single_zone ? zone_count : found) >= wanted) return &candidate;
   }
   return nullptr;
 }
--- a/src/shards/heartbeat_handler.cpp
+++ b/src/shards/heartbeat_handler.cpp
@@ -129,7 +129,7 @@
         record->attempt != attempt.attempt || record->machine_id != machine_id) {
       continue;
     }
-    const bool started = task.status == TaskStatus::running && record->running == WallTime{};
+    const bool started = task.status == TaskStatus::running && record->running_since == WallTime{};
     if (task.status != TaskStatus::ended && !started) continue;
     work_.mark_dirty(slice_of(attempt.id));
     marked = true;
--- a/src/shards/machine_recorder.cpp
+++ b/src/shards/machine_recorder.cpp
@@ -97,7 +97,7 @@
     if (state == MachineState::silent && !workers_.is_silent(machine_id)) return EditAction::none;
     record.state = state;
     record.since = now;
-    record.blamed = failed_job;
+    record.failed_job = failed_job;
     if (reclaim_at) record.reclaim_at = reclaim_at;
     return EditAction::put;
   };
--- a/src/shards/release_offer_handler.cpp
+++ b/src/shards/release_offer_handler.cpp
@@ -90,7 +90,7 @@
     task.zone = zone;
     task.machine_id = MachineId(offered.machine_id);
     task.since = context_.clock.wall();
-    task.running = WallTime{};
+    task.running_since = WallTime{};
     binder_.bind(slice, offered.index, job, uncommitted);
     if (task.state != TaskState::bound) return std::nullopt;
   }
--- a/src/shards/slice_reconciler.cpp
+++ b/src/shards/slice_reconciler.cpp
@@ -74,7 +74,7 @@
 
 void SliceReconciler::record_task_change(SliceChange& change, const TaskRecord& before,
                                          const TaskRecord& after, const JobSpec& job) {
-  if (after.state == before.state && after.running == before.running &&
+  if (after.state == before.state && after.running_since == before.running_since &&
       after.machine_id == before.machine_id) {
     return;
   }
@@ -113,7 +113,7 @@
   // evidence of termination.
   const bool attempt_has_run =
       std::any_of(before.tasks.begin(), before.tasks.end(),
-                  [](const TaskRecord& task) { return task.running != WallTime{}; });
+                  [](const TaskRecord& task) { return task.running_since != WallTime{}; });
   change.max_delay = Duration{0};
   for (TaskRecord& task : tasks) {
     if (is_done(task)) continue;
@@ -150,7 +150,7 @@
       if (must_not_run) end_task(id, task, job, TaskEndCause::never_started, false);
       break;
     case TaskPresence::present:
-      if (task.running == WallTime{} && reported->status == TaskStatus::running) {
+      if (task.running_since == WallTime{} && reported->status == TaskStatus::running) {
         record_running(id, task, job, *worker);
       }
       break;
@@ -165,7 +165,7 @@
 
 void SliceReconciler::record_running(const TaskId& id, TaskRecord& task, const JobSpec& job,
                                      KnownWorker& worker) {
-  task.running = context_.clock.wall();
+  task.running_since = context_.clock.wall();
   record_image_use(task.machine_id, job, worker);
   spdlog::debug("shard_holder: task_running task={} attempt={} machine={}", id.str(),
                 task.attempt.get(), task.machine_id.get());
@@ -185,7 +185,8 @@
 
 void SliceReconciler::end_task(const TaskId& id, TaskRecord& task, const JobSpec& job,
                                TaskEndCause cause, bool checkpointed) {
-  if (cause == TaskEndCause::failed && task.faults == 0) mark_machine_suspect(id, task.machine_id);
+  if (cause == TaskEndCause::failed && task.failure_count == 0)
+    mark_machine_suspect(id, task.machine_id);
   spdlog::debug("shard_holder: task_ended task={} attempt={} machine={} cause={} checkpointed={}",
                 id.str(), task.attempt.get(), task.machine_id.get(), name_of(cause), checkpointed);
   apply_task_end(task, job, cause, checkpointed, context_.clock.wall());
@@ -231,7 +232,7 @@
   txn.guard(keys::slice(key.job_id, key.number),
             records.slice(key.job_id, key.number)->mod_revision);
   const JobSpec& spec = job.record.spec;
-  const bool job_is_done = !spec.endless() && slice_count(spec) == 1 && change.slice.all_done();
+  const bool job_is_done = !spec.is_service() && slice_count(spec) == 1 && change.slice.all_done();
   if (job_is_done) {
     // The leader removes the slice and the guarantee when it has write budget to spare.
     txn.put(keys::final_job(key.job_id),
--- a/src/shards/task_presence.cpp
+++ b/src/shards/task_presence.cpp
@@ -59,7 +59,7 @@
 }
 
 void count_fault(TaskRecord& task) {
-  ++task.faults;
+  ++task.failure_count;
   task.failed_on = task.machine_id;
 }
 
@@ -77,7 +77,7 @@
 /// regular one, counts as a fault and is retried with backoff.
 void end_replica(TaskRecord& task, TaskEndCause cause, Duration run_time) {
   const bool was_stable = run_time >= kStableReplicaRunTime;
-  if (was_stable) task.faults = 0;
+  if (was_stable) task.failure_count = 0;
   const bool completed_early = cause == TaskEndCause::completed && !was_stable;
   if (is_failure(cause) || completed_early) count_fault(task);
 }
@@ -86,9 +86,10 @@
 
 void apply_task_end(TaskRecord& task, const JobSpec& job, TaskEndCause cause, bool checkpointed,
                     WallTime now) {
-  const Duration run_time = task.running == WallTime{} ? Duration{0} : now - task.running;
+  const Duration run_time =
+      task.running_since == WallTime{} ? Duration{0} : now - task.running_since;
   task.state = TaskState::idle;
-  if (job.endless()) {
+  if (job.is_service()) {
     end_replica(task, cause, run_time);
   } else if (cause == TaskEndCause::completed) {
     task.state = TaskState::done;
@@ -100,7 +101,7 @@
   task.zone = ZoneId{};
   task.machine_id = MachineId{};
   task.epoch = WorkerEpoch{};
-  task.running = WallTime{};
+  task.running_since = WallTime{};
   task.since = now;
   task.stop.reset();
 }
--- a/src/store/watch_cache.cpp
+++ b/src/store/watch_cache.cpp
@@ -51,7 +51,7 @@
   // encodings may be running.
   const auto& nodes = records().nodes;
   const bool all_read = std::all_of(nodes.begin(), nodes.end(), [](const auto& entry) {
-    return entry.second.record.reads_forms >= kReadsForms;
+    return entry.second.record.newest_readable_form >= kNewestReadableForm;
   });
   return {limits.value_bytes, !limits.next && all_read};
 }
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -128,7 +128,7 @@
   submit(required_zone);
   // An array that must stay in one zone, with a task that is recorded as bound in zone b.
   JobSpec array_in_one_zone = testing::batch("req-2", 2, 8, 60);
-  array_in_one_zone.together = true;
+  array_in_one_zone.single_zone = true;
   submit(array_in_one_zone);
   SliceRecord slice =
       testing::slice_record(array_in_one_zone.job_id, {bound("vm-lost"), TaskRecord{}});
--- a/tests/compact_encoding_test.cpp
+++ b/tests/compact_encoding_test.cpp
@@ -19,9 +19,9 @@
   EXPECT_EQ(a.machine_id, b.machine_id);
   EXPECT_EQ(a.epoch, b.epoch);
   EXPECT_EQ(a.since, b.since);
-  EXPECT_EQ(a.running, b.running);
+  EXPECT_EQ(a.running_since, b.running_since);
   EXPECT_EQ(a.progress, b.progress);
-  EXPECT_EQ(a.faults, b.faults);
+  EXPECT_EQ(a.failure_count, b.failure_count);
   EXPECT_EQ(a.failed_on, b.failed_on);
   ASSERT_EQ(a.stop.has_value(), b.stop.has_value());
   if (!a.stop) return;
@@ -83,11 +83,11 @@
     EXPECT_EQ(back.tasks[i].machine_id, slice.tasks[i].machine_id);
     EXPECT_EQ(back.tasks[i].zone, slice.tasks[i].zone);
     EXPECT_EQ(back.tasks[i].epoch, slice.tasks[i].epoch);
-    EXPECT_EQ(back.tasks[i].faults, slice.tasks[i].faults);
+    EXPECT_EQ(back.tasks[i].failure_count, slice.tasks[i].failure_count);
     EXPECT_TRUE(back.tasks[i].stop);
     EXPECT_LE(back.tasks[i].since, slice.tasks[i].since);
     EXPECT_GT(back.tasks[i].since + Duration{1000}, slice.tasks[i].since);
-    EXPECT_NE(back.tasks[i].running, WallTime{});
+    EXPECT_NE(back.tasks[i].running_since, WallTime{});
   }
   EXPECT_EQ(encode(back, kLoweredSize), text) << "written again it changes no further";
 }
@@ -96,14 +96,14 @@
   const std::string text = encode(largest_slice(), kLoweredSize);
   const auto begin = text.find(R"("tasks":")") + 9;
   for (std::size_t i = begin; i < begin + 200; ++i) {
-    std::string twisted = text;
-    twisted[i] = twisted[i] == 'f' ? 'A' : 'f';
+    std::string corrupted = text;
+    corrupted[i] = corrupted[i] == 'f' ? 'A' : 'f';
     json::Document doc;
     SliceRecord out;
-    if (json::parse(doc, twisted)) decode(doc, out);
-    twisted.erase(i, 7);
+    if (json::parse(doc, corrupted)) decode(doc, out);
+    corrupted.erase(i, 7);
     SliceRecord shorter;
-    if (!json::parse(doc, twisted)) continue;
+    if (!json::parse(doc, corrupted)) continue;
     EXPECT_FALSE(decode(doc, shorter)) << "bytes are missing";
   }
   json::Document doc;
@@ -112,16 +112,18 @@
                                R"("tasks":"","host":"","digits":0,"hosts":[],"zones":[],)"
                                R"("reasons":[]})"));
   EXPECT_FALSE(decode(doc, out)) << "a task is missing";
-  ByteWriter far;
-  for (const std::uint64_t n : {std::uint64_t{0}, std::uint64_t{1}, ~std::uint64_t{0}}) far.put(n);
-  ASSERT_TRUE(json::parse(
-      doc, R"({"v":3,"uid":"req-1","n":0,"count":1,"base":9000000000000000000,)"
-           R"("unit":1000,"tasks":")" +
-               far.base64() + R"(","host":"","digits":0,"hosts":[],"zones":[],"reasons":[]})"));
+  ByteWriter overflowing_task;
+  for (const std::uint64_t n : {std::uint64_t{0}, std::uint64_t{1}, ~std::uint64_t{0}})
+    overflowing_task.put(n);
+  ASSERT_TRUE(
+      json::parse(doc, R"({"v":3,"uid":"req-1","n":0,"count":1,"base":9000000000000000000,)"
+                       R"("unit":1000,"tasks":")" +
+                           overflowing_task.base64() +
+                           R"(","host":"","digits":0,"hosts":[],"zones":[],"reasons":[]})"));
   EXPECT_FALSE(decode(doc, out)) << "a time that would overflow";
 }
 
-MachinePage largest_page(bool blamed) {
+MachinePage largest_page(bool with_failed_jobs) {
   MachinePage page;
   for (std::uint64_t i = 0; i < kPageMachines; ++i) {
     MachineRecord m;
@@ -133,7 +135,8 @@
     m.since = from_unix_milliseconds(1'800'000'000'000 + static_cast<std::int64_t>(i) * 999'999);
     m.reclaim_at = m.since + Duration{15'000};
     m.spot = i % 2 == 0;
-    if (blamed) m.blamed = JobId("req-" + std::string(30, 'x') + std::to_string(10 + i));
+    if (with_failed_jobs)
+      m.failed_job = JobId("req-" + std::string(30, 'x') + std::to_string(10 + i));
     for (int k = 0; k < 20; ++k) {
       note_image(m.images, ImageId("img-" + std::to_string(k)), 6.25 + k, 1e6);
     }
@@ -146,7 +149,7 @@
   MachinePage page = largest_page(true);
   page.machines.resize(4);
   page.machines[1].reclaim_at.reset();
-  page.machines[2].blamed = JobId{};
+  page.machines[2].failed_job = JobId{};
   page.machines[3].images.clear();
   for (MachineRecord& m : page.machines) {
     if (m.images.size() > 12) m.images.erase(m.images.begin(), m.images.end() - 12);
@@ -157,8 +160,8 @@
 }
 
 TEST(CompactPage, TheLargestFitsTheLoweredLimit) {
-  for (const bool blamed : {false, true}) {
-    const MachinePage page = largest_page(blamed);
+  for (const bool with_failed_jobs : {false, true}) {
+    const MachinePage page = largest_page(with_failed_jobs);
     ASSERT_GT(encode(page, {kLoweredBytes, false}).size(), kLoweredBytes)
         << "the plain form does not fit even without images";
     const std::string text = encode(page, kLoweredSize);
@@ -187,8 +190,8 @@
   const std::string text = encode(guarantee_record, kLoweredBytes);
   EXPECT_LE(text.size(), kLoweredBytes);
   const auto back = read_back<GuaranteeRecord>(text);
-  EXPECT_EQ(back.notes.front().what.substr(0, 2), "0 ") << "what was granted at arrival";
-  EXPECT_EQ(back.notes.back().what.substr(0, 3), "15 ") << "the latest";
+  EXPECT_EQ(back.notes.front().text.substr(0, 2), "0 ") << "what was granted at arrival";
+  EXPECT_EQ(back.notes.back().text.substr(0, 3), "15 ") << "the latest";
   EXPECT_LE(encode(ended, kLoweredBytes).size(), kLoweredBytes);
 }
 
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -72,8 +72,8 @@
   const Sample sample = samples("node").front();
   ASSERT_TRUE(json::parse(doc, sample.text));
   ASSERT_TRUE(decode(doc, node));
-  EXPECT_EQ(node.reads_forms, 1U);
-  node.reads_forms = kReadsForms;
+  EXPECT_EQ(node.newest_readable_form, 1U);
+  node.newest_readable_form = kNewestReadableForm;
   // One member more at the end: all that the other version reads stays as it was.
   const std::string ours = encode(node);
   EXPECT_EQ(ours, sample.text.substr(0, sample.text.size() - 1) + R"(,"reads":2})");
@@ -81,15 +81,15 @@
 
 TEST(ProductionMessages, RoundTripByteForByte) {
   const std::string heartbeat = from_hex(samples("heartbeat").front().text);
-  const auto heard = decode_peer_heartbeat(heartbeat);
-  ASSERT_TRUE(heard);
-  EXPECT_EQ(heard->node, "hub-1");
-  EXPECT_EQ(encode(*heard), heartbeat);
+  const auto decoded_heartbeat = decode_peer_heartbeat(heartbeat);
+  ASSERT_TRUE(decoded_heartbeat);
+  EXPECT_EQ(decoded_heartbeat->node, "hub-1");
+  EXPECT_EQ(encode(*decoded_heartbeat), heartbeat);
   const std::string offer = from_hex(samples("offer").front().text);
-  const auto offered = decode_offer(offer);
-  ASSERT_TRUE(offered);
-  EXPECT_EQ(offered->tasks.at(0).machine_id, "vm-000232");
-  EXPECT_EQ(encode(*offered), offer);
+  const auto decoded_offer = decode_offer(offer);
+  ASSERT_TRUE(decoded_offer);
+  EXPECT_EQ(decoded_offer->tasks.at(0).machine_id, "vm-000232");
+  EXPECT_EQ(encode(*decoded_offer), offer);
 }
 
 TEST(ProductionRecords, AnUnknownFieldIsSkipped) {
--- a/tests/failed_starts_test.cpp
+++ b/tests/failed_starts_test.cpp
@@ -71,7 +71,7 @@
     const std::array<std::uint32_t, 4> widths{1, 2, 4, 6};
     const std::uint32_t width = widths.at(draw(widths.size()));
     JobSpec job = draw(2) == 0 ? gang(id, width, 4, seconds) : batch(id, width * 2, 1, seconds);
-    job.together = draw(3) == 0;
+    job.single_zone = draw(3) == 0;
     job.team = TeamId(draw(2) == 0 ? "crew" : "other");
     if (draw(5) == 0) job.urgency = Urgency::urgent;
     jobs_.push_back(std::make_unique<JobSpec>(std::move(job)));
--- a/tests/gang_completion_test.cpp
+++ b/tests/gang_completion_test.cpp
@@ -16,7 +16,7 @@
     for (const char* machine_id : {"vm-1", "vm-2"}) {
       TaskRecord task = testing::bound_task(machine_id);
       task.attempt = Attempt(2);
-      task.running = running;
+      task.running_since = running;
       tasks.push_back(task);
     }
     put_slice(store_, testing::slice_record(JobId("req-1"), tasks));
--- a/tests/job_api_submit_test.cpp
+++ b/tests/job_api_submit_test.cpp
@@ -201,7 +201,7 @@
   EXPECT_EQ(submit(service_job_body()).status, 201);
   EXPECT_EQ(submit(service_job_body()).status, 200) << "known already";
   const JobRecord& job = cache_.records().jobs.at(JobId("req-000412")).record;
-  EXPECT_TRUE(job.spec.endless());
+  EXPECT_TRUE(job.spec.is_service());
   EXPECT_FALSE(job.spec.deadline) << "it is never complete";
   EXPECT_NE(status_of("req-000412").body.find("\"queued\""), std::string::npos);
   EXPECT_EQ(submit(service_job_body("\"parts\":2", "\"parts\":9")).status, 200)
--- a/tests/job_explanation_test.cpp
+++ b/tests/job_explanation_test.cpp
@@ -17,7 +17,7 @@
   slice.job_id = JobId("req-000412");
   slice.tasks.resize(2);
   for (TaskRecord& task : slice.tasks) {
-    task.faults = 2;
+    task.failure_count = 2;
     task.since = clock_.wall();
   }
   slice.tasks[0].failed_on = MachineId("vm-1");
--- a/tests/job_queue_test.cpp
+++ b/tests/job_queue_test.cpp
@@ -82,7 +82,7 @@
     task.attempt = Attempt(4);
     task.since = at(100);
   }
-  slice.tasks[0].faults = 4;
+  slice.tasks[0].failure_count = 4;
   const auto current = [&](const JobId&, std::uint32_t) { return &slice; };
   auto queue = build_queue(records, settings, current, at(105), false);
   ASSERT_EQ(queue.size(), 1U);
@@ -117,7 +117,7 @@
     TaskRecord& task = slice.tasks[i];
     task.attempt = Attempt(1);
     task.since = at(100);
-    ++task.faults;
+    ++task.failure_count;
     task.failed_on = MachineId(machine_id);
   };
   const auto current = [&](const JobId&, std::uint32_t) { return &slice; };
@@ -135,7 +135,7 @@
   // While one task runs, the others wait.
   TaskRecord& trying = slice.tasks[2];
   trying.state = TaskState::bound;
-  trying.running = at(105);
+  trying.running_since = at(105);
   EXPECT_TRUE(queue(106).empty());
   // Once the task has run long enough, all other tasks are queued.
   EXPECT_EQ(queue(110).at(0).task_indices, (std::vector<std::uint32_t>{0, 1, 3, 4, 5}));
@@ -159,9 +159,9 @@
   const auto failing = [&] {
     return build_queue(records, settings, current, at(900), false).at(0).failing;
   };
-  slice.tasks[0].faults = 2;
+  slice.tasks[0].failure_count = 2;
   EXPECT_FALSE(failing());
-  slice.tasks[0].faults = 3;
+  slice.tasks[0].failure_count = 3;
   EXPECT_TRUE(failing());
   slice.tasks[0].progress = from_seconds(10);  // it has saved progress
   EXPECT_FALSE(failing());
--- a/tests/job_spec_test.cpp
+++ b/tests/job_spec_test.cpp
@@ -15,7 +15,7 @@
                                                       : JobSpecError{};
 }
 
-TEST(JobSpecValidation, TellsAMissingFieldFromAnInvalidOne) {
+TEST(JobSpecValidation, DistinguishesAMissingFieldFromAnInvalidOne) {
   const JobSpecError missing = error_in(R"({"uid":"req-1","workclass":null})");
   EXPECT_STREQ(missing.field, "workclass");
   EXPECT_EQ(missing.fault, JobSpecError::Fault::missing);
--- a/tests/leader_cache_test.cpp
+++ b/tests/leader_cache_test.cpp
@@ -61,7 +61,7 @@
   machine("vm-1");
   submit(testing::gang("req-1", 1, 2, 6'000));
   TaskRecord task = bound("vm-1");
-  task.running = time_.wall();
+  task.running_since = time_.wall();
   set_task("req-1", task);
   begin();
   submit(testing::gang("req-2", 1, 2, 60));
@@ -108,9 +108,9 @@
   set_limit(100);
   machine("vm-1");  // in zone a
   JobSpec together = testing::batch("req-1", 2, 1, 60);
-  together.together = true;
+  together.single_zone = true;
   JobSpec spread = testing::batch("req-2", 2, 1, 60);
-  spread.spread = true;
+  spread.spread_zones = true;
   int n = 1;
   for (const std::string zone : {"b", "a"}) {
     SliceRecord slice;
--- a/tests/leader_failover_test.cpp
+++ b/tests/leader_failover_test.cpp
@@ -103,7 +103,7 @@
   run(Duration{3'000});
   ASSERT_TRUE(election_.is_established_leader());
   EXPECT_TRUE(
-      cache_.records().provisioning_requests.at(cloud_.provisioning_requests[0]).record.answered);
+      cache_.records().provisioning_requests.at(cloud_.provisioning_requests[0]).record.has_answer);
   EXPECT_EQ(std::set<std::string>(cloud_.provisioning_requests.begin(),
                                   cloud_.provisioning_requests.end())
                 .size(),
@@ -115,8 +115,8 @@
   provisioning_request.name = "h-5-1";
   provisioning_request.machine_type = "g8";
   provisioning_request.zone = ZoneId("a");
-  provisioning_request.how_many = 2;
-  provisioning_request.asked = time_.wall();
+  provisioning_request.machine_count = 2;
+  provisioning_request.requested_at = time_.wall();
   store_.put(keys::provisioning_request(provisioning_request.name), encode(provisioning_request));
   cloud_.has_capacity = true;
   begin();
--- a/tests/leader_loop_test.cpp
+++ b/tests/leader_loop_test.cpp
@@ -108,7 +108,7 @@
     low.urgency = Urgency::low;
     submit(low);
     TaskRecord task = bound("vm-" + n);
-    task.running = time_.wall();
+    task.running_since = time_.wall();
     set_task("req-" + n, task);
   }
   begin();
@@ -205,7 +205,7 @@
   machine("vm-1");
   submit(testing::gang("req-old", 1, 2, 600));
   TaskRecord running = bound("vm-1");
-  running.running = time_.wall();
+  running.running_since = time_.wall();
   set_task("req-old", running);
   submit(testing::gang("req-1", 1, 1, 60));
   GuaranteeRecord guarantee_record;
@@ -219,7 +219,7 @@
   run(Duration{1000});
   const auto& stored_guarantee =
       cache_.records().guarantee_records.at(JobId("req-1")).record.guarantees.at(0);
-  EXPECT_EQ(stored_guarantee.first, guaranteed_start);
+  EXPECT_EQ(stored_guarantee.initial_start, guaranteed_start);
   EXPECT_LE(stored_guarantee.start, guaranteed_start);
 }
 
--- a/tests/occupancy_test.cpp
+++ b/tests/occupancy_test.cpp
@@ -73,7 +73,7 @@
       t.state = draw(2) == 0 ? TaskState::released : TaskState::bound;
       t.machine_id = MachineId("vm-" + std::to_string(draw(kMachines)));
       t.since = now_;
-      if (draw(2) == 0) t.running = now_;
+      if (draw(2) == 0) t.running_since = now_;
       records_.placed[t.machine_id][{job_id, static_cast<std::uint32_t>(i)}] = Attempt(1);
     }
   }
--- a/tests/planner_compression_test.cpp
+++ b/tests/planner_compression_test.cpp
@@ -124,7 +124,7 @@
   TwoZones zones;
   JobSpec job = batch("req-a", 4, 1, 60);
   job.shape = JobShape::service;
-  job.spread = true;
+  job.spread_zones = true;
   QueueItem waiting = item(job, 1);
   waiting.task_indices = {1, 2, 3};
   waiting.demand.tasks = 3;
@@ -136,7 +136,7 @@
 TEST(Compression, ARestoredReservationRespectsTheSpreadConstraint) {
   TwoZones zones;
   JobSpec job = batch("req-a", 4, 1, 60);
-  job.spread = true;
+  job.spread_zones = true;
   QueueItem waiting = item(job, 1);
   waiting.task_indices = {2, 3};
   waiting.demand.tasks = 2;
@@ -153,7 +153,7 @@
 TEST(Compression, ADueReservationRespectsTheTogetherConstraint) {
   TwoZones zones;
   JobSpec job = batch("req-a", 2, 1, 60);
-  job.together = true;
+  job.single_zone = true;
   QueueItem waiting = item(job, 1);
   waiting.task_indices = {1};
   waiting.demand.tasks = 1;
--- a/tests/planner_scale_test.cpp
+++ b/tests/planner_scale_test.cpp
@@ -45,7 +45,7 @@
       jobs.push_back(batch(job_id, 60, 1, 60 + i % 50));
     } else {
       jobs.push_back(gang(job_id, kWidths.at(static_cast<std::size_t>(i) % 5), 4, 80 + i % 70));
-      jobs.back().together = true;
+      jobs.back().single_zone = true;
     }
     jobs.back().allows_spot = i % 2 == 0;
   }
--- a/tests/profile_test.cpp
+++ b/tests/profile_test.cpp
@@ -46,13 +46,13 @@
   p.add_machine(machine("b1", 2, "b"));
   p.add_machine(machine("b2", 2, "b"));
   JobSpec job = gang("req-a", 4, 1, 10);
-  job.together = true;
+  job.single_zone = true;
   auto plan = p.earliest(item(job, 1).demand, at(0));
   ASSERT_TRUE(plan);
   for (const Placement& s : plan->placements) EXPECT_EQ(p.machines()[s.machine].zone, ZoneId("b"));
 
-  job.together = false;
-  job.spread = true;
+  job.single_zone = false;
+  job.spread_zones = true;
   plan = p.earliest(item(job, 1).demand, at(0));
   ASSERT_TRUE(plan);
   std::size_t in_b = 0;
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -36,9 +36,9 @@
   t.machine_id = MachineId("vm-1");
   t.epoch = WorkerEpoch(2);
   t.since = from_unix_milliseconds(5);
-  t.running = from_unix_milliseconds(6);
+  t.running_since = from_unix_milliseconds(6);
   t.progress = Duration{7};
-  t.faults = 1;
+  t.failure_count = 1;
   t.stop = StopOrder{Duration{9}, "why"};
   const SliceRecord back = round_trip(slice);
   EXPECT_EQ(back.number, 3U);
@@ -47,9 +47,9 @@
   EXPECT_EQ(b.attempt, t.attempt);
   EXPECT_EQ(b.machine_id, t.machine_id);
   EXPECT_EQ(b.epoch, t.epoch);
-  EXPECT_EQ(b.running, t.running);
+  EXPECT_EQ(b.running_since, t.running_since);
   EXPECT_EQ(b.progress, t.progress);
-  EXPECT_EQ(b.faults, t.faults);
+  EXPECT_EQ(b.failure_count, t.failure_count);
   ASSERT_TRUE(b.stop);
   EXPECT_EQ(b.stop->reason, "why");
 
@@ -68,8 +68,8 @@
   machine.machine_id = MachineId("vm-1");
   machine.zone = ZoneId("a");
   machine.state = MachineState::suspect;
-  machine.blamed = JobId("req-1");
-  EXPECT_EQ(round_trip(machine).blamed, machine.blamed);
+  machine.failed_job = JobId("req-1");
+  EXPECT_EQ(round_trip(machine).failed_job, machine.failed_job);
   EXPECT_EQ(round_trip(machine).state, machine.state);
 }
 
@@ -83,9 +83,9 @@
     t.zone = ZoneId("laurentides");
     t.machine_id = t.failed_on = MachineId("vm-000231");
     t.epoch = WorkerEpoch(1000);
-    t.since = t.running = from_unix_milliseconds(1'800'000'000'000);
+    t.since = t.running_since = from_unix_milliseconds(1'800'000'000'000);
     t.progress = Duration{1'000'000};
-    t.faults = 100;
+    t.failure_count = 100;
     t.stop = StopOrder{Duration{100'000}, "displaced for req-000412 (guarantee)"};
   }
   EXPECT_LE(encode(slice).size(), 8192U);
@@ -102,7 +102,7 @@
     m.state = MachineState::quarantined;
     m.since = from_unix_milliseconds(1'800'000'000'000);
     m.reclaim_at = m.since;
-    m.blamed = JobId("req-" + std::string(20, 'x'));
+    m.failed_job = JobId("req-" + std::string(20, 'x'));
     for (int k = 0; k < 20; ++k) note_image(m.images, ImageId("img-" + std::to_string(k)), 6, 150);
     page.machines.push_back(m);
   }
@@ -140,8 +140,8 @@
   GuaranteeRecord guarantee_record;
   for (int i = 0; i < 50; ++i) guarantee_record.note(from_unix_milliseconds(i), std::to_string(i));
   EXPECT_LE(guarantee_record.notes.size(), 16U);
-  EXPECT_EQ(guarantee_record.notes.front().what, "0");
-  EXPECT_EQ(guarantee_record.notes.back().what, "49");
+  EXPECT_EQ(guarantee_record.notes.front().text, "0");
+  EXPECT_EQ(guarantee_record.notes.back().text, "49");
 }
 
 }  // namespace
--- a/tests/release_outcome_test.cpp
+++ b/tests/release_outcome_test.cpp
@@ -133,7 +133,7 @@
   JobSpec overrunning = testing::gang("req-1", 1, 2, 1);
   submit(overrunning);
   TaskRecord task = bound("vm-1");
-  task.running = time_.wall();
+  task.running_since = time_.wall();
   set_task("req-1", task);
   begin();
   submit_gang("req-2", 1, Urgency::standard);
--- a/tests/service_job_test.cpp
+++ b/tests/service_job_test.cpp
@@ -14,7 +14,7 @@
   task.attempt = Attempt(1);
   task.zone = ZoneId("a");
   task.machine_id = MachineId("vm-1");
-  task.running = at;
+  task.running_since = at;
   return task;
 }
 
@@ -36,22 +36,22 @@
   TaskRecord task;
   for (std::uint32_t n = 1; n <= 4; ++n) {
     task = running_since(from_unix_milliseconds(1'000'000));
-    task.faults = n - 1;
+    task.failure_count = n - 1;
     apply_task_end(task, job, n % 2 == 0 ? TaskEndCause::failed : TaskEndCause::completed, false,
                    WallTime{Duration{1'001'000}});
-    EXPECT_EQ(task.faults, n);
+    EXPECT_EQ(task.failure_count, n);
     EXPECT_EQ(task.failed_on, MachineId("vm-1"));
   }
   // A failure after a long run counts as the first fault, so the replica is retried at once.
   task = running_since(from_unix_milliseconds(1'000'000));
-  task.faults = 4;
+  task.failure_count = 4;
   apply_task_end(task, job, TaskEndCause::failed, false,
                  WallTime{Duration{1'000'000}} + kStableReplicaRunTime);
-  EXPECT_EQ(task.faults, 1U);
+  EXPECT_EQ(task.failure_count, 1U);
   task = running_since(from_unix_milliseconds(1'000'000));
-  task.faults = 4;
+  task.failure_count = 4;
   apply_task_end(task, job, TaskEndCause::machine_gone, false, WallTime{Duration{1'001'000}});
-  EXPECT_EQ(task.faults, 4U) << "the loss of a machine is not its fault";
+  EXPECT_EQ(task.failure_count, 4U) << "the loss of a machine is not its fault";
 }
 
 class ServiceJobHolderTest : public testing::ShardHolderTest {};
@@ -97,7 +97,7 @@
  protected:
   [[nodiscard]] TaskRecord replica(const std::string& machine_id) const {
     TaskRecord task = bound(machine_id);
-    task.running = time_.wall();
+    task.running_since = time_.wall();
     return task;
   }
   void submit_with_tasks(const JobSpec& spec, const std::vector<TaskRecord>& tasks) {
--- a/tests/shard_holder_test.cpp
+++ b/tests/shard_holder_test.cpp
@@ -202,7 +202,7 @@
   handle_heartbeat(1, token(), task_status("ended", "error"));
   run(Duration{50});
   EXPECT_EQ(machine_state("vm-1"), MachineState::suspect);
-  EXPECT_EQ(task().faults, 1U);
+  EXPECT_EQ(task().failure_count, 1U);
 }
 
 // Guards against the removal of a working machine because of two faulty jobs: the second failure
@@ -223,7 +223,7 @@
   run(Duration{100});
   const MachineRecord& machine = cache_.records().machines.at(MachineId("vm-1")).record;
   EXPECT_EQ(machine.state, MachineState::suspect);
-  EXPECT_EQ(machine.blamed, JobId("req-1"));
+  EXPECT_EQ(machine.failed_job, JobId("req-1"));
 }
 
 TEST_F(ShardHolderTest, AFailureDoesNotReleaseAQuarantinedMachine) {
@@ -234,7 +234,7 @@
   run(Duration{50});
   handle_heartbeat(1, token(), task_status("ended", "error"));
   run(Duration{1'100});
-  EXPECT_EQ(task().faults, 1U);
+  EXPECT_EQ(task().failure_count, 1U);
   EXPECT_EQ(machine_state("vm-1"), MachineState::quarantined);
 }
 
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -77,11 +77,11 @@
   required_zone.team = TeamId("another");
   job(required_zone);
   JobSpec together = testing::gang("req-3", 3, 4, 60);
-  together.together = true;
+  together.single_zone = true;
   together.team = TeamId("another");
   job(together);
   JobSpec spread = testing::gang("req-4", 2, 4, 60);
-  spread.spread = true;
+  spread.spread_zones = true;
   spread.team = TeamId("another");
   job(spread);
   EXPECT_TRUE(find().empty()) << "room is in zone b only: for two tasks of four GPUs";
--- a/tests/store_limit_reduction_test.cpp
+++ b/tests/store_limit_reduction_test.cpp
@@ -106,7 +106,7 @@
   end_first_task();
   EXPECT_GT(stored_slice().size(), kLoweredBytes);
   EXPECT_EQ(task().state, TaskState::bound) << "nothing was lost: it waits";
-  NodeRecord upgraded{NodeId("other"), ProcessIncarnation(4), LeaseId(9), kReadsForms};
+  NodeRecord upgraded{NodeId("other"), ProcessIncarnation(4), LeaseId(9), kNewestReadableForm};
   store_.put(keys::node(NodeId("other")), encode(upgraded));
   run(Duration{12'000});
   EXPECT_EQ(task().state, TaskState::done);
--- a/tests/support/large_records.hpp
+++ b/tests/support/large_records.hpp
@@ -27,9 +27,9 @@
     t.failed_on = MachineId("vm-0" + std::to_string(54'321 + i));
     t.epoch = WorkerEpoch(2 + i);
     t.since = from_unix_milliseconds(1'800'000'000'000 + n * 999'123);
-    t.running = t.since + Duration{95'000};
+    t.running_since = t.since + Duration{95'000};
     t.progress = Duration{1'234'567};
-    t.faults = 9;
+    t.failure_count = 9;
     t.stop = StopOrder{Duration{12'345}, "displaced for req-" + std::to_string(i) + " (guarantee)"};
   }
   return slice;
--- a/tests/support/leader_loop_fixture.hpp
+++ b/tests/support/leader_loop_fixture.hpp
@@ -73,7 +73,7 @@
   void suspect_machine(const std::string& machine_id, const std::string& blamed_job) {
     MachineRecord machine = machine_record(machine_id, time_.wall());
     machine.state = MachineState::suspect;
-    machine.blamed = JobId(blamed_job);
+    machine.failed_job = JobId(blamed_job);
     store_.put_machine(machine);
   }
 
@@ -97,7 +97,7 @@
     std::vector<std::string> out;
     const auto guarantee_record = cache_.records().guarantee_records.find(JobId(job_id));
     if (guarantee_record == cache_.records().guarantee_records.end()) return out;
-    for (const Note& n : guarantee_record->second.record.notes) out.push_back(n.what);
+    for (const Note& n : guarantee_record->second.record.notes) out.push_back(n.text);
     return out;
   }
 
--- a/tests/support/scripted_cloud.hpp
+++ b/tests/support/scripted_cloud.hpp
@@ -30,7 +30,7 @@
     provisioning_requests.push_back(request.name);
     requested_zones.push_back(request.zone);
     std::vector<MachineId>& machine_ids = provisioned_machines[request.name];
-    while (has_capacity && machine_ids.size() < request.how_many) {
+    while (has_capacity && machine_ids.size() < request.machine_count) {
       machine_ids.emplace_back("vm-" + request.name + "-" + std::to_string(machine_ids.size()));
     }
     const ProvisioningOutcome outcome =
--- a/tests/suspect_machines_test.cpp
+++ b/tests/suspect_machines_test.cpp
@@ -26,16 +26,16 @@
   void set_failed(const std::string& job_id, const std::string& machine_id, std::uint32_t faults) {
     TaskRecord task;
     task.attempt = Attempt(faults);
-    task.faults = faults;
+    task.failure_count = faults;
     task.failed_on = MachineId(machine_id);
     task.since = time_.wall();
     set_task(job_id, task);
   }
   void set_running(const std::string& job_id, const std::string& machine_id) {
     TaskRecord task = bound(machine_id);
-    task.faults = 1;
+    task.failure_count = 1;
     task.failed_on = MachineId("vm-1");
-    task.running = time_.wall();
+    task.running_since = time_.wall();
     set_task(job_id, task);
   }
   [[nodiscard]] MachineState state() const { return machine_state("vm-1"); }
@@ -79,7 +79,7 @@
   submit(testing::gang("req-1", 1, 1, 60));
   TaskRecord failed;
   failed.attempt = Attempt(2);
-  failed.faults = 2;
+  failed.failure_count = 2;
   failed.failed_on = MachineId("vm-1");
   set_task("req-1", failed);
   begin();
@@ -96,9 +96,9 @@
   machine("vm-2");
   submit(testing::gang("req-1", 1, 1, 60));
   TaskRecord task = bound("vm-2");
-  task.faults = 1;
+  task.failure_count = 1;
   task.failed_on = MachineId("vm-1");
-  task.running = time_.wall() + Duration{500};
+  task.running_since = time_.wall() + Duration{500};
   set_task("req-1", task);
   begin();
   run(Duration{10'000});
--- a/tests/task_presence_test.cpp
+++ b/tests/task_presence_test.cpp
@@ -100,12 +100,12 @@
 TEST(TaskEnd, SavedProgressIsKeptAndALostTaskResumesFromItsCheckpoint) {
   const JobSpec job = testing::gang("req-1", 1, 1, 100);  // writes a checkpoint every 10 s
   TaskRecord task = bound_task();
-  task.running = testing::at(1);
+  task.running_since = testing::at(1);
   apply_task_end(task, job, TaskEndCause::preempted, true, testing::at(36));
   EXPECT_EQ(task.state, TaskState::idle);
   EXPECT_EQ(task.progress, from_seconds(35));
   task = bound_task();
-  task.running = testing::at(1);
+  task.running_since = testing::at(1);
   apply_task_end(task, job, TaskEndCause::machine_gone, false, testing::at(36));
   EXPECT_EQ(task.progress, from_seconds(30));
   task = bound_task();
--- a/tests/team_without_quota_test.cpp
+++ b/tests/team_without_quota_test.cpp
@@ -88,7 +88,7 @@
     slice.tasks[0].state = TaskState::bound;
     slice.tasks[0].attempt = Attempt(1);
     slice.tasks[0].machine_id = host;
-    slice.tasks[0].running = at(1);
+    slice.tasks[0].running_since = at(1);
     records.slices[{spec.job_id, 0}] = {slice, ModRevision(1)};
     records.placed[host][{spec.job_id, 0}] = Attempt(1);
   }
