--- a/src/records/compact_encoding.cpp
+++ b/src/records/compact_encoding.cpp
@@ -12,9 +12,9 @@
 constexpr std::uint64_t kPayloadMask = 0x7F;
 constexpr std::uint64_t kContinuationBit = 0x80;
 constexpr unsigned kMaxShift = 63;
-/// Milliseconds, or larger units: hundreds of years.
+/// The largest accepted time. The unit is a millisecond or more, so this is at least 278 years.
 constexpr std::uint64_t kMaxTimeUnits = std::uint64_t{1} << 43;
-/// Longer numbers in names are kept as texts.
+/// Names that end in more digits than this are stored as text.
 constexpr std::size_t kMaxNameDigits = 15;
 
 std::size_t prefix_length(const std::string& name) {
@@ -89,7 +89,7 @@
   return prefix_ + std::string(zeros, '0') + text;
 }
 
-// Even numbers stand for the other names, odd ones for those with the prefix.
+// Odd numbers stand for names with the prefix, even numbers for the other names.
 std::uint64_t MachineNames::number_of(const std::string& name) {
   if (name.empty()) return 0;
   const std::size_t length = prefix_length(name);
--- a/src/records/compact_encoding.hpp
+++ b/src/records/compact_encoding.hpp
@@ -1,6 +1,6 @@
-// The parts of the compact forms of records: numbers of variable length (varints) in base64, and
-// machine names by their numbers. The compact forms are written only once the state service takes
-// smaller values than a record in its plain form has.
+// Building blocks of the compact forms of records: variable-length integers (varints) in base64,
+// and machine names replaced by numbers. A record is written in its compact form only when its
+// plain form exceeds the value limit of the state service.
 #pragma once
 
 #include <cstdint>
@@ -11,11 +11,12 @@
 
 namespace marblevale {
 
-/// Appends numbers to a string of bytes as varints (LEB128): seven bits a byte, the lowest first.
+/// Appends integers to a byte string as varints (LEB128): seven bits per byte, the lowest first.
 class ByteWriter {
  public:
   void put(std::uint64_t number);
-  /// A number that may be negative, in zigzag encoding: small ones of either sign take few bytes.
+  /// Appends a signed integer in zigzag encoding, so that small values of either sign take few
+  /// bytes.
   void put_signed(std::int64_t number);
   [[nodiscard]] std::string base64() const;
 
@@ -23,15 +24,17 @@
   std::string bytes_;
 };
 
-/// Reads what a `ByteWriter` wrote. After an error `ok()` is false, and every later number is 0.
+/// Reads the numbers that a `ByteWriter` wrote. After an error, `ok()` is false and every later
+/// read returns 0.
 class ByteReader {
  public:
   explicit ByteReader(const std::string& base64);
   std::uint64_t number();
   std::int64_t signed_number();
-  /// As above, for times: one that is far from any real one is an error, so that sums of them can't
-  /// overflow.
+  /// Reads a number of time units. A number far beyond any real time is an error, so that sums of
+  /// times can't overflow.
   std::uint64_t time();
+  /// Reads a signed number of time units, with the same check as `time()`.
   std::int64_t signed_time();
   [[nodiscard]] bool ok() const { return ok_; }
 
@@ -41,17 +44,20 @@
   bool ok_ = true;
 };
 
-/// Machine names as numbers. Most names of a cluster are one prefix and a number; any other name is
-/// kept as a text of its own.
+/// Maps machine names to numbers. Most names in a cluster consist of one common prefix and a number
+/// of fixed width. Any other name is stored as text.
 class MachineNames {
  public:
   MachineNames() = default;
-  /// As they were stored: the common prefix, its number of digits, and the other names.
+  /// Restores the mapping from its stored parts: the common prefix, the number of digits after the
+  /// prefix, and the other names.
   MachineNames(std::string prefix, std::uint64_t digits, std::vector<std::string> others);
 
-  /// The number that stands for the name; 0 for an empty one. The first name sets the prefix.
+  /// Returns the number that stands for `name`, and 0 for an empty name. The first name that ends
+  /// in digits sets the prefix; a name that does not fit the prefix is added to the other names.
   std::uint64_t number_of(const std::string& name);
-  /// The name that the number stands for; nothing for one that was never given out.
+  /// Returns the name that `number` stands for, or nullopt if the number refers to a prefix or a
+  /// text that is not stored.
   [[nodiscard]] std::optional<std::string> name_of(std::uint64_t number) const;
 
   [[nodiscard]] const std::string& prefix() const { return prefix_; }
--- a/src/records/machine_page_codec.cpp
+++ b/src/records/machine_page_codec.cpp
@@ -1,4 +1,4 @@
-// The codec of machine pages.
+// The codec of machine pages, which have a plain and a compact form.
 #include <algorithm>
 #include <cmath>
 
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr std::uint64_t kPageFormat = 2;  // 1 was one record for each machine
+constexpr std::uint64_t kPageFormat = 2;  // format 1 stored one record per machine
 constexpr std::uint64_t kCompactPageFormat = 3;
-/// Sizes of images are kept to this in the compact form.
+/// The compact form rounds image sizes to a multiple of this step.
 constexpr double kImageGbStep = 0.01;
 
 constexpr std::array<const char*, 7> kMachineStates{
@@ -76,19 +76,20 @@
   return out.str();
 }
 
-/// The head of a machine in the compact form: its state, and which other fields follow.
+/// Bits of a machine's header in the compact form: its state, whether it is a spot machine, and
+/// which optional fields follow.
 constexpr std::uint64_t kStateBits = 7;
 constexpr std::uint64_t kIsSpot = 8;
 constexpr std::uint64_t kHasReclaim = 16;
 constexpr std::uint64_t kHasFailedJob = 32;
 
-/// How much of a page the compact form keeps.
+/// The optional data of a page that the compact form keeps.
 struct CompactDetail {
-  std::size_t images;  // of each machine
+  std::size_t images;  // at most this many for each machine
   bool failed_job;
 };
 
-/// A page in the compact form: texts once each, the machines as numbers.
+/// Writes a page in the compact form: each text is stored once, and machines refer to it by index.
 class CompactPageWriter {
  public:
   explicit CompactPageWriter(const MachinePage& page) {
@@ -152,7 +153,7 @@
   return out.finish();
 }
 
-/// Reads what a `CompactPageWriter` wrote.
+/// Reads a page that a `CompactPageWriter` wrote.
 class CompactPageReader {
  public:
   bool open(const json::Value& v) {
@@ -239,7 +240,8 @@
     if (images == 0) break;
   }
   if (text.size() > size.max_bytes && size.compact_allowed) {
-    // Whom a suspect machine's tasks blame is in their slices as well.
+    // The failed job of a suspect machine can be left out, because the failed tasks in the job's
+    // slices name the machine in `failed_on`.
     text = encode_compact(page, {0, false});
   }
   return text;
--- a/src/records/record_fields.hpp
+++ b/src/records/record_fields.hpp
@@ -1,4 +1,4 @@
-// Reads and writes the fields of stored records, for their codecs.
+// Functions with which the record codecs read and write the fields of stored records.
 #pragma once
 
 #include <algorithm>
@@ -13,12 +13,13 @@
 
 namespace marblevale::record_fields {
 
-/// The format of the records that have never had another.
+/// The format number of record types whose format has never changed.
 inline constexpr std::uint64_t kFormat = 1;
 
 inline bool known_format(const json::Value& v) { return json::count(v, "v") == kFormat; }
 
-/// Reads a text or a count into its strong type; false when the field is absent or of another type.
+/// Reads a string or an unsigned integer into its strong type. Returns false when the field is
+/// absent or of another type.
 template <typename S>
 bool read(const json::Value& v, const char* name, S& out) {
   if constexpr (std::is_same_v<std::decay_t<decltype(out.get())>, std::string>) {
@@ -32,14 +33,14 @@
   }
 }
 
-/// Reads a time of day in milliseconds.
+/// Reads a Unix time in milliseconds.
 inline bool read(const json::Value& v, const char* name, WallTime& out) {
   const auto ms = json::integer(v, name);
   if (ms) out = from_unix_milliseconds(*ms);
   return ms.has_value();
 }
 
-/// Reads a list of texts.
+/// Appends the items of a list of strings to `out`. Returns false when the field is no such list.
 inline bool read_texts(const json::Value& v, const char* name, std::vector<std::string>& out) {
   const json::Value* list = json::list(v, name);
   if (list == nullptr) return false;
@@ -57,7 +58,7 @@
   out.close_list();
 }
 
-/// The index of the item in the list, at whose end it is put if it is not there.
+/// Returns the index of `item` in `list`. Appends the item first if the list does not contain it.
 template <typename Item>
 std::uint64_t index_or_append(std::vector<Item>& list, const Item& item) {
   const auto it = std::find(list.begin(), list.end(), item);
@@ -66,7 +67,7 @@
   return index;
 }
 
-/// Machine names of a compact record, as `read_names` reads them.
+/// Writes the machine names of a compact record in the form that `read_names` reads.
 inline void write_names(json::Writer& out, const MachineNames& names) {
   out.put("host", names.prefix()).put("digits", names.digits());
   write_texts(out, "hosts", names.others());
--- a/src/records/record_set.hpp
+++ b/src/records/record_set.hpp
@@ -1,5 +1,5 @@
-// The live records of the cluster as one typed set. Decisions read it; only the watch cache writes
-// it.
+// All live records of the cluster in decoded form. Decisions read this set; only the watch cache
+// writes it.
 #pragma once
 
 #include <map>
@@ -20,7 +20,7 @@
   ModRevision mod_revision;
 };
 
-/// Names a slice: the job, and the slice's number within it.
+/// Identifies a slice by its job and its number within the job.
 struct SliceKey {
   JobId job_id;
   std::uint32_t number = 0;
@@ -37,12 +37,13 @@
   std::unordered_map<JobId, Versioned<GuaranteeRecord>> guarantee_records;
   std::map<SliceKey, Versioned<SliceRecord>> slices;
   std::map<MachineId, Versioned<MachineRecord>>
-      machines;  // the revision is that of the machine's page
-  std::map<std::string, Versioned<std::vector<MachineId>>> pages;  // by key
+      machines;  // the revision is the one of the machine's page
+  std::map<std::string, Versioned<std::vector<MachineId>>> pages;  // machines of each page, by key
   std::map<std::string, Versioned<ProvisioningRequest>> provisioning_requests;
-  /// Keys whose values this version can't read: nothing is decided about what they stand for.
+  /// Keys whose values this version can't read. No decision is made about the objects that these
+  /// keys stand for.
   std::set<std::string> unreadable;
-  /// The tasks that are placed on each machine.
+  /// The tasks that are placed on each machine, with the attempt of each.
   std::unordered_map<MachineId, std::map<TaskId, Attempt>> placed;
 
   [[nodiscard]] const JobRecord* job(const JobId& job_id) const;
@@ -50,7 +51,7 @@
                                                     std::uint32_t number) const;
   [[nodiscard]] const TaskRecord* task(const TaskId& id) const;
   [[nodiscard]] const MachineType* type(const std::string& name) const;
-  /// True while this incarnation of the controller is registered.
+  /// True while the given incarnation of the controller is registered.
   [[nodiscard]] bool alive(const NodeId& node, ProcessIncarnation incarnation) const;
 };
 
--- a/src/records/records.cpp
+++ b/src/records/records.cpp
@@ -30,7 +30,7 @@
 
 void GuaranteeRecord::note(WallTime at, std::string text) {
   if (notes.size() >= kMaxNotes) {
-    // The first note tells what was granted at arrival; it stays.
+    // The first note is kept, because it says which start was granted at arrival.
     notes.erase(notes.begin() + 1);
   }
   notes.push_back({at, std::move(text)});
@@ -144,8 +144,8 @@
 
 namespace {
 
-/// Drops notes until the encoded record fits: the oldest first, but the one that tells what was
-/// granted at arrival last.
+/// Drops notes until the encoded record fits: the oldest first, except that the first note is
+/// dropped last, because it says which start was granted at arrival.
 template <typename Record, typename Encode>
 std::string encode_with_notes(Record& r, std::size_t max_bytes, const Encode& encode_whole) {
   std::string text = encode_whole(r);
--- a/src/records/records.hpp
+++ b/src/records/records.hpp
@@ -1,5 +1,6 @@
 // The records that controllers keep in the state service, and their codecs. Each value is a small
-// JSON object with a format number. The names of stored fields are fixed: other versions read them.
+// JSON object with a format number. The names of stored fields must not change, because other
+// versions read them.
 #pragma once
 
 #include <array>
@@ -17,30 +18,30 @@
 
 namespace marblevale {
 
-/// The size that a stored value may have, and the form in which a record may be written.
+/// The size limit of a stored value, and whether a record may be written in its compact form.
 struct RecordSize {
   std::size_t max_bytes = 8192;
-  /// The compact forms of slices and machine pages, which some versions can't read. They are
-  /// written only where the plain form does not fit.
+  /// Allows the compact forms of slices and machine pages, which some versions can't read. They are
+  /// written only if the plain form does not fit.
   bool compact_allowed = false;
 };
 
-/// The newest form of records that this version reads: 1 plain, 2 compact as well.
+/// The newest form of records that this version reads. 1: plain; 2: plain and compact.
 inline constexpr std::uint64_t kNewestReadableForm = 2;
 
-/// Who leads. The revision of this record is the leader's term.
+/// The current leader. The revision of this record is the leader's term.
 struct LeaderRecord {
   NodeId node;
   ProcessIncarnation incarnation;
 };
 
-/// A live controller. Its shards hang on the lease that it renews for them.
+/// A live controller. The records of the shards that it holds are attached to its shard lease.
 struct NodeRecord {
   NodeId node;
   ProcessIncarnation incarnation;
   LeaseId shard_lease_id;
-  std::uint64_t newest_readable_form =
-      1;  // absent in the records of versions that read only plain ones
+  /// Absent in the records of versions that read only the plain form.
+  std::uint64_t newest_readable_form = 1;
 };
 
 /// The holder of a shard. The revision of this record is the shard's fencing token.
@@ -55,10 +56,10 @@
 struct JobRecord {
   JobSpec spec;
   WallTime accepted;
-  std::optional<WallTime> cancelled;  // when it was cancelled
+  std::optional<WallTime> cancelled;  // the time of the cancellation
 };
 
-/// An event in the planning of a job, for the answer to why it waits.
+/// An event in the planning of a job, shown to users who ask why the job waits.
 struct Note {
   WallTime at;
   std::string text;
@@ -72,38 +73,42 @@
   WallTime end;
 };
 
-/// The guarantees of a job, and the notes on its planning.
+/// The guarantees of a job and the notes on its planning.
 struct GuaranteeRecord {
   JobId job_id;
-  std::vector<Guarantee> guarantees;  // of the slices that are reserved now
-  std::vector<Note> notes;            // the latest, bounded
+  std::vector<Guarantee> guarantees;  // of the slices that have a reservation now
+  std::vector<Note> notes;            // the first and the latest; their number is bounded
 
-  /// Adds a note; beyond the bound the oldest but the first is dropped.
+  /// Adds a note. Beyond the bound, the oldest note except the first is dropped.
   void note(WallTime at, std::string text);
 };
 
-/// `released`: the leader has placed the task; `bound`: the shard's holder has committed that it
-/// runs there.
-enum class TaskState { idle, released, bound, done };
+enum class TaskState {
+  idle,
+  released,  // the leader has placed the task on a machine
+  bound,     // the shard's holder has committed that the task runs on this machine
+  done
+};
 
-/// The order to end a task, with the time that it has for it.
+/// The order to end a task within a grace period.
 struct StopOrder {
   Duration grace_period{};
   std::string reason;
 };
 
-/// A task's state and place. It stays placed until there is evidence of its termination.
+/// The state and placement of a task. The task stays placed until there is evidence of its
+/// termination.
 struct TaskRecord {
   TaskState state = TaskState::idle;
   Attempt attempt;
   ZoneId zone;
   MachineId machine_id;
-  WorkerEpoch epoch;                // of the worker when the task was bound
-  WallTime since;                   // of the release, the binding, or the last end
-  WallTime running_since;           // when it was first seen running; 0: not yet
-  Duration progress{};              // of the last checkpoint
-  std::uint32_t failure_count = 0;  // ends by error
-  MachineId failed_on;              // the machine of the last of them
+  WorkerEpoch epoch;                // the worker's epoch when the task was bound
+  WallTime since;                   // time of the release, the binding or the last end
+  WallTime running_since;           // when the attempt was first seen running; 0: not yet
+  Duration progress{};              // run time that the last checkpoint covers
+  std::uint32_t failure_count = 0;  // failed attempts; of a service, since its last stable run
+  MachineId failed_on;              // the machine of the last failed attempt
   std::optional<StopOrder> stop;
 
   [[nodiscard]] bool placed() const {
@@ -111,8 +116,8 @@
   }
 };
 
-/// Tasks of one slice: the largest number whose record, with a stop and its reason for every task,
-/// stays within the smallest value that a deployment's state service takes (8 KiB).
+/// Tasks per slice. This is the largest number for which a record with a stop order and a reason
+/// for every task stays within 8 KiB, the smallest value limit of a deployment's state service.
 inline constexpr std::uint32_t kSliceTasks = 64;
 
 struct SliceRecord {
@@ -124,19 +129,20 @@
   [[nodiscard]] bool all_done() const;
 };
 
-/// How many slices the job has, and how many tasks slice `number` has.
 std::uint32_t slice_count(const JobSpec& job);
+/// The number of tasks in slice `number`, which must exist. Only the last slice of a job may have
+/// fewer than `kSliceTasks`.
 std::uint32_t slice_size(const JobSpec& job, std::uint32_t number);
 
 enum class MachineState {
   up,       // sends heartbeats
   silent,   // has sent no heartbeat for a while, which is no evidence that its tasks ended
-  suspect,  // a task failed on it: takes none until the task's next attempt shows whose fault it
-            // was
-  quarantined,  // fails tasks: takes none, to be returned
-  draining,     // takes no new tasks: preemption notice from the cloud, or not needed
+  suspect,  // a task failed on it; takes no tasks until the next attempt of the failed task shows
+            // whether the machine or the job was the cause
+  quarantined,  // makes tasks fail; takes no tasks and will be returned to the cloud
+  draining,     // takes no new tasks, because of a preemption notice or because it is not needed
   deleting,     // the leader has decided to delete it
-  gone          // evidence: nothing runs there, or ever will
+  gone          // there is evidence that nothing runs on it and nothing ever will
 };
 
 const char* name_of(MachineState state);
@@ -149,7 +155,7 @@
   bool operator==(const CachedImage&) const = default;
 };
 
-/// A rented machine, or one that is no more.
+/// A rented machine, or one that is gone.
 struct MachineRecord {
   MachineId machine_id;
   std::string address;
@@ -159,29 +165,31 @@
   MachineState state = MachineState::up;
   WallTime since;
   std::optional<WallTime> reclaim_at;
-  /// Images that tasks have run with there, the latest last, as far as its cache holds them. Kept
-  /// here because an estimate in memory is lost when all controllers end at once.
+  /// Images that tasks on the machine have used, as far as its cache holds them; the most recently
+  /// used is last. They are stored because an estimate in memory is lost when all controllers end
+  /// at once.
   std::vector<CachedImage> images;
-  JobId failed_job;  // of a suspect: the job whose task failed there
+  JobId failed_job;  // of a suspect machine: the job whose task failed on it
 
   bool operator==(const MachineRecord&) const = default;
 };
 
-/// Machines are kept in pages, since each put counts against the state service's rate, and a
-/// thousand machines come up within seconds.
+/// Machines are stored in pages, because each put counts against the state service's rate limit and
+/// a thousand machines come up within seconds.
 struct MachinePage {
   std::vector<MachineRecord> machines;
 };
 
-/// Images that a machine's record lists at the most.
+/// The maximum number of images in a machine's record.
 inline constexpr std::size_t kMaxImages = 24;
 
-/// Records that the image was used, as the machine's cache does: the latest last, the longest
-/// unused dropped beyond `cache_gb`. False when it was in the list.
+/// Records the use of an image in the way the machine's cache does: the image becomes the last of
+/// the list, and the least recently used images are dropped while the list exceeds `cache_gb` or
+/// `kMaxImages`. Returns false if the image was already in the list.
 bool note_image(std::vector<CachedImage>& images, const ImageId& image, double gb, double cache_gb);
 
-/// A request for machines that was sent to the cloud, until all of them are known. Its name makes
-/// it idempotent.
+/// A request for machines from the cloud. It is stored until each of its machines has a record or
+/// until it expires. Its name makes it idempotent.
 struct ProvisioningRequest {
   std::string name;
   std::string machine_type;
@@ -209,21 +217,25 @@
 std::string encode(const NodeRecord& r);
 std::string encode(const ShardRecord& r);
 std::string encode(const JobRecord& r);
-/// Notes are left out, the oldest but the first, until the record stays within `max_bytes`.
+/// Drops notes until the record fits `max_bytes`: the oldest first, except that the first note is
+/// dropped last.
 std::string encode(GuaranteeRecord r, std::size_t max_bytes);
-/// In the plain form, whatever its size.
+/// Encodes the slice in the plain form, whatever its size.
 std::string encode(const SliceRecord& r);
-/// In the plain form if it fits, else in the compact one as far as that is allowed.
+/// Encodes the slice in the plain form if it fits, otherwise in the compact form if this is
+/// allowed. The result exceeds `size.max_bytes` if no allowed form fits.
 std::string encode(const SliceRecord& r, const RecordSize& size);
-/// Images are left out, the longest unused first, until the page fits; where the plain form is too
-/// large without them and the compact one is allowed, that is taken.
+/// Encodes the page in the plain form if it fits with all images. Otherwise the least recently used
+/// images are dropped until the page fits: from the compact form if this is allowed, else from the
+/// plain form. The result exceeds `size.max_bytes` if no allowed form fits.
 std::string encode(const MachinePage& page, const RecordSize& size);
 std::string encode(const ProvisioningRequest& r);
-/// Notes are left out as in a guarantee record.
+/// Drops notes in the same way as for a guarantee record.
 std::string encode(FinalRecord r, std::size_t max_bytes);
 std::string encode(const std::vector<MachineType>& types);
 
-// Each returns false, leaving `out` in an unspecified state, for what this version can't read.
+// Each returns false, and leaves `out` in an unspecified state, if this version can't read the
+// value.
 bool decode(const json::Value& v, LeaderRecord& out);
 bool decode(const json::Value& v, NodeRecord& out);
 bool decode(const json::Value& v, ShardRecord& out);
@@ -235,7 +247,8 @@
 bool decode(const json::Value& v, FinalRecord& out);
 bool decode(const json::Value& v, std::vector<MachineType>& out);
 
-/// True for a slice or page in its compact form, which is written only under lowered limits.
+/// True for a slice or page in the compact form, which is written only if the plain form exceeds
+/// the value limit.
 bool is_compact_slice(const json::Value& v);
 bool is_compact_page(const json::Value& v);
 
--- a/src/records/slice_codec.cpp
+++ b/src/records/slice_codec.cpp
@@ -1,4 +1,4 @@
-// The codec of slice records.
+// The codec of slice records, which have a plain and a compact form.
 #include <algorithm>
 
 #include "records/compact_encoding.hpp"
@@ -14,23 +14,25 @@
 
 namespace {
 
-constexpr std::uint64_t kSliceFormat = 2;  // 1 had tasks with named fields, 32 to a slice
+constexpr std::uint64_t kSliceFormat = 2;  // format 1 had named task fields and 32 tasks per slice
 constexpr std::uint64_t kCompactSliceFormat = 3;
-/// Replaces the reasons of stops where these alone would make a slice too large; the job's notes
-/// have each of them.
+/// Replaces the reasons of stop orders if the reasons alone would make a slice too large. The job's
+/// notes contain each reason.
 constexpr const char* kReasonPlaceholder = "stopped; the job's notes tell why";
 
-/// What the tasks of a slice share, so that 64 of them fit one value: the first of their times, and
-/// each zone and reason once.
+/// Data that the tasks of a slice share, so that 64 tasks fit one value: the earliest of their
+/// times, and each zone and reason once.
 struct SliceCommon {
   std::int64_t base = 0;
   std::vector<std::string> zones;
   std::vector<std::string> reasons;
 };
 
-// A task is a list: state, attempt, since, progress, faults, last failed on; when it is placed,
-// also zone, machine, epoch, running; when it is to stop, also grace period and reason. Times count
-// from the base, plus one, so that 0 stands for none.
+// A task is written as a list without field names:
+// - always: state, attempt, since, progress, failure count, machine of the last failure
+// - if the task is placed: zone, machine, epoch, running since
+// - if a placed task has a stop order: grace period, reason
+// A time is stored as the milliseconds since the base plus 1, so that 0 stands for no time.
 void write_task(json::Writer& out, const TaskRecord& task, SliceCommon& common) {
   const auto time = [&](WallTime at) {
     return unix_milliseconds(at) == 0 ? 0 : unix_milliseconds(at) - common.base + 1;
@@ -49,7 +51,7 @@
   out.close_list();
 }
 
-/// Reads the fields of a list in their order; after an error `ok()` is false.
+/// Reads the items of a list in their order. After an error, `ok()` is false.
 class ListReader {
  public:
   explicit ListReader(const json::Value& list) : list_(list) {}
@@ -107,7 +109,8 @@
   return true;
 }
 
-/// How much of a slice the compact form keeps; the first that fits is taken.
+/// The precision of the compact form: the unit of times, and whether reasons of stop orders are
+/// kept. A slice is written with the first of `kCompactDetails` that fits.
 struct CompactDetail {
   std::int64_t time_unit_ms;
   bool keeps_reasons;
@@ -115,14 +118,14 @@
 constexpr std::int64_t kMaxUnitMs = 1000;
 constexpr std::array<CompactDetail, 3> kCompactDetails{{{1, true}, {1000, true}, {1000, false}}};
 
-/// The head of a task in the compact form: its state, and which other fields follow.
+/// Bits of a task's header in the compact form: its state, and which optional fields follow.
 constexpr std::uint64_t kStateBits = 3;
 constexpr std::uint64_t kHasProgress = 4;
 constexpr std::uint64_t kHasFailures = 8;
 constexpr std::uint64_t kHasRunning = 16;
 constexpr std::uint64_t kHasStop = 32;
 
-/// Tasks in the compact form: numbers only, what is absent left out.
+/// Writes tasks in the compact form: as numbers only, without the fields that are absent.
 class CompactTaskWriter {
  public:
   CompactTaskWriter(std::int64_t base, const CompactDetail& detail)
@@ -180,7 +183,7 @@
   std::vector<std::string> reasons_;
 };
 
-/// Reads what a `CompactTaskWriter` wrote.
+/// Reads the tasks that a `CompactTaskWriter` wrote.
 class CompactTaskReader {
  public:
   /// False when a field is missing or of another type.
@@ -247,7 +250,7 @@
   std::vector<std::string> reasons_;
 };
 
-/// The earliest of the tasks' times.
+/// The earliest of the tasks' times in Unix milliseconds; 0 if no task has a time.
 std::int64_t earliest_time(const SliceRecord& r) {
   std::int64_t base = 0;
   for (const TaskRecord& task : r.tasks) {
