--- a/src/protocol/cloud.hpp
+++ b/src/protocol/cloud.hpp
@@ -16,7 +16,7 @@
 struct MachineType {
   std::string name;
   Resources resources;
-  double cache_gb = 0;       // of the image cache
+  double cache_gb = 0;       // capacity of the image cache
   double pull_gb_per_s = 0;  // rate at which images are pulled
   double price = 0;          // per hour
   double spot_price = 0;     // per hour
@@ -26,8 +26,8 @@
   [[nodiscard]] double price_of(bool spot) const { return spot ? spot_price : price; }
 };
 
-/// The list of machine types, which the record `types` keeps in the same form. Nothing when a type
-/// lacks a required field.
+/// Parses the list of machine types, which the record `types` stores in the same form. Returns
+/// nullopt when a type lacks a required field.
 std::optional<std::vector<MachineType>> parse_machine_types(const json::Value& object);
 void write_machine_types(json::Writer& out, const std::vector<MachineType>& types);
 
@@ -49,10 +49,10 @@
   bool has_next = false;
 };
 
-/// Nothing when a machine can't be read: an incomplete list must not count as evidence that a
-/// machine does not exist.
+/// Returns nullopt when any machine can't be read, because an incomplete list must not count as
+/// evidence that a machine does not exist.
 std::optional<MachineList> parse_machine_list(std::string_view body);
-/// The machines of an answered provisioning request.
+/// Parses the cloud's answer to a provisioning request: the machines that it provisioned.
 std::optional<std::vector<MachineId>> parse_provisioned_machines(std::string_view body);
 
 std::string write_provisioning_request(const std::string& name, const std::string& machine_type,
--- a/src/protocol/job_spec.cpp
+++ b/src/protocol/job_spec.cpp
@@ -15,7 +15,8 @@
 constexpr std::size_t kMaxNameBytes = 128;
 constexpr std::size_t kMaxMachineTypes = 32;
 constexpr std::size_t kMaxJobIdSuffixBytes = 32;
-/// The estimated run of a service job: later than any other end, and far from an overflow of times.
+/// The estimated run time of a service job, about 2.9 years: other jobs are expected to end
+/// earlier, and sums of times stay far from an overflow.
 constexpr Duration kServiceRunEstimate{90'000'000'000};
 
 /// The protocol's names, in the order of the enumerators.
@@ -27,8 +28,8 @@
          std::none_of(name.begin(), name.end(), [](unsigned char c) { return c < 0x20; });
 }
 
-/// Reads fields of one object into their places until one is not valid. Each method returns whether
-/// its field is valid; null counts as missing.
+/// Reads and validates the fields of one object. Each method returns true if its field is valid;
+/// otherwise it sets `error()`, and the caller reads no further field. Null counts as missing.
 class FieldReader {
  public:
   explicit FieldReader(const json::Value& object) : object_(object) {}
@@ -75,7 +76,7 @@
     return true;
   }
 
-  /// A number between 0 and `max`.
+  /// Reads a number between 0 and `max`.
   bool read_amount(const char* field, double max, double& out) {
     const auto number = json::number(object_, field);
     if (!number || *number < 0 || *number > max) return fail(field);
@@ -184,7 +185,8 @@
                      read_placement_constraints(fields, job) && read_times(fields, job);
   if (!valid) return fields.error();
   if (job.is_service()) {
-    // It needs its resources without end and is never complete, so a deadline has no meaning.
+    // A service needs its resources until it is cancelled and never completes, so a deadline has no
+    // meaning.
     job.estimated_run = kServiceRunEstimate;
     job.deadline.reset();
   }
--- a/src/protocol/job_spec.hpp
+++ b/src/protocol/job_spec.hpp
@@ -14,8 +14,8 @@
 
 namespace marblevale {
 
-/// `array`: tasks that are independent of one another. `gang`: tasks that run all at the same time
-/// or not at all. `service`: replicas that run until the job is cancelled.
+/// `array`: independent tasks. `gang`: all tasks run at the same time, or none does. `service`:
+/// replicas that run until the job is cancelled.
 enum class JobShape { array, gang, service };
 /// From the lowest priority to the highest.
 enum class Urgency { low, standard, urgent, production };
@@ -27,7 +27,7 @@
 
 struct JobSpec {
   JobId job_id;
-  std::string job_class;  // what objectives refer to
+  std::string job_class;  // the class to which objectives apply
   TeamId team;
   JobShape shape = JobShape::array;
   Urgency urgency = Urgency::standard;
@@ -38,42 +38,43 @@
   std::vector<std::string> machine_types;  // empty: any
   std::optional<ZoneId> required_zone;
   bool single_zone = false;   // all tasks in one zone
-  bool spread_zones = false;  // at most half of the tasks in one zone
+  bool spread_zones = false;  // at most half of the tasks, rounded up, in one zone
   bool allows_spot = false;
   Duration estimated_run{};
   Duration checkpoint_interval{};
-  Duration save_time{};  // of a checkpoint
-  std::optional<Duration> deadline;
+  Duration save_time{};              // time to save a checkpoint
+  std::optional<Duration> deadline;  // from the acceptance of the job
 
   [[nodiscard]] bool gang() const { return shape == JobShape::gang; }
   [[nodiscard]] bool is_service() const { return shape == JobShape::service; }
 };
 
-/// How many of the job's tasks may be in one zone at a time.
+/// The maximum number of the job's tasks in one zone at a time.
 inline std::uint32_t max_tasks_in_zone(const JobSpec& job) {
   return job.spread_zones ? (job.task_count + 1) / 2 : job.task_count;
 }
 
-/// True for an id in the form that the protocol gives ("req-" and 1 to 32 digits, letters or
-/// dashes).
+/// True for an id in the form that the protocol prescribes: "req-" and 1 to 32 digits, letters or
+/// dashes.
 bool valid_job_id(std::string_view job_id);
 
-/// The first field of a job's description that is not valid.
+/// The first field of a job's description that is missing or invalid.
 struct JobSpecError {
-  /// `invalid`: of another type, out of range, or not among the known values.
+  /// `invalid`: the field has the wrong type, is out of range, or has an unknown value.
   enum class Fault { missing, invalid };
 
-  const char* field = "";  // the protocol's name, a string literal
+  const char* field = "";  // the field's name in the protocol, a string literal
   Fault fault = Fault::missing;
 
-  /// The text that the user gets; it is the same for both faults.
+  /// The error text for the user, which is the same for both faults.
   [[nodiscard]] std::string message() const;
 };
 
-/// Reads and validates a job, in the order of the protocol's fields.
+/// Parses and validates a job. Fields are checked in the order of the protocol, and the first error
+/// is returned.
 std::variant<JobSpec, JobSpecError> parse_job(const json::Value& object);
 
-/// Writes the job with the protocol's names, in which the job's record keeps it as well.
+/// Writes the job with the protocol's field names. The job's record stores it in the same form.
 void write_job(json::Writer& out, const JobSpec& job);
 
 }  // namespace marblevale
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -17,23 +17,23 @@
 using Value = rapidjson::Value;
 using Document = rapidjson::Document;
 
-/// Parses an object; false for anything else. The parser is iterative, so that the nesting of an
-/// untrusted text can't exhaust the stack.
+/// Parses a JSON object; returns false for any other text. The parser is iterative, so that deeply
+/// nested untrusted text can't exhaust the stack.
 inline bool parse(Document& doc, std::string_view text) {
   doc.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(text.data(),
                                                                                     text.size());
   return !doc.HasParseError() && doc.IsObject();
 }
 
-/// The member `name`, or nullptr when it is absent or null, or `object` is no object.
+/// The member `name`, or nullptr when it is absent or null or when `object` is not an object.
 inline const Value* field(const Value& object, const char* name) {
   if (!object.IsObject()) return nullptr;
   const auto it = object.FindMember(name);
   return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
 }
 
-/// The member `name` as a string; nothing when it is absent or of another type. The other typed
-/// accessors are alike.
+/// The member `name` as a string, or nullopt when it is absent or of another type. The accessors
+/// below do the same for their types.
 inline std::optional<std::string> text(const Value& object, const char* name) {
   const Value* v = field(object, name);
   if (v == nullptr || !v->IsString()) return std::nullopt;
@@ -47,7 +47,7 @@
   return v->GetDouble();
 }
 
-/// An integer that is not negative.
+/// A non-negative integer.
 inline std::optional<std::uint64_t> count(const Value& object, const char* name) {
   const Value* v = field(object, name);
   if (v == nullptr || !v->IsUint64()) return std::nullopt;
@@ -74,8 +74,8 @@
   return v != nullptr && v->IsArray() ? v : nullptr;
 }
 
-/// Writes one JSON document, without white space. The caller keeps the order of calls well-formed:
-/// a `key` precedes each value of an object, and each `open` has its `close`.
+/// Writes one JSON document without white space. The caller must keep the document well-formed: a
+/// `key` precedes each value of an object, and each `open` has its `close`.
 class Writer {
  public:
   Writer() : writer_(buffer_) {}
@@ -125,7 +125,7 @@
     writer_.Int(n);
     return *this;
   }
-  /// A value that is JSON already; it is not checked.
+  /// Writes a value that is already JSON text. The text is not checked.
   Writer& raw(std::string_view text) {
     writer_.RawValue(text.data(), text.size(), rapidjson::kObjectType);
     return *this;
--- a/src/protocol/worker.cpp
+++ b/src/protocol/worker.cpp
@@ -134,7 +134,7 @@
   heartbeat.tasks.reserve(tasks->Size());
   for (const auto& item : tasks->GetArray()) {
     auto task = parse_task(item);
-    // A heartbeat that can't be read whole must not count as evidence that a task is absent.
+    // A heartbeat that can't be read completely must not count as evidence that a task is absent.
     if (!task) return std::nullopt;
     heartbeat.tasks.push_back(std::move(*task));
   }
--- a/src/protocol/worker.hpp
+++ b/src/protocol/worker.hpp
@@ -1,5 +1,5 @@
-/// Codecs of the workers' API: heartbeats (POST /hello, and the answers of POST /orders), and the
-/// orders that workers are sent.
+/// Codecs of the workers' API: heartbeats (POST /hello, and the answers to POST /orders) and the
+/// orders to workers.
 #pragma once
 
 #include <optional>
@@ -12,7 +12,7 @@
 
 namespace marblevale {
 
-/// Names one task of a job. The protocol writes it as "JOB/INDEX".
+/// Identifies one task of a job. The protocol writes it as "JOB/INDEX".
 struct TaskId {
   JobId job_id;
   std::uint32_t task_index = 0;
@@ -29,15 +29,15 @@
 enum class TaskEndCause {
   completed,
   failed,
-  unknown,      // the worker cannot tell: counts as a failure
+  unknown,      // the worker can't tell the cause; counts as a failure
   preempted,    // stopped by an order
   gang_ended,   // stopped with the other tasks of its gang
   unspecified,  // the worker names no cause, or one that this version does not know
 
   machine_gone,
-  lease_expired,  // the worker began a new epoch, before which it ends all tasks
-  never_started,  // the start was not executed, and cannot be any more
-  never_bound
+  lease_expired,  // the worker began a new epoch; it ends all its tasks before beginning it
+  never_started,  // the start was not executed and can't be executed any more
+  never_bound     // the task was cancelled or stopped between its release and its binding
 };
 
 /// The cause as log lines show it.
@@ -47,8 +47,8 @@
   TaskId id;
   Attempt attempt;
   TaskStatus status = TaskStatus::fetching;
-  TaskEndCause cause = TaskEndCause::unspecified;  // of an ended task
-  bool saved = false;
+  TaskEndCause cause = TaskEndCause::unspecified;  // why an ended task ended
+  bool saved = false;                              // whether an ended task saved a checkpoint
 };
 
 /// A worker's heartbeat with the status of all tasks that it has.
@@ -60,28 +60,28 @@
   bool spot = false;
   WorkerEpoch epoch;
   HeartbeatSequence sequence;
-  FencingToken token;                  // of the shard, as the worker knows it
-  std::optional<Duration> reclaim_in;  // the cloud has announced to take the machine back
+  FencingToken token;                  // the shard's token as the worker knows it
+  std::optional<Duration> reclaim_in;  // time until the cloud takes the machine back, if announced
   std::vector<ReportedTask> tasks;
 };
 
-/// Nothing unless the heartbeat can be read whole: a task that is absent from it is evidence that
-/// the worker does not have the task.
+/// Returns nullopt unless the whole heartbeat can be read, because the absence of a task from a
+/// heartbeat is evidence that the worker does not have the task.
 std::optional<WorkerHeartbeat> parse_worker_heartbeat(std::string_view body);
 
-/// `kill`: ends the task after a grace period. `clear`: has the worker forget an ended task.
+/// `kill`: ends the task after a grace period. `clear`: makes the worker forget an ended task.
 enum class OrderType { start, kill, clear };
 
 struct Order {
   OrderType type = OrderType::start;
   TaskId id;
   Attempt attempt;
-  Duration grace_period{};  // of a kill
+  Duration grace_period{};  // only for `kill`
 };
 
 /// The answer to a heartbeat.
 std::string write_heartbeat_answer(FencingToken token, const std::vector<Order>& orders);
-/// The answer to a heartbeat that belongs to another controller, which holds the shard.
+/// The answer to a heartbeat of a machine whose shard another controller holds.
 std::string write_holder_redirect(const NodeId& holder);
 /// The body of POST /orders.
 std::string write_order_request(FencingToken token, WorkerEpoch epoch,
