--- a/tests/compact_encoding_test.cpp
+++ b/tests/compact_encoding_test.cpp
@@ -47,7 +47,7 @@
   TaskRecord& bound = slice.tasks[1];
   bound = largest_slice().tasks[5];
   bound.machine_id = MachineId("a-machine-without-number");
-  bound.failed_on = MachineId("vm-7");  // another width than the others
+  bound.failed_on = MachineId("vm-7");  // fewer digits than the other names
   TaskRecord& released = slice.tasks[2];
   released.state = TaskState::released;
   released.attempt = Attempt(1);
@@ -77,7 +77,7 @@
   ASSERT_EQ(back.tasks.size(), slice.tasks.size());
   for (std::size_t i = 0; i < slice.tasks.size(); ++i) {
     SCOPED_TRACE(i);
-    // What a rule needs is exact; times and reasons may be rougher.
+    // Fields on which decisions depend are exact. Times may be rounded, and reasons replaced.
     EXPECT_EQ(back.tasks[i].state, slice.tasks[i].state);
     EXPECT_EQ(back.tasks[i].attempt, slice.tasks[i].attempt);
     EXPECT_EQ(back.tasks[i].machine_id, slice.tasks[i].machine_id);
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,6 +1,6 @@
-// Records and messages written by the version in production: this version decodes them and encodes
-// the same bytes, so that both can serve on the same data. Only a node's record has one more field,
-// which the other version skips.
+// This version must decode the records and messages of the version in production and encode them to
+// the same bytes, so that both versions can run on the same data. The only difference is an
+// additional field in a node's record, which the version in production skips.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -37,7 +37,7 @@
   return out;
 }
 
-/// Reads each sample of the kind and writes it again.
+/// Decodes each sample of the kind and checks that encoding it again gives the same bytes.
 template <typename Record, typename Encode>
 void expect_same_bytes(const std::string& kind, const Encode& write) {
   for (const Sample& sample : samples(kind)) {
@@ -74,7 +74,8 @@
   ASSERT_TRUE(decode(doc, node));
   EXPECT_EQ(node.newest_readable_form, 1U);
   node.newest_readable_form = kNewestReadableForm;
-  // One member more at the end: all that the other version reads stays as it was.
+  // The additional member is at the end, and all members that the version in production reads are
+  // unchanged.
   const std::string ours = encode(node);
   EXPECT_EQ(ours, sample.text.substr(0, sample.text.size() - 1) + R"(,"reads":2})");
 }
@@ -93,7 +94,7 @@
 }
 
 TEST(ProductionRecords, AnUnknownFieldIsSkipped) {
-  // What both versions rely on when one of them adds a field.
+  // Both versions rely on this when one of them adds a field.
   json::Document doc;
   ASSERT_TRUE(json::parse(doc, R"({"v":1,"node":"n","nonce":1,"permit":2,"later":{"a":[1]}})"));
   NodeRecord node;
--- a/tests/job_spec_test.cpp
+++ b/tests/job_spec_test.cpp
@@ -1,4 +1,5 @@
-// The validation of a job's description names the first field that is not valid, and its fault.
+// The validation of a job's description reports the first field that is missing or invalid, and
+// which of the two faults it has.
 #include "protocol/job_spec.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -1,4 +1,5 @@
-// Stored records: round trips, the size of the largest, and formats that are not known.
+// Stored records: round trips, the size of the largest records, and the rejection of unknown
+// formats.
 #include "records/records.hpp"
 
 #include "support/helpers.hpp"
@@ -128,8 +129,8 @@
   machine.zone = ZoneId("a");
   EXPECT_TRUE(note_image(machine.images, ImageId("a"), 6, 15));
   EXPECT_TRUE(note_image(machine.images, ImageId("b"), 6, 15));
-  EXPECT_FALSE(note_image(machine.images, ImageId("a"), 6, 15));  // used again: now the latest
-  EXPECT_TRUE(note_image(machine.images, ImageId("c"), 6, 15));   // b gives way
+  EXPECT_FALSE(note_image(machine.images, ImageId("a"), 6, 15));  // used again: now the most recent
+  EXPECT_TRUE(note_image(machine.images, ImageId("c"), 6, 15));  // drops b, the least recently used
   const MachineRecord back = round_trip(machine);
   ASSERT_EQ(back.images.size(), 2U);
   EXPECT_EQ(back.images[0].image, ImageId("a"));
--- a/tests/worker_heartbeat_test.cpp
+++ b/tests/worker_heartbeat_test.cpp
@@ -1,4 +1,4 @@
-// Decoding of workers' heartbeats, also truncated ones.
+// Decoding of workers' heartbeats, and the rejection of truncated ones.
 #include <gtest/gtest.h>
 
 #include "protocol/worker.hpp"
